--- a/src/wirehost/codec.h
+++ b/src/wirehost/codec.h
@@ -106,6 +106,8 @@
  public:
   RecordReader(std::string_view body, std::uint32_t records) : body_(body), left_(records) {}
   bool next(Record& record);  // false at the end; throws FrameError on malformed input
+  // How many bytes of the body have been read.
+  std::size_t position() const { return at_; }
 
  private:
   std::string_view body_;
