--- a/Makefile
+++ b/Makefile
@@ -19,9 +19,9 @@
 
 # Ten drivers between emulated members on loopback: a primary dies, a driver is killed, members drain.
 demo: packages
-	cmake -B $(BUILD)-demo -DCMAKE_BUILD_TYPE=Release -DHEATHFLOW_TESTS=OFF -DHEATHFLOW_RIG=ON
-	cmake --build $(BUILD)-demo -j$(JOBS) --target heathflow heathflow-rig
-	$(BUILD)-demo/heathflow-rig run scenarios/demo.xml --out $(BUILD)-demo/results
+	cmake -B $(BUILD)-demo -DCMAKE_BUILD_TYPE=Release -DHEATHFLOW_TESTS=OFF -DHEATHFLOW_EMULATOR=ON
+	cmake --build $(BUILD)-demo -j$(JOBS) --target heathflow heathflow-emulator
+	$(BUILD)-demo/heathflow-emulator run scenarios/demo.xml --out $(BUILD)-demo/results
 
 lint:
 	scripts/lint.sh
--- a/bench/coldstart.sh
+++ b/bench/coldstart.sh
@@ -14,7 +14,7 @@
 cmake -S "$work/before" -B "$work/before/build" -DCMAKE_BUILD_TYPE=Release -DHEATHFLOW_TESTS=OFF >/dev/null
 cmake --build "$work/before/build" -j"$(nproc)" >/dev/null
 cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DHEATHFLOW_TESTS=ON >/dev/null
-cmake --build build-bench -j"$(nproc)" --target heathflow heathflow-rig heathflow_startup_sim >/dev/null
+cmake --build build-bench -j"$(nproc)" --target heathflow heathflow-emulator heathflow_startup_sim >/dev/null
 
 scenario() { # drivers, milliseconds a list, what was learned
   cat <<XML
@@ -38,7 +38,7 @@
         [[ $version == before ]] && program="$work/before/build/heathflow"
         [[ $version == learned ]] && known="learned-us=\"$((ms * 1000 + 500))\" usual-us=\"4500\""
         scenario "$drivers" "$ms" "$known" "$round" >"$work/s.xml"
-        numbers=$(build-bench/heathflow-rig run "$work/s.xml" --program "$program" --numbers || true)
+        numbers=$(build-bench/heathflow-emulator run "$work/s.xml" --program "$program" --numbers || true)
         echo "$drivers $ms $version $numbers" | tee -a "$rows" >&2
       done
     done
@@ -55,7 +55,7 @@
   <drivers count="1" known="old"/><members/><list/><load per-driver="200" save="0"/>
 </scenario>
 XML
-    echo "1 1 $version $(build-bench/heathflow-rig run "$work/lone.xml" --program "$program" --numbers || true)" >>"$rows"
+    echo "1 1 $version $(build-bench/heathflow-emulator run "$work/lone.xml" --program "$program" --numbers || true)" >>"$rows"
   done
 done
 
--- a/bench/scale.sh
+++ b/bench/scale.sh
@@ -37,10 +37,10 @@
 }
 trap cleanup EXIT
 
-cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DHEATHFLOW_TESTS=OFF -DHEATHFLOW_RIG=ON >/dev/null
-cmake --build build-bench -j"${JOBS:-3}" --target heathflow heathflow-rig >/dev/null
+cmake -B build-bench -DCMAKE_BUILD_TYPE=Release -DHEATHFLOW_TESTS=OFF -DHEATHFLOW_EMULATOR=ON >/dev/null
+cmake --build build-bench -j"${JOBS:-3}" --target heathflow heathflow-emulator >/dev/null
 
-build-bench/heathflow-rig scale "$plan" --out "$work" >"$work/log" &
+build-bench/heathflow-emulator scale "$plan" --out "$work" >"$work/log" &
 rig=$!
 status=0
 wait "$rig" || status=$?
--- a/fuzz/bolt_fuzz.cpp
+++ b/fuzz/bolt_fuzz.cpp
@@ -84,7 +84,7 @@
   return std::string(out.view());
 }
 
-void memberTarget(std::string_view bytes, bool transaction) {
+void endpointTarget(std::string_view bytes, bool transaction) {
   const BoltLogin login;
   Buffer out(1 << 20);
   BoltClient client(login);
@@ -95,7 +95,7 @@
   client.dropped();
   // SUCCESS with an empty map, twice: the login is done.
   input += std::string("\0\3\xB1\x70\xA0\0\0\0\3\xB1\x70\xA0\0\0", 14);
-  require(client.feed(input, false, out) == MemberSide::Event::Ready);
+  require(client.feed(input, false, out) == EndpointSide::Event::Ready);
   input.clear();
   client.dropped();
   const std::string begin("\0\3\xB1\x11\xA0\0\0", 7);
@@ -106,15 +106,15 @@
     const std::size_t size = std::min<std::size_t>(1 + bytes.size() / 3, bytes.size());
     input += bytes.substr(0, size);
     bytes.remove_prefix(size);
-    const MemberSide::Event event = client.feed(input, false, out);
+    const EndpointSide::Event event = client.feed(input, false, out);
     require(client.seen() <= input.size());
     for (const Slice& piece : client.answer().pieces) {
-      if (event == MemberSide::Event::Part || event == MemberSide::Event::Answered) {
+      if (event == EndpointSide::Event::Part || event == EndpointSide::Event::Answered) {
         require(piece.at + piece.size <= input.size());
       }
     }
-    if (event == MemberSide::Event::Broken || event == MemberSide::Event::Answered) return;
-    if (event == MemberSide::Event::Part) {
+    if (event == EndpointSide::Event::Broken || event == EndpointSide::Event::Answered) return;
+    if (event == EndpointSide::Event::Part) {
       input.erase(0, client.seen());
       client.dropped();
     }
@@ -137,7 +137,7 @@
       serverSays(bytes, 7);
       break;
     default:
-      memberTarget(bytes, data[0] % 8 >= 4);
+      endpointTarget(bytes, data[0] % 8 >= 4);
       break;
   }
   return 0;
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Format, the module's size, the order of the layers, and static checks.
+# Format, the order of the layers, and static checks.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 failed=0
@@ -8,61 +8,63 @@
   failed=1
 }
 
-lines=$(grep -c '[^[:space:]]' src/logic.cpp)
-# The operators have lifted their limit of 1,100; until the module is parted it grows no further than this.
-echo "src/logic.cpp: $lines non-blank lines (1,130 at most)"
-((lines <= 1130)) || fail "the module is too long"
-if grep -nE "^.{111,}" src/logic.cpp src/logic.h src/state.h src/member_evidence.h; then fail "a line of the module is wider than 110"; fi
-head -3 src/logic.cpp | grep -q 'logic\.h' || fail "the module's first lines must point to logic.h"
-
-# A layer includes its own and lower ones only. The module knows none of them.
+# A layer includes its own folder and lower layers only.
 layer_of() {
   case $1 in
-    faultshim) echo 1 ;;
-    files) echo 1 ;;
-    transport) echo 1 ;;
-    wallclock) echo 1 ;;
-    protocol) echo 2 ;;
-    settings) echo 2 ;;
-    installation) echo 2 ;;
-    invariants) echo 2 ;;
-    sparing) echo 2 ;;
-    startup) echo 1 ;;
-    membership) echo 1 ;;
-    subset) echo 1 ;;
-    xml) echo 1 ;;
-    snapshot) echo 3 ;;
-    routing) echo 3 ;;
-    fleet) echo 3 ;;
-    program) echo 4 ;;
-    wirehost) echo 4 ;;
-    standins) echo 5 ;;
-    rig) echo 6 ;;
-    tools) echo 7 ;;
+    common) echo 1 ;;
+    policy) echo 2 ;;
+    faultshim) echo 2 ;;
+    files) echo 2 ;;
+    transport) echo 2 ;;
+    wallclock) echo 2 ;;
+    membership) echo 2 ;;
+    subset) echo 2 ;;
+    xml) echo 2 ;;
+    protocol) echo 3 ;;
+    settings) echo 3 ;;
+    installation) echo 3 ;;
+    invariants) echo 3 ;;
+    stats) echo 4 ;;
+    upstream) echo 5 ;;
+    fleet) echo 5 ;;
+    routing) echo 6 ;;
+    discovery) echo 6 ;;
+    downstream) echo 7 ;;
+    snapshot) echo 7 ;;
+    program) echo 8 ;;
+    wirehost) echo 8 ;;
+    standins) echo 9 ;;
+    emulator) echo 10 ;;
+    tools) echo 11 ;;
     *) echo 0 ;;
   esac
 }
-for folder in faultshim files transport wallclock protocol settings installation invariants sparing startup membership subset xml snapshot fleet routing program wirehost standins rig tools; do
+for folder in src/*/; do
+  folder=$(basename "$folder")
   own=$(layer_of "$folder")
+  ((own > 0)) || fail "src/$folder has no layer"
   while IFS=: read -r file included; do
     other=${included%%/*}
     [[ $other == "$folder" ]] && continue
     if (($(layer_of "$other") >= own)); then fail "$file includes $included, of the same or a higher layer"; fi
   done < <(grep -roE '^#include "[a-z]+/[^"]+"' "src/$folder" | sed -E 's/#include "([^"]+)"/\1/')
 done
-if grep -nE '^#include "[a-z]+/' src/logic.cpp src/logic.h src/state.h src/member_evidence.h; then fail "the module includes a layer"; fi
+# The decisions do no input or output and read no clock.
+if grep -nE 'sys/|<unistd|<fstream|<iostream|<cstdio|<chrono>|<thread>|<ctime>' -r src/policy; then
+  fail "the policy reaches for input, output or a clock"
+fi
 # Protocol handling knows no socket and no clock; transport knows no protocol.
 if grep -nE 'sys/socket|sys/epoll|<chrono>|transport/(event_loop|socket|stream|clock)' -r src/protocol; then
   fail "protocol handling reaches for a socket or a clock"
 fi
-if grep -niE 'postgres|bolt|sqlstate|http|discovery|member' -r src/transport; then fail "transport speaks a protocol"; fi
+if grep -niE 'postgres|bolt|sqlstate|http|discovery|member|endpoint' -r src/transport; then fail "transport speaks a protocol"; fi
 # Spans are of real time: nothing but the one clock's first reading looks at the wall clock.
 if grep -rnE 'system_clock|CLOCK_REALTIME|gettimeofday|[^a-z_]time\((NULL|nullptr|0)?\)' src --include='*.h' --include='*.cpp' |
-  grep -vE '^src/(transport/clock\.h|rig/|tools/|standins/|faultshim/|fleet/)'; then
+  grep -vE '^src/(transport/clock\.h|emulator/|tools/|standins/|faultshim/|fleet/)'; then
   fail "the wall clock is read elsewhere than in transport/clock.h"
 fi
 # Routing knows no protocol either.
-if grep -niE 'postgres|bolt|sqlstate|pg_' -r src/routing src/logic.cpp; then fail "routing speaks a protocol"; fi
+if grep -niE 'postgres|bolt|sqlstate|pg_' -r src/routing src/upstream src/downstream src/discovery src/policy; then fail "routing speaks a protocol"; fi
 
 mapfile -t sources < <(git ls-files '*.cpp' '*.h')
 clang-format --dry-run --Werror "${sources[@]}" || fail "run clang-format"
--- a/src/routing/hash.h
+++ b/src/common/hash.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace heathflow::routing {
+namespace heathflow {
 
 inline std::uint64_t hashOf(std::string_view text) {
   std::uint64_t hash = 14695981039346656037U;
@@ -12,4 +12,4 @@
   return hash;
 }
 
-}  // namespace heathflow::routing
+}  // namespace heathflow
--- a/src/startup/caller.cpp
+++ b/src/discovery/caller.cpp
@@ -1,18 +1,18 @@
-#include "startup/caller.h"
+#include "discovery/caller.h"
 
 #include <xxhash.h>
 
 #include <algorithm>
 #include <array>
 
-namespace heathflow::startup {
+namespace heathflow::discovery {
 namespace {
 
-// What a call is taken to cost a service of which nothing is known: one that serves 250 drivers in a second.
+// What a call is taken to cost a service of which nothing is known: one that serves 250 gateways in a second.
 constexpr double kCostGuess = 4'000;
-// After each refusal the service is taken to be so many times slower.
+// After each rejection the service is taken to be so many times slower.
 constexpr double kCostGrowth = 4;
-// A refusal in spite of a learned cost, and a life whose calls all waited in line, move it by so much.
+// A rejection in spite of a learned cost, and a life whose calls all waited in line, move it by so much.
 constexpr double kCostStep = 2;
 // A service lets callers wait in line for a while, so that not all of its time need be spread over.
 constexpr double kInLine = 600'000;
@@ -25,9 +25,10 @@
 constexpr Micros kRetryLeast = 250'000;
 constexpr double kRetryMostShare = 0.25;
 constexpr int kDoublingsMost = 8;
-// Watches are renewed so seldom that all drivers together take no more than this share of the service's time.
+// Watches are renewed so seldom that all gateways together take no more than this share of the service's
+// time.
 constexpr double kRenewalShare = 0.25;
-// Within these bounds: a share of the time for which a driver may go without asking, and that time itself.
+// Within these bounds: a share of the time for which a gateway may go without asking, and that time itself.
 constexpr Micros kWatchesPerAskWithin = 4;
 constexpr Micros kWatchLeast = 1'000'000;
 // PROTOCOL, Discovery: a watch waits at most 60 s.
@@ -35,29 +36,24 @@
 // PROTOCOL counts what a new place has to tell as told soon after it was named.
 constexpr Micros kMovedMost = 1'000'000;
 
-constexpr std::array<const char*, kCallFailures> kFailureNames = {"turned_away", "broken", "silent",
-                                                                  "unreachable", "unreadable"};
-
 }  // namespace
 
-const char* nameOf(CallFailure failure) { return kFailureNames.at(static_cast<std::size_t>(failure)); }
-
-double placeOf(const std::string& name) { return evenly(XXH3_64bits(name.data(), name.size())); }
+double placeOf(const std::string& name) { return uniformUnit(XXH3_64bits(name.data(), name.size())); }
 
 Caller::Caller(const CallerSettings& settings, Micros now) : settings_(settings), random_(settings.seed) {
   supposed_ = settings.cost ? static_cast<double>(std::max<Micros>(1, *settings.cost)) : kCostGuess;
   first_ = now + std::max(settings.rest, slot());
 }
 
-// This driver's own place in the time that the service needs.
+// This gateway's own place in the time that the service needs.
 Micros Caller::slot() const {
   return static_cast<Micros>(placeOf(settings_.name) * static_cast<double>(windowOf(supposed_)));
 }
 
-// How long the service takes for one call of each driver.
-double Caller::neededBy(double cost) const { return cost * std::max(1U, settings_.drivers); }
+// How long the service takes for one call of each gateway.
+double Caller::neededBy(double cost) const { return cost * std::max(1U, settings_.gateways); }
 
-// Over how long all drivers spread their calls, so that the service's line stays short, within what the term
+// Over how long all gateways spread their calls, so that the service's line stays short, within what the term
 // leaves.
 Micros Caller::windowOf(double cost) const {
   const double needed = neededBy(cost);
@@ -68,7 +64,7 @@
 // Within which a failed call has to be made good: the term on changes, or the contract's own where it is
 // shorter.
 Micros Caller::term() const {
-  return settings_.askWithin > 0 ? std::min(settings_.askWithin, kToldWithin) : kToldWithin;
+  return settings_.maxPollInterval > 0 ? std::min(settings_.maxPollInterval, kToldWithin) : kToldWithin;
 }
 
 Micros Caller::failed(Micros now, CallFailure how, std::optional<Micros> retryAfter) {
@@ -83,9 +79,9 @@
     supposed_ =
         std::min(supposed_ * (settings_.cost ? kCostStep : kCostGrowth), static_cast<double>(kToldWithin));
     // Guards a service with too many callers against calls that come back faster than it gets through them:
-    // its line then stays so long that what it answers is answered too late. One refusal or two leave time
-    // for an answer within the term; from then on the drivers spread over ever more of it.
-    const int further = std::max(0, refusals_++ - 1);
+    // its line then stays so long that what it answers is answered too late. One rejection or two leave time
+    // for an answer within the term; from then on the gateways spread over ever more of it.
+    const int further = std::max(0, rejections_++ - 1);
     const Micros most = std::min(term(), retryMost << std::min(further, kDoublingsMost));
     // The service's own word counts as far as the term leaves it, and those that were told the same time must
     // not come back as one.
@@ -99,7 +95,7 @@
 }
 
 Micros Caller::moved(Micros now) {
-  failures_ = refusals_ = 0;
+  failures_ = rejections_ = 0;
   return now + std::min(slot(), kMovedMost);
 }
 
@@ -109,11 +105,11 @@
   fastest_ = fastest_ ? std::min(*fastest_, cost) : cost;
 }
 
-void Caller::told() { failures_ = refusals_ = 0; }
+void Caller::told() { failures_ = rejections_ = 0; }
 
 Micros Caller::watchFor() const {
-  const Micros least = std::clamp(settings_.askWithin / kWatchesPerAskWithin, kWatchLeast, kWatchMost);
-  const Micros most = std::clamp(settings_.askWithin, least, kWatchMost);
+  const Micros least = std::clamp(settings_.maxPollInterval / kWatchesPerAskWithin, kWatchLeast, kWatchMost);
+  const Micros most = std::clamp(settings_.maxPollInterval, least, kWatchMost);
   const double known = fastest_ ? static_cast<double>(*fastest_) : supposed_;
   const auto renewals =
       static_cast<Micros>(std::min(neededBy(known) / kRenewalShare, static_cast<double>(most)));
@@ -127,4 +123,4 @@
   return std::min(*fastest_, static_cast<Micros>(kCostStep * static_cast<double>(*settings_.cost)));
 }
 
-}  // namespace heathflow::startup
+}  // namespace heathflow::discovery
--- a/src/startup/caller.h
+++ b/src/discovery/caller.h
@@ -1,4 +1,4 @@
-// When a driver calls the list service: the first time, and again after a failure; and how long a watch
+// When a gateway calls the list service: the first time, and again after a failure; and how long a watch
 // waits. Hundreds that start at once spread themselves by their names over the time that the service needs
 // for all of them, within what the term on changes leaves (list_lease.h). Decisions only, under any one
 // clock.
@@ -10,10 +10,11 @@
 #include <random>
 #include <string>
 
-#include "chance.h"
-#include "startup/list_lease.h"
+#include "common/uniform.h"
+#include "discovery/list_lease.h"
+#include "stats/call_failure.h"
 
-namespace heathflow::startup {
+namespace heathflow::discovery {
 
 // A call without an answer for so long counts as silent: two such calls in a row and the waits after them
 // leave the service time for a third within the term.
@@ -21,22 +22,15 @@
 // The answer of a call that may wait is due so long after the end of that wait.
 inline constexpr Micros kAnswerAfterWait = 700'000;
 
-// How a call ended that brought no list.
-enum class CallFailure {
-  TurnedAway,   // the service answered that it can't: it has too many callers
-  Broken,       // the connection broke under the call
-  Silent,       // no answer in time
-  Unreachable,  // no connection
-  Unreadable    // an answer that is none
-};
-inline constexpr std::size_t kCallFailures = 5;
-const char* nameOf(CallFailure failure);
+using stats::CallFailure;
+using stats::kCallFailures;
+using stats::nameOf;
 
 struct CallerSettings {
-  std::string name;            // of this driver; others have others
-  unsigned drivers = 1;        // how many share the service
-  bool ownService = false;     // it is this driver's alone: calls cost nobody else anything
-  Micros askWithin = 0;        // how long a driver may go without asking
+  std::string name;            // of this gateway; others have others
+  unsigned gateways = 1;       // how many share the service
+  bool ownService = false;     // it is this gateway's alone: calls cost nobody else anything
+  Micros maxPollInterval = 0;  // how long a gateway may go without asking
   std::optional<Micros> cost;  // what one call takes the service, as far as it was learned in earlier lives
   Micros rest = 0;             // none before so much of this life has passed
   std::uint64_t seed = 0;
@@ -51,14 +45,14 @@
   Micros first() const { return first_; }
   // A call brought no list: when the next one may go out. 'retryAfter': what the service asked for.
   Micros failed(Micros now, CallFailure how, std::optional<Micros> retryAfter = {});
-  // The service is elsewhere from now on, which all drivers learn at once: when to call there.
+  // The service is elsewhere from now on, which all gateways learn at once: when to call there.
   Micros moved(Micros now);
   // A call that had nothing to wait for brought a list after so long.
   void answered(Micros elapsed);
   // One that waited for news did; it tells nothing of the cost.
   void told();
 
-  // How long one watch waits for news: as long as the service can bear that all drivers renew theirs so
+  // How long one watch waits for news: as long as the service can bear that all gateways renew theirs so
   // often.
   Micros watchFor() const;
 
@@ -70,7 +64,7 @@
   Micros term() const;
   Micros windowOf(double cost) const;
   Micros slot() const;
-  double random() { return evenly(random_()); }
+  double random() { return uniformUnit(random_()); }
 
   CallerSettings settings_;
   std::mt19937_64 random_;
@@ -78,10 +72,10 @@
   double supposed_ = 0;            // the cost of a call as it is reckoned with
   std::optional<Micros> fastest_;  // of this life's calls
   int failures_ = 0;               // in a row
-  int refusals_ = 0;               // among them
+  int rejections_ = 0;             // among them
 };
 
 // A name's even place among all names, from 0 to 1 (xxHash).
 double placeOf(const std::string& name);
 
-}  // namespace heathflow::startup
+}  // namespace heathflow::discovery
--- a/src/routing/directory.cpp
+++ b/src/discovery/directory.cpp
@@ -1,10 +1,10 @@
-#include "routing/directory.h"
+#include "discovery/directory.h"
 
 #include <algorithm>
 #include <string_view>
 #include <utility>
 
-#include "routing/hash.h"
+#include "common/hash.h"
 
 namespace heathflow::routing {
 namespace {
@@ -15,11 +15,11 @@
 
 }  // namespace
 
-// The same name makes the same id at every router, for the module sorts by it.
+// The same name makes the same id at every router, for the routing policy sorts by it.
 Directory::Known& Directory::known(const std::string& name) {
   const auto [entry, isNew] = byName_.try_emplace(name);
   if (isNew) {
-    MemberId id = hashOf(name);
+    EndpointId id = hashOf(name);
     while (names_.contains(id)) ++id;
     entry->second.id = id;
     names_.emplace(id, name);
@@ -38,71 +38,71 @@
   });
 }
 
-// Where each protocol reaches a member: by the list's word, else at the usual port of the same machine.
-std::vector<std::optional<transport::Endpoint>> Directory::placesOf(
-    const protocol::ListedMember& listed, const transport::Endpoint& endpoint) const {
+// Where each protocol reaches an endpoint: by the list's word, else at the usual port of the same machine.
+std::vector<std::optional<transport::SocketAddress>> Directory::placesOf(
+    const protocol::ListedEndpoint& listed, const transport::SocketAddress& socketAddress) const {
   const auto family = families_.find(listed.cell);
   const Doors& doors = family == families_.end() ? doors_ : family->second;
-  std::vector<std::optional<transport::Endpoint>> places(doors.size());
+  std::vector<std::optional<transport::SocketAddress>> places(doors.size());
   for (std::size_t i = 0; i < doors.size(); ++i) {
     const auto told = std::find_if(listed.ports.begin(), listed.ports.end(),
                                    [&](const auto& entry) { return entry.first == doors[i].protocol; });
     if (doors[i].listed) {
-      places[i] = endpoint;
+      places[i] = socketAddress;
     } else if (doors[i].spoken && told != listed.ports.end()) {
-      places[i] = transport::Endpoint{endpoint.address, told->second};
+      places[i] = transport::SocketAddress{socketAddress.address, told->second};
     } else if (doors[i].spoken && doors[i].port != 0) {
-      places[i] = transport::Endpoint{endpoint.address, doors[i].port};
+      places[i] = transport::SocketAddress{socketAddress.address, doors[i].port};
     }
   }
   return places;
 }
 
-void Directory::traceChange(Known& entry, const protocol::ListedMember& listed) const {
-  using Phase = protocol::ListedMember::Phase;
+void Directory::traceChange(Known& entry, const protocol::ListedEndpoint& listed) const {
+  using Phase = protocol::ListedEndpoint::Phase;
   if (entry.phase == listed.phase) return;
   entry.phase = listed.phase;
   if (!observer_.tracing) return;
   const char* state = listed.phase == Phase::Ready  ? "ready"
                       : listed.phase == Phase::Gone ? "gone"
                                                     : "draining";
-  observer_.trace(Topic::Members, listed.id + " at " + listed.hostPort + " is " + state, {});
+  observer_.trace(Topic::Endpoints, listed.id + " at " + listed.hostPort + " is " + state, {});
 }
 
-MembersChanged Directory::take(const protocol::MemberList& list, transport::Micros now, bool confirmed) {
-  using Phase = protocol::ListedMember::Phase;
+EndpointsChanged Directory::take(const protocol::EndpointList& list, transport::Micros now, bool confirmed) {
+  using Phase = protocol::ListedEndpoint::Phase;
   launches_.beginList(now, confirmed);
   ++observer_.counters.listsTaken;
-  MembersChanged event;
-  event.scope = list.complete ? MembersChanged::Scope::Full : MembersChanged::Scope::Delta;
+  EndpointsChanged event;
+  event.scope = list.complete ? EndpointsChanged::Scope::Full : EndpointsChanged::Scope::Delta;
   if (list.complete) {
     for (auto& [name, entry] : byName_) entry.gone = true;
   }
-  for (const protocol::ListedMember& listed : list.members) {
+  for (const protocol::ListedEndpoint& listed : list.endpoints) {
     const bool gone = listed.phase == Phase::Gone;
     if (gone && !byName_.contains(listed.id)) continue;
     Known& entry = known(listed.id);
     entry.gone = gone;
     traceChange(entry, listed);
     if (!gone) {
-      const auto endpoint = transport::parseEndpoint(listed.hostPort);
-      if (!endpoint) {
+      const auto socketAddress = transport::parseSocketAddress(listed.hostPort);
+      if (!socketAddress) {
         observer_.note(Topic::Discovery, "a member's address can't be read: " + listed.hostPort);
         continue;
       }
-      pool_.place(entry.id, placesOf(listed, *endpoint));
+      pool_.place(entry.id, placesOf(listed, *socketAddress));
     }
-    Member member;
-    member.id = entry.id;
-    member.group = listed.cell;
-    member.state = gone                           ? MemberState::Gone
-                   : listed.phase == Phase::Ready ? MemberState::Ready
-                                                  : MemberState::Draining;
-    member.zone = static_cast<std::uint32_t>(hashOf(listed.locality));
-    if (!gone) member.launched = launches_.launchedAt(listed.id, listed.upSinceMs * kMicrosPerMilli);
-    member.size = listed.size;
-    member.leads = listed.primary;
-    event.members.push_back(member);
+    Endpoint endpoint;
+    endpoint.id = entry.id;
+    endpoint.group = listed.cell;
+    endpoint.status = gone                           ? EndpointStatus::Removed
+                      : listed.phase == Phase::Ready ? EndpointStatus::Ready
+                                                     : EndpointStatus::Draining;
+    endpoint.zone = static_cast<std::uint32_t>(hashOf(listed.locality));
+    if (!gone) endpoint.startedAt = launches_.launchedAt(listed.id, listed.upSinceMs * kMicrosPerMilli);
+    endpoint.size = listed.size;
+    endpoint.listedPrimary = listed.primary;
+    event.endpoints.push_back(endpoint);
   }
   forgetGone();
   return event;
--- a/src/routing/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -1,11 +1,11 @@
-#include "routing/discovery_call.h"
+#include "discovery/discovery_call.h"
 
 #include <utility>
 
 namespace heathflow::routing {
 namespace {
 
-using startup::CallFailure;
+using discovery::CallFailure;
 using transport::kMicrosPerMilli;
 constexpr std::size_t kBodyLimit = 8 * 1024 * 1024;
 constexpr transport::Stream::Limits kLimits = {64 * 1024, 4 * 1024};
@@ -19,16 +19,16 @@
 
 }  // namespace
 
-DiscoveryCall::DiscoveryCall(transport::EventLoop& loop, const transport::Endpoint& endpoint,
+DiscoveryCall::DiscoveryCall(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
                              DiscoveryCallOwner& owner)
-    : loop_(loop), endpoint_(endpoint), owner_(owner) {}
+    : loop_(loop), socketAddress_(socketAddress), owner_(owner) {}
 
 void DiscoveryCall::start(std::int64_t since, Micros wait) {
   asking_ = true;
   startedAt_ = loop_.now();
   wait_ = wait;
   immediate_ = since < 0 || wait <= kMicrosPerMilli;
-  request_ = "GET " + pathOf(since, wait) + " HTTP/1.1\r\nHost: " + toText(endpoint_) +
+  request_ = "GET " + pathOf(since, wait) + " HTTP/1.1\r\nHost: " + toText(socketAddress_) +
              "\r\nAccept: application/json\r\n\r\n";
   reused_ = stream_ != nullptr && stream_->quiet();
   if (reused_) return send();
@@ -47,7 +47,7 @@
   if (stream_) loop_.retire(std::move(stream_));
   stream_ = std::make_unique<transport::Stream>(loop_, static_cast<transport::StreamOwner&>(*this), kLimits);
   int error = 0;
-  if (!stream_->connect(endpoint_, error)) fail(CallFailure::Unreachable, "it can't be reached");
+  if (!stream_->connect(socketAddress_, error)) fail(CallFailure::Unreachable, "it can't be reached");
 }
 
 void DiscoveryCall::send() {
@@ -91,7 +91,7 @@
     return fail(CallFailure::TurnedAway, "status " + std::to_string(response_->status()), retryAfter);
   }
   std::string problem;
-  const auto list = protocol::parseMemberList(response_->body(), problem);
+  const auto list = protocol::parseEndpointList(response_->body(), problem);
   if (!list) return fail(CallFailure::Unreadable, "its list can't be read: " + problem);
   asking_ = false;
   if (!response_->keepAlive() || !stream_->input().empty()) stream_->close();
--- a/src/routing/discovery_call.h
+++ b/src/discovery/discovery_call.h
@@ -5,9 +5,9 @@
 #include <optional>
 #include <string>
 
+#include "discovery/caller.h"
+#include "protocol/endpoint_list.h"
 #include "protocol/http_response.h"
-#include "protocol/member_list.h"
-#include "startup/caller.h"
 #include "transport/stream.h"
 
 namespace heathflow::routing {
@@ -16,7 +16,7 @@
 
 // Why a call brought no list.
 struct CallProblem {
-  startup::CallFailure how = startup::CallFailure::Unreachable;
+  discovery::CallFailure how = discovery::CallFailure::Unreachable;
   std::string text;                  // for the log
   std::optional<Micros> retryAfter;  // what the service asked for
 };
@@ -27,13 +27,14 @@
 class DiscoveryCallOwner {
  public:
   virtual ~DiscoveryCallOwner() = default;
-  virtual void onList(DiscoveryCall& call, const protocol::MemberList& list) = 0;
+  virtual void onList(DiscoveryCall& call, const protocol::EndpointList& list) = 0;
   virtual void onProblem(DiscoveryCall& call, const CallProblem& problem) = 0;
 };
 
 class DiscoveryCall final : private transport::StreamOwner {
  public:
-  DiscoveryCall(transport::EventLoop& loop, const transport::Endpoint& endpoint, DiscoveryCallOwner& owner);
+  DiscoveryCall(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
+                DiscoveryCallOwner& owner);
 
   // Asks for what is newer than a revision, or for the whole list where that is below 0, and lets the service
   // wait for news for so long. Uses the connection of the request before while that is still good.
@@ -57,10 +58,10 @@
   void open();
   void send();
   void finish();
-  void fail(startup::CallFailure how, const std::string& text, std::optional<Micros> retryAfter = {});
+  void fail(discovery::CallFailure how, const std::string& text, std::optional<Micros> retryAfter = {});
 
   transport::EventLoop& loop_;
-  transport::Endpoint endpoint_;
+  transport::SocketAddress socketAddress_;
   DiscoveryCallOwner& owner_;
   std::unique_ptr<transport::Stream> stream_;
   std::unique_ptr<protocol::HttpResponse> response_;
--- a/src/routing/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "routing/discovery_watch.h"
+#include "discovery/discovery_watch.h"
 
 #include <algorithm>
 #include <utility>
@@ -8,7 +8,7 @@
 
 std::string millisecondsOf(Micros time) { return std::to_string(time / transport::kMicrosPerMilli) + " ms"; }
 
-using startup::CallFailure;
+using discovery::CallFailure;
 using transport::kMicrosPerMilli;
 // PROTOCOL, Discovery: a watch lasts as long as the next call comes within 200 ms. Guards against a tight
 // loop with a service that answers at once though nothing is new.
@@ -21,11 +21,11 @@
 
 }  // namespace
 
-DiscoveryWatch::DiscoveryWatch(transport::EventLoop& loop, const transport::Endpoint& endpoint,
-                               startup::Caller& caller, Observer& observer, OnList onList,
+DiscoveryWatch::DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
+                               discovery::Caller& caller, Observer& observer, OnList onList,
                                OnFailure onFailure, OnLeaseEnd onLeaseEnd)
     : loop_(loop),
-      endpoint_(endpoint),
+      socketAddress_(socketAddress),
       caller_(caller),
       observer_(observer),
       onList_(std::move(onList)),
@@ -53,9 +53,9 @@
 
 // What the old place still had to say is part of the whole list that the new one gives, so its calls end
 // here. Revisions are not compared across the two.
-void DiscoveryWatch::moveTo(const transport::Endpoint& endpoint) {
-  if (endpoint == endpoint_) return;
-  endpoint_ = endpoint;
+void DiscoveryWatch::moveTo(const transport::SocketAddress& socketAddress) {
+  if (socketAddress == socketAddress_) return;
+  socketAddress_ = socketAddress;
   hangUp();
   revision_ = -1;
   lease_.moved(loop_.now());
@@ -65,7 +65,7 @@
 
 void DiscoveryWatch::call(Micros wait) {
   if (!newest_)
-    newest_ = std::make_unique<DiscoveryCall>(loop_, endpoint_, static_cast<DiscoveryCallOwner&>(*this));
+    newest_ = std::make_unique<DiscoveryCall>(loop_, socketAddress_, static_cast<DiscoveryCallOwner&>(*this));
   calling_ = true;
   watching_ = wait > kNoWait;
   if (watching_) {
@@ -73,12 +73,12 @@
     leaseChanged();
   }
   ++observer_.counters.discoveryCalls;
-  answerDue_.arm(loop_.now() + (watching_ ? wait + startup::kAnswerAfterWait : startup::kAnswerWithin));
+  answerDue_.arm(loop_.now() + (watching_ ? wait + discovery::kAnswerAfterWait : discovery::kAnswerWithin));
   newest_->start(revision_, wait);
 }
 
 // Whichever call is answered first has the newest word: all were asked from the same revision.
-void DiscoveryWatch::onList(DiscoveryCall& call, const protocol::MemberList& list) {
+void DiscoveryWatch::onList(DiscoveryCall& call, const protocol::EndpointList& list) {
   keepOnly(call);
   calling_ = false;
   answerDue_.disarm();
@@ -98,7 +98,7 @@
   const bool early = !news && elapsed < watchFor / 2;
   onList_(list);
   if (!calling_) callAt(loop_.now() + (early ? kSoonest : 0), watchFor);
-  // The module goes by this list now. Where it was long on its way it may have expired already.
+  // The routing policy goes by this list now. Where it was long on its way it may have expired already.
   expired_ = false;
   leaseChanged();
 }
@@ -182,7 +182,7 @@
   ++observer_.counters.discoveryFailures;
   ++observer_.counters.discoveryFailedBy[static_cast<std::size_t>(problem.how)];
   observer_.note(Topic::Discovery, "a call to discovery failed: " + problem.text + ", " +
-                                       startup::nameOf(problem.how) + " after " + millisecondsOf(elapsed) +
+                                       discovery::nameOf(problem.how) + " after " + millisecondsOf(elapsed) +
                                        ", revision " + std::to_string(revision_) + ", the list counts for " +
                                        millisecondsOf(lease_.until() - loop_.now()));
   onFailure_();
--- a/src/routing/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,4 +1,4 @@
-// Asks the list service for the list of members and keeps a watch on it, once the module wants one.
+// Asks the list service for the list of endpoints and keeps a watch on it, once the routing policy wants one.
 #pragma once
 
 #include <cstdint>
@@ -8,26 +8,27 @@
 #include <string>
 #include <vector>
 
-#include "protocol/member_list.h"
-#include "routing/discovery_call.h"
-#include "routing/observer.h"
-#include "startup/caller.h"
-#include "startup/list_lease.h"
+#include "discovery/caller.h"
+#include "discovery/discovery_call.h"
+#include "discovery/list_lease.h"
+#include "protocol/endpoint_list.h"
+#include "stats/observer.h"
 #include "transport/event_loop.h"
 
 namespace heathflow::routing {
 
 class DiscoveryWatch final : private DiscoveryCallOwner {
  public:
-  using OnList = std::function<void(const protocol::MemberList&)>;
+  using OnList = std::function<void(const protocol::EndpointList&)>;
   using OnFailure = std::function<void()>;
-  // The list has not been confirmed for so long that a change may have been missed. It vouches for members
+  // The list has not been confirmed for so long that a change may have been missed. It vouches for endpoints
   // that have stood since a time; nothing: for none.
   using OnLeaseEnd = std::function<void(std::optional<Micros> stoodBefore)>;
 
   // 'caller' says when to call, and how long one watch waits for something new.
-  DiscoveryWatch(transport::EventLoop& loop, const transport::Endpoint& endpoint, startup::Caller& caller,
-                 Observer& observer, OnList onList, OnFailure onFailure, OnLeaseEnd onLeaseEnd);
+  DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
+                 discovery::Caller& caller, Observer& observer, OnList onList, OnFailure onFailure,
+                 OnLeaseEnd onLeaseEnd);
 
   // The list as it was known at the start; watching goes on from there.
   void startFrom(std::int64_t revision) { revision_ = revision; }
@@ -35,10 +36,10 @@
   // and calls again by itself after a failure.
   void subscribe();
   // The service is reached elsewhere from now on: the whole list is asked for there.
-  void moveTo(const transport::Endpoint& endpoint);
+  void moveTo(const transport::SocketAddress& socketAddress);
 
  private:
-  void onList(DiscoveryCall& call, const protocol::MemberList& list) override;
+  void onList(DiscoveryCall& call, const protocol::EndpointList& list) override;
   void onProblem(DiscoveryCall& call, const CallProblem& problem) override;
   void call(Micros wait);
   void callAt(Micros at, Micros wait);
@@ -55,8 +56,8 @@
   void noteConfirmed();
 
   transport::EventLoop& loop_;
-  transport::Endpoint endpoint_;
-  startup::Caller& caller_;
+  transport::SocketAddress socketAddress_;
+  discovery::Caller& caller_;
   Observer& observer_;
   OnList onList_;
   OnFailure onFailure_;
@@ -65,15 +66,15 @@
   std::unique_ptr<DiscoveryCall> newest_;
   // Calls without an answer in time, the oldest first: a service with a long line may yet come to them.
   std::vector<std::unique_ptr<DiscoveryCall>> overdue_;
-  startup::ListLease lease_;
+  discovery::ListLease lease_;
   transport::Timer leaseEnd_;
-  bool expired_ = false;  // the lease has ended, and the module knows
+  bool expired_ = false;  // the lease has ended, and the routing policy knows
   Micros expiredAt_ = 0;
   std::uint64_t failuresInRow_ = 0;
   transport::Timer answerDue_;  // of the newest call
   transport::Timer next_;
   Micros nextWait_ = 0;    // of the call that the timer is for
-  bool wanted_ = false;    // the module has asked for news
+  bool wanted_ = false;    // the routing policy has asked for news
   bool calling_ = false;   // the newest call is out
   bool watching_ = false;  // it goes on from an answer
 };
--- a/src/startup/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -1,16 +1,16 @@
-// For how long a list of members may be acted on without further word from the list service. Decisions only,
-// under any one clock.
+// For how long a list of endpoints may be acted on without further word from the list service. Decisions
+// only, under any one clock.
 #pragma once
 
 #include <algorithm>
 #include <cstdint>
 #include <optional>
 
-namespace heathflow::startup {
+namespace heathflow::discovery {
 
 using Micros = std::int64_t;  // a clock reading or a duration, microseconds
 
-// STANDING: whatever else is allowed after a failed, refused or given-up call, and after a silent watch, a
+// STANDING: whatever else is allowed after a failed, rejected or given-up call, and after a silent watch, a
 // change counts as told so long after the service had it and could be reached.
 inline constexpr Micros kToldWithin = 6'000'000;
 // STANDING: for a call that may wait it is so long after that wait is over, if that is later.
@@ -23,8 +23,8 @@
 // most.
 inline constexpr Micros kInLineAtMost = kToldWithin / 2;
 
-// The list service learns of a member's return so much later at the most (BENCH, site files: 'add_s'). A
-// member that has stood for so long when a list is true is there by that list's word.
+// The list service learns of an endpoint's return so much later at the most (BENCH, site files: 'add_s'). A
+// endpoint that has stood for so long when a list is true is there by that list's word.
 inline constexpr Micros kReturnRecorded = 2'000'000;
 
 // A lease on the list: until it ends, each change counts as told no earlier than the list service tells it
@@ -56,7 +56,7 @@
   void moved(Micros now) { until_ = std::min(until_, now + kToldAfterMove); }
 
   Micros until() const { return until_; }
-  // A member that has stood since then, without a break, was there by the word of the newest list of this
+  // An endpoint that has stood since then, without a break, was there by the word of the newest list of this
   // life and has not been removed since. Nothing: there was no list.
   std::optional<Micros> vouchesForThoseSince() const {
     if (!confirmedInThisLife_) return std::nullopt;
@@ -69,4 +69,4 @@
   Micros until_;
 };
 
-}  // namespace heathflow::startup
+}  // namespace heathflow::discovery
--- a/src/startup/start_retry.cpp
+++ b/src/discovery/start_retry.cpp
@@ -1,15 +1,15 @@
-#include "startup/start_retry.h"
+#include "discovery/start_retry.h"
 
 #include <algorithm>
 #include <array>
 #include <cerrno>
 
-namespace heathflow::startup {
+namespace heathflow::discovery {
 namespace {
 
 constexpr Micros kWaitLeast = 20'000;
 constexpr Micros kWaitMost = 500'000;
-// EADDRINUSE: an earlier life of this driver may still hold the port. EIO: of a read of a file.
+// EADDRINUSE: an earlier life of this gateway may still hold the port. EIO: of a read of a file.
 constexpr std::array kPassing = {EINTR,  EAGAIN, EMFILE, ENFILE,       ENOBUFS,    ENOMEM,
                                  ENOSPC, EIO,    EBUSY,  ECONNABORTED, EADDRINUSE, ENETDOWN};
 
@@ -24,4 +24,4 @@
   return wait_;
 }
 
-}  // namespace heathflow::startup
+}  // namespace heathflow::discovery
--- a/src/startup/start_retry.h
+++ b/src/discovery/start_retry.h
@@ -4,11 +4,11 @@
 
 #include <cstdint>
 
-namespace heathflow::startup {
+namespace heathflow::discovery {
 
 using Micros = std::int64_t;
 
-// STANDING: nine in ten restarted drivers are ready within 10 s. What a start waits for altogether, so that
+// STANDING: nine in ten restarted gateways are ready within 10 s. What a start waits for altogether, so that
 // the rest of it stays within that.
 inline constexpr Micros kStartWithin = 7'000'000;
 // DEPLOY, SIGHUP: what the new configuration says counts 4 s later. Reading it again ends before that.
@@ -30,4 +30,4 @@
   Micros wait_ = 0;
 };
 
-}  // namespace heathflow::startup
+}  // namespace heathflow::discovery
--- a/src/routing/client_listener.cpp
+++ b/src/downstream/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "routing/client_listener.h"
+#include "downstream/client_listener.h"
 
 #include <algorithm>
 #include <cerrno>
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-ClientListener::ClientListener(transport::EventLoop& loop, Router& router, MemberPool& pool,
+ClientListener::ClientListener(transport::EventLoop& loop, Router& router, ConnectionPool& pool,
                                DescriptorBudget& budget, Observer& observer,
                                const protocol::Protocol& protocol, std::size_t index,
                                ClientSession::Shared& shared)
@@ -48,15 +48,15 @@
   if (listener_) loop_.unwatch(listener_.get(), *this);
 }
 
-int ClientListener::listen(const transport::Endpoint& endpoint) {
-  transport::Opened opened = transport::listenOn(endpoint, kBacklog);
+int ClientListener::listen(const transport::SocketAddress& socketAddress) {
+  transport::Opened opened = transport::listenOn(socketAddress, kBacklog);
   if (!opened.fd) return opened.error;
   if (!loop_.watch(opened.fd.get(), *this)) return errno;
   listener_ = std::move(opened.fd);
   return 0;
 }
 
-std::optional<transport::Endpoint> ClientListener::boundTo() const {
+std::optional<transport::SocketAddress> ClientListener::boundTo() const {
   return transport::boundTo(listener_.get());
 }
 
@@ -65,7 +65,7 @@
 bool ClientListener::acceptAll() {
   for (int i = 0; i < kAcceptsPerTurn && listener_; ++i) {
     // Guards requests that stand behind a connection: they wait in the queue rather than be cut off unread.
-    if (!budget_.clientMayBeRefused() && !makeRoom() && !budget_.clientMayBeRefused()) {
+    if (!budget_.clientMayBeRejected() && !makeRoom() && !budget_.clientMayBeRejected()) {
       retry_.arm(loop_.now() + kRetryAccept);
       return false;
     }
@@ -81,7 +81,7 @@
     if (opened.error == ECONNABORTED || opened.error == EPROTO) continue;
     observer_.note(Topic::Limits,
                    "a client can't be taken in at present: error " + std::to_string(opened.error));
-    // An idle connection to a member goes before a client does.
+    // An idle connection to an endpoint goes before a client does.
     if ((opened.error == EMFILE || opened.error == ENFILE) && pool_.closeLongestIdle()) continue;
     retry_.arm(loop_.now() + kRetryAccept);
     return false;
--- a/src/routing/client_listener.h
+++ b/src/downstream/client_listener.h
@@ -7,23 +7,23 @@
 #include <unordered_map>
 #include <vector>
 
-#include "routing/client_session.h"
-#include "routing/descriptor_budget.h"
+#include "downstream/client_session.h"
+#include "upstream/descriptor_budget.h"
 
 namespace heathflow::routing {
 
 class ClientListener final : private transport::IoHandler, private ClientSessionOwner {
  public:
   // 'index': by which the pool knows the protocol. What all sessions share is shared by all listeners too.
-  ClientListener(transport::EventLoop& loop, Router& router, MemberPool& pool, DescriptorBudget& budget,
+  ClientListener(transport::EventLoop& loop, Router& router, ConnectionPool& pool, DescriptorBudget& budget,
                  Observer& observer, const protocol::Protocol& protocol, std::size_t index,
                  ClientSession::Shared& shared);
   ~ClientListener() override;
 
   // 0, or the error number that stood in the way.
-  int listen(const transport::Endpoint& endpoint);
+  int listen(const transport::SocketAddress& socketAddress);
   bool listening() const { return static_cast<bool>(listener_); }
-  std::optional<transport::Endpoint> boundTo() const;
+  std::optional<transport::SocketAddress> boundTo() const;
   // The process ends: clients are let go between requests, new ones are taken in for a while yet. Calls back
   // when all have their answers and are gone.
   void drain(std::function<void()> done);
@@ -53,7 +53,7 @@
 
   transport::EventLoop& loop_;
   Router& router_;
-  MemberPool& pool_;
+  ConnectionPool& pool_;
   DescriptorBudget& budget_;
   Observer& observer_;
   const protocol::Protocol& protocol_;
--- a/src/routing/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -1,10 +1,10 @@
-#include "routing/client_session.h"
+#include "downstream/client_session.h"
 
 #include <algorithm>
 #include <limits>
 #include <string>
 
-#include "routing/hash.h"
+#include "common/hash.h"
 #include "routing/outcome.h"
 #include "wallclock/positions.h"
 
@@ -16,7 +16,7 @@
 using transport::kMicrosPerMilli;
 // One message and what may be pipelined behind it; one answer and what stands around it.
 constexpr transport::Stream::Limits kLimits = {protocol::kClientMessageLimit + 4 * 1024,
-                                               protocol::kMemberAnswerLimit + 16 * 1024};
+                                               protocol::kEndpointAnswerLimit + 16 * 1024};
 // How long a client may take to read what it no longer waits for (its last answer, or the error of a rejected
 // connection), to see that its connection ends, and to go on with a message when its place is wanted.
 constexpr Micros kReadTimeout = 1'000'000;
@@ -49,7 +49,7 @@
                    [this] {
                      const bool unread = !stream_.output().empty();
                      if (unread) ++observer_.counters.clientsNotReading;
-                     over(unread ? CloseReason::NotReading : CloseReason::Rejected);
+                     over(unread ? CloseReason::SlowReader : CloseReason::TooManyClients);
                    }),
       requestTimeout_(loop, [this] { onRequestTimeout(); }),
       nextTurn_(loop, [this] { process(); }),
@@ -75,7 +75,7 @@
   process();
   // A message for which there is no memory ends its connection, so that others get theirs.
   if (!stream_.stalled() || partSince_ == 0 || busy_ || over_ || lingering_) return;
-  ++observer_.counters.memoryRefusals;
+  ++observer_.counters.memoryRejections;
   note(Topic::Limits, "a client's message was turned away: no memory is left for it");
   closeWithError(Reason::NoMemory, "no memory is left", CloseReason::NoMemory);
 }
@@ -127,8 +127,8 @@
 void ClientSession::closing(CloseReason why) {
   if (std::exchange(closed_, true)) return;
   ++observer_.counters.closed[static_cast<std::size_t>(why)];
-  const bool fromHere = why != CloseReason::ByClient && why != CloseReason::Told;
-  router_.guard().closing(request_, fromHere && busy_);
+  const bool fromHere = why != CloseReason::ByClient && why != CloseReason::ShutdownNotified;
+  router_.checker().closing(request_, fromHere && busy_);
   if (observer_.tracing) trace("closed: " + std::string(nameOf(why)));
 }
 
@@ -148,7 +148,7 @@
       partSince_ = 0;
       break;
     }
-    // A further part of the open request waits until its member's connection has room for it.
+    // A further part of the open request waits until its endpoint's connection has room for it.
     if (busy_ && !side_->interrupted(stream_.input().view(), held_) &&
         !router_.takesMore(request_, stream_.input().size() - held_)) {
       break;
@@ -177,11 +177,11 @@
       if (draining_ && asked_ && stream_.input().empty()) closeIfIdle();
       return false;
     case Kind::Left:
-      over(CloseReason::Told);
+      over(CloseReason::ShutdownNotified);
       return false;
     case Kind::Fatal:
       if (busy_) cancelRequest();
-      linger(CloseReason::Violation, kLingerTimeout);
+      linger(CloseReason::ProtocolError, kLingerTimeout);
       return false;
     case Kind::Request:
       partSince_ = 0;
@@ -227,7 +227,7 @@
 void ClientSession::beginRequest() {
   asked_ = true;
   owner_.onSessionBusy(*this);
-  if (rejecting_) return closeWithError(Reason::TooMany, "too many clients", CloseReason::Rejected);
+  if (rejecting_) return closeWithError(Reason::TooMany, "too many clients", CloseReason::TooManyClients);
   std::string_view problem;
   group_.reset();
   const auto asked = side_->read(wire(), problem);
@@ -235,7 +235,7 @@
   group_ = asked->group;
   problem = problemWith(*asked);
   if (!problem.empty()) return rejectRequest(problem);
-  // Guards the owner of that id: members know a request by it.
+  // Guards the owner of that id: endpoints know a request by it.
   if (!shared_.open.emplace(asked->id).second) {
     return rejectRequest("the request has the id of one that is open");
   }
@@ -248,7 +248,7 @@
   request_ = 0;
   const Request request = requestOf(*asked);
   deadline_ = request.deadline;
-  router_.guard().takenOn(request_, lingering_ || over_);
+  router_.checker().takenOn(request_, lingering_ || over_);
   router_.submit(*this, request, protocol_, asked->timeout, request_);
 }
 
@@ -262,22 +262,23 @@
   }
   const auto known = shared_.classes.find(asked.className);
   if (known == shared_.classes.end()) return "the request has no class, or one that is not known";
-  const ClassSettings& entry = router_.settings().logic.classes[known->second];
+  const RequestClassSettings& entry = router_.settings().logic.classes[known->second];
   if (asked.write && *asked.write != (entry.consistency == Consistency::Write)) {
     return "the statement is not of its class";
   }
-  if (entry.effect == Effect::Keyed && !asked.keyed) return "the request has no key, which its class needs";
+  if (entry.idempotency == Idempotency::WithKey && !asked.keyed)
+    return "the request has no key, which its class needs";
   return {};
 }
 
 // The request as the router knows it; problemWith() has found nothing.
 Request ClientSession::requestOf(const protocol::Asked& asked) const {
   const std::uint32_t classIndex = shared_.classes.find(asked.className)->second;
-  const ClassSettings& entry = router_.settings().logic.classes[classIndex];
+  const RequestClassSettings& entry = router_.settings().logic.classes[classIndex];
   Request request;
   request.group = *asked.group;
   request.classIndex = classIndex;
-  request.repeat = asked.repeat;
+  request.isClientRetry = asked.isClientRetry;
   // The client's time for it began with its last byte, however long it has waited behind others since.
   request.deadline =
       arrivals_.lastOf(held_) +
@@ -288,7 +289,7 @@
   }
   if (asked.afterMs) {
     const Micros after = std::min(*asked.afterMs, kLatestMs) * kMicrosPerMilli;
-    request.sinceLastWrite = loop_.now() - router_.memberTime().ofClient(after, loop_.now());
+    request.timeSinceLastWrite = loop_.now() - router_.endpointTime().ofClient(after, loop_.now());
   }
   return request;
 }
@@ -310,14 +311,15 @@
 bool ClientSession::fits(const protocol::Answer& answer) {
   transport::Buffer& out = stream_.output();
   if (out.reserve(out.size() + answer.size() + protocol::ClientSide::kHeadroom)) return true;
-  ++observer_.counters.memoryRefusals;
+  ++observer_.counters.memoryRejections;
   note(Topic::Limits, "an answer was not passed on: no memory is left for it");
   return false;
 }
 
 bool ClientSession::passOn(const protocol::Answer& answer, std::string_view bytes) {
   if (!fits(answer)) return false;
-  side_->pass(answer, bytes, router_.memberTime().toMembers(loop_.now()) / kMicrosPerMilli, stream_.output());
+  side_->pass(answer, bytes, router_.endpointTime().toEndpoints(loop_.now()) / kMicrosPerMilli,
+              stream_.output());
   if (!bound_) dropInput(std::exchange(held_, 0));
   bound_ = true;
   stream_.flush();
@@ -329,13 +331,15 @@
 void ClientSession::served(const protocol::Answer& answer, std::string_view bytes) {
   // One that is whole here and can't be held has run: it has failed.
   if (!fits(answer)) return failed();
-  side_->pass(answer, bytes, router_.memberTime().toMembers(loop_.now()) / kMicrosPerMilli, stream_.output());
+  side_->pass(answer, bytes, router_.endpointTime().toEndpoints(loop_.now()) / kMicrosPerMilli,
+              stream_.output());
   side_->served(stream_.output());
   onAnswered();
 }
 
-void ClientSession::refused(Micros retryAfter) {
-  side_->refused(retryAfter > 0 ? (retryAfter + kMicrosPerMilli - 1) / kMicrosPerMilli : 0, stream_.output());
+void ClientSession::rejected(Micros retryAfter) {
+  side_->rejected(retryAfter > 0 ? (retryAfter + kMicrosPerMilli - 1) / kMicrosPerMilli : 0,
+                  stream_.output());
   onAnswered();
 }
 
@@ -381,11 +385,11 @@
 // The client has sent nothing, or has not finished a message, in time.
 void ClientSession::onRequestTimeout() {
   if (lingering_ || over_ || (busy_ && partSince_ == 0)) return;
-  if (stream_.input().empty()) return linger(CloseReason::Unfinished, kReadTimeout);
+  if (stream_.input().empty()) return linger(CloseReason::IncompleteRequest, kReadTimeout);
   if (busy_) cancelRequest();
   ++observer_.counters.clientProtocolErrors;
   note(Topic::Clients, "a message was not finished in time");
-  closeWithError(Reason::Unfinished, "the message was not finished in time", CloseReason::Unfinished);
+  closeWithError(Reason::Unfinished, "the message was not finished in time", CloseReason::IncompleteRequest);
 }
 
 void ClientSession::rejectConnection() {
@@ -399,7 +403,7 @@
   if (asked_) {
     closeIfIdle();
   } else if (closeNewcomers && mayClose()) {
-    closeWithError(Reason::ShuttingDown, "this gateway ends", CloseReason::Rested);
+    closeWithError(Reason::ShuttingDown, "this gateway ends", CloseReason::IdleEvicted);
   }
 }
 
@@ -413,7 +417,7 @@
 
 bool ClientSession::closeIfIdle() {
   if (!mayClose()) return false;
-  linger(CloseReason::Rested, kReadTimeout);
+  linger(CloseReason::IdleEvicted, kReadTimeout);
   return true;
 }
 
--- a/src/routing/client_session.h
+++ b/src/downstream/client_session.h
@@ -55,7 +55,7 @@
     std::unordered_map<GroupId, std::vector<bool>> spoken;
   };
 
-  // 'protocol' is the index of the members' side of the same protocol in the pool; 'name' is the protocol's
+  // 'protocol' is the index of the endpoints' side of the same protocol in the pool; 'name' is the protocol's
   // name and outlives the session, as all references do.
   ClientSession(transport::EventLoop& loop, ClientSessionOwner& owner, Router& router, Shared& shared,
                 Observer& observer, std::size_t protocol, std::string_view name,
@@ -73,7 +73,7 @@
   // not go on. Says whether it did.
   bool closeIfIdle();
   // Closes a lingering connection at once, to free its descriptor.
-  void closeLingering() { over(CloseReason::Lingered); }
+  void closeLingering() { over(CloseReason::LingerEnded); }
   // Whether the client has ever sent something that could be understood.
   bool known() const { return known_; }
   // Whether it has asked more than once what could be understood.
@@ -87,7 +87,7 @@
   bool passOn(const protocol::Answer& answer, std::string_view bytes) override;
   void onRoom() override { process(); }
   void served(const protocol::Answer& answer, std::string_view bytes) override;
-  void refused(Micros retryAfter) override;
+  void rejected(Micros retryAfter) override;
   void failed() override;
 
  private:
--- a/src/rig/arrivals.cpp
+++ b/src/emulator/arrivals.cpp
@@ -1,11 +1,11 @@
-#include "rig/arrivals.h"
+#include "emulator/arrivals.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 #include <limits>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
@@ -48,4 +48,4 @@
   return out;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/arrivals.h
+++ b/src/emulator/arrivals.h
@@ -1,14 +1,14 @@
-// When the clients of one driver ask, and what: an open loop, whose next request does not wait for the last
+// When the clients of one gateway ask, and what: an open loop, whose next request does not wait for the last
 // answer. Decisions only; equal seeds give equal loads.
 #pragma once
 
 #include <cstdint>
 #include <random>
 
-#include "chance.h"
+#include "common/uniform.h"
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using transport::Micros;
 
@@ -37,7 +37,7 @@
   Arrival take();
 
  private:
-  double random() { return evenly(random_()); }
+  double random() { return uniformUnit(random_()); }
   void draw();
 
   double perSecond_;
@@ -47,4 +47,4 @@
   Micros next_ = 0;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/bursts.h
+++ b/src/emulator/bursts.h
@@ -7,7 +7,7 @@
 
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 class Bursts {
  public:
@@ -31,4 +31,4 @@
   std::deque<transport::Micros> times_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/child.cpp
+++ b/src/emulator/child.cpp
@@ -1,4 +1,4 @@
-#include "rig/child.h"
+#include "emulator/child.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -15,7 +15,7 @@
 
 #include "faultshim/shim.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr std::size_t kLogKept = 4 << 20;
@@ -152,12 +152,13 @@
   return out;
 }
 
-std::optional<transport::Endpoint> Child::endpoint() {
+std::optional<transport::SocketAddress> Child::socketAddress() {
   static const std::string mark = "serves at ";
   readLog();
   for (std::size_t i = lifeFrom_; i < events_.size(); ++i) {
     const std::size_t at = events_[i].text.find(mark);
-    if (at != std::string::npos) return transport::parseEndpoint(events_[i].text.substr(at + mark.size()));
+    if (at != std::string::npos)
+      return transport::parseSocketAddress(events_[i].text.substr(at + mark.size()));
   }
   return {};
 }
@@ -169,4 +170,4 @@
 
 int Child::status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : -WTERMSIG(status_); }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/child.h
+++ b/src/emulator/child.h
@@ -16,7 +16,7 @@
 #include "transport/fd.h"
 #include "transport/socket.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using transport::Micros;
 
@@ -67,7 +67,7 @@
   // The newest word of each counter, by "group.name".
   std::map<std::string, std::uint64_t> counters();
   // Where its newest life serves; nothing before it says so.
-  std::optional<transport::Endpoint> endpoint();
+  std::optional<transport::SocketAddress> socketAddress();
 
   bool over();
   // The exit status once it is over; below 0: of the signal that ended it.
@@ -97,4 +97,4 @@
   transport::Clock clock_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/client_crowd.cpp
+++ b/src/emulator/client_crowd.cpp
@@ -1,11 +1,11 @@
-#include "rig/client_crowd.h"
+#include "emulator/client_crowd.h"
 
 #include <algorithm>
 
 #include "standins/gateway_rig.h"
 #include "standins/pg_bytes.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr transport::Stream::Limits kLimits = {64 * 1024, 64 * 1024};
@@ -45,13 +45,13 @@
   transport::Stream stream;
   std::string got;
   bool greeted = false;
-  bool known = false;  // it has asked once: a driver closes those that never do
+  bool known = false;  // it has asked once: a gateway closes those that never do
   bool asking = false;
   bool ended = false;
 };
 
-ClientCrowd::ClientCrowd(transport::EventLoop& loop, const transport::Endpoint& driver)
-    : loop_(loop), driver_(driver) {}
+ClientCrowd::ClientCrowd(transport::EventLoop& loop, const transport::SocketAddress& gateway)
+    : loop_(loop), gateway_(gateway) {}
 
 ClientCrowd::~ClientCrowd() = default;
 
@@ -59,7 +59,7 @@
   while (clients_.size() < to) {
     clients_.push_back(std::make_unique<Client>(*this));
     int error = 0;
-    if (!clients_.back()->stream.connect(driver_, error)) clients_.back()->ended = true;
+    if (!clients_.back()->stream.connect(gateway_, error)) clients_.back()->ended = true;
   }
 }
 
@@ -94,4 +94,4 @@
   client.say(test::pg::query(test::request(kClass, "r" + std::to_string(++asked_))));
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/client_crowd.h
+++ b/src/emulator/client_crowd.h
@@ -1,4 +1,4 @@
-// Clients of one driver that hold connections and, where they are told to, ask one request after the other.
+// Clients of one gateway that hold connections and, where they are told to, ask one request after the other.
 #pragma once
 
 #include <cstddef>
@@ -10,11 +10,11 @@
 #include "transport/socket.h"
 #include "transport/stream.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 class ClientCrowd {
  public:
-  ClientCrowd(transport::EventLoop& loop, const transport::Endpoint& driver);
+  ClientCrowd(transport::EventLoop& loop, const transport::SocketAddress& gateway);
   ~ClientCrowd();
 
   // Opens connections until there were so many; each asks once.
@@ -35,7 +35,7 @@
   void ask(Client& client);
 
   transport::EventLoop& loop_;
-  transport::Endpoint driver_;
+  transport::SocketAddress gateway_;
   std::list<std::unique_ptr<Client>> clients_;
   std::size_t left_ = 0;  // statements that are still to be asked
   std::size_t asked_ = 0;
@@ -43,4 +43,4 @@
   std::size_t failed_ = 0;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- /dev/null
+++ b/src/emulator/driver_fleet.cpp
@@ -0,0 +1,103 @@
+#include "emulator/driver_fleet.h"
+
+#include <sstream>
+#include <utility>
+
+#include "standins/gateway_rig.h"
+
+namespace heathflow::emulator {
+namespace {
+
+constexpr Micros kMicrosPerMilli = 1000;
+constexpr unsigned kEndpointsOfGroup = 11;
+constexpr unsigned kCutOneIn = 7;
+constexpr std::uint64_t kSeedStep = 0x9E3779B97F4A7C15U;
+constexpr std::uint64_t kLinkSeed = 1;
+
+// 127.1.0.0 and up, so that no address of this machine's other loopback services is named.
+std::string addressOf(unsigned endpoint) {
+  return "127." + std::to_string(1 + (endpoint >> 16)) + "." + std::to_string(endpoint >> 8 & 0xFFU) + "." +
+         std::to_string(endpoint & 0xFFU) + ":5432";
+}
+
+Weather clear() { return Weather({}, kLinkSeed); }
+
+Weather silent() {
+  Fault fault;
+  fault.cutForth = true;
+  fault.cutBack = true;
+  return Weather({fault}, kLinkSeed);
+}
+
+}  // namespace
+
+std::vector<ListedEntry> listOf(unsigned endpoints) {
+  std::vector<ListedEntry> out(endpoints);
+  for (unsigned i = 0; i < endpoints; ++i) {
+    out[i].id = "member-" + std::to_string(100'000 + i);
+    out[i].hostPort = addressOf(i);
+    out[i].cell = i / kEndpointsOfGroup;
+    out[i].primary = i % kEndpointsOfGroup == 0;
+  }
+  return out;
+}
+
+GatewayFleet::GatewayFleet(transport::EventLoop& loop, const FleetPlan& plan,
+                           std::vector<ListedEntry> entries)
+    : plan_(plan), feed_(loop, std::move(entries)) {
+  if (plan.cuttable) {
+    link_ = std::make_unique<StreamLink>(loop, transport::SocketAddress{test::kLoopback, 0},
+                                         feed_.socketAddress(), clear());
+    cuttable_ = (plan.hollow + kCutOneIn - 1) / kCutOneIn;
+  }
+  for (unsigned i = 0; i < plan.hollow; ++i) {
+    const auto& discovery = i < cuttable_ ? link_->socketAddress() : feed_.socketAddress();
+    hollow_.push_back(std::make_unique<HollowGateway>(loop, configOf(i, discovery)));
+  }
+}
+
+std::string GatewayFleet::configOf(std::size_t number, const transport::SocketAddress& discovery) const {
+  test::GatewayOptions options;
+  options.name = "n" + std::to_string(number);
+  options.gateways = plan_.hollow + plan_.real;
+  options.sockets = 1024;
+  options.knownRevision = 0;
+  options.maxPollIntervalMs = plan_.maxPollInterval / kMicrosPerMilli;
+  std::ostringstream seed;
+  seed << std::hex << (number + 1) * kSeedStep;
+  options.seed = seed.str();
+  return test::configText(options, toText(discovery), "[]");
+}
+
+void GatewayFleet::start() {
+  for (unsigned i = 0; i < plan_.real; ++i) {
+    const std::string config = configOf(plan_.hollow + i, feed_.socketAddress());
+    real_.push_back(std::make_unique<Child>(plan_.program, config));
+  }
+  for (const auto& gateway : hollow_) gateway->start();
+}
+
+std::size_t GatewayFleet::endHalf() {
+  std::size_t ended = 0;
+  for (std::size_t i = 0; i < hollow_.size(); i += 2, ++ended) hollow_[i]->end();
+  for (std::size_t i = 0; i < real_.size(); i += 2, ++ended) real_[i]->kill();
+  return ended;
+}
+
+void GatewayFleet::startEnded() {
+  for (const auto& gateway : real_) {
+    if (gateway->over()) gateway->restart();
+  }
+  for (const auto& gateway : hollow_) {
+    if (!gateway->up()) gateway->start();
+  }
+}
+
+void GatewayFleet::cut() {
+  if (link_) link_->change(silent());
+}
+void GatewayFleet::heal() {
+  if (link_) link_->change(clear());
+}
+
+}  // namespace heathflow::emulator
--- a/src/rig/member.cpp
+++ b/src/emulator/emulated_endpoint.cpp
@@ -1,11 +1,11 @@
-#include "rig/member.h"
+#include "emulator/emulated_endpoint.h"
 
 #include <optional>
 #include <utility>
 
 #include "protocol/request_comment.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1000;
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-Member::Member(transport::EventLoop& loop, std::string name, std::uint32_t group, const MemberCosts& costs,
-               bool primary, std::uint64_t seed, Judge& judge)
+EmulatedEndpoint::EmulatedEndpoint(transport::EventLoop& loop, std::string name, std::uint32_t group,
+                                   const EndpointCosts& costs, bool primary, std::uint64_t seed, Judge& judge)
     : loop_(loop),
       name_(std::move(name)),
       group_(group),
@@ -30,17 +30,17 @@
   server_.keepsStatements = false;
   server_.door = [this](test::Line& line) { welcome(line); };
   server_.answer = [this](test::Line& line, const std::string& statement) { asked(line, statement); };
-  server_.probe = [this](test::Line& line, const std::string&) { probed(line); };
+  server_.healthCheck = [this](test::Line& line, const std::string&) { healthChecked(line); };
 }
 
-void Member::die() {
+void EmulatedEndpoint::die() {
   model_.die(loop_.now());
   server_.shut();
   shut_ = true;
   later_.clear();
 }
 
-void Member::start() {
+void EmulatedEndpoint::start() {
   draining_ = false;
   model_.start(loop_.now());
   model_.goOn();
@@ -48,7 +48,7 @@
   if (std::exchange(shut_, false)) server_.reopen();
 }
 
-void Member::sayAt(Micros at, test::Line& line, std::function<std::string()> what, bool thenClose) {
+void EmulatedEndpoint::sayAt(Micros at, test::Line& line, std::function<std::string()> what, bool thenClose) {
   later_.at(at, [&line, what = std::move(what), thenClose] {
     const std::string words = what();
     if (!line.ended && !line.stream.closed()) line.say(words);
@@ -56,8 +56,8 @@
   });
 }
 
-void Member::welcome(test::Line& line) {
-  const MemberModel::Welcome verdict = model_.connect(loop_.now());
+void EmulatedEndpoint::welcome(test::Line& line) {
+  const EndpointModel::Welcome verdict = model_.connect(loop_.now());
   if (!verdict.taken)
     return sayAt(
         verdict.at, line, [] { return test::pg::error("53300", "FATAL"); }, true);
@@ -65,18 +65,18 @@
   sayAt(verdict.at, line, [] { return test::pg::welcome(); });
 }
 
-void Member::asked(test::Line& line, const std::string& statement) {
+void EmulatedEndpoint::asked(test::Line& line, const std::string& statement) {
   const auto comment = protocol::parseRequestComment(statement);
   if (!comment) return line.say(test::pg::error("08P01") + test::pg::ready());
   const std::string id(comment->id);
   const Micros now = loop_.now();
-  const MemberModel::Verdict verdict = model_.ask(now, comment->write);
+  const EndpointModel::Verdict verdict = model_.ask(now, comment->write);
   switch (verdict.kind) {
-    case MemberModel::Verdict::Kind::Full:
+    case EndpointModel::Verdict::Kind::Full:
       return line.say(test::pg::error("53300") + test::pg::ready());
-    case MemberModel::Verdict::Kind::NotPrimary:
-      return line.say(test::pg::error("25006") + test::MemberStandIn::news(false) + test::pg::ready());
-    case MemberModel::Verdict::Kind::Served:
+    case EndpointModel::Verdict::Kind::NotPrimary:
+      return line.say(test::pg::error("25006") + test::EndpointStandIn::news(false) + test::pg::ready());
+    case EndpointModel::Verdict::Kind::Served:
       break;
   }
   std::optional<Micros> told;
@@ -84,16 +84,16 @@
   judge_.reached(id, name_, now, verdict.position, told);
   sayAt(verdict.at, line, [this, id, position = verdict.position] {
     judge_.ran(id, name_, loop_.now());
-    return test::pg::row(id) + test::MemberStandIn::news(model_.primary(), position / kMicrosPerMilli) +
+    return test::pg::row(id) + test::EndpointStandIn::news(model_.primary(), position / kMicrosPerMilli) +
            test::pg::ready();
   });
 }
 
-void Member::probed(test::Line& line) {
+void EmulatedEndpoint::healthChecked(test::Line& line) {
   if (draining_) return line.say(test::pg::error("57P03") + test::pg::ready());
   const std::string role = model_.primary() ? "1" : "0";
   line.say(test::pg::row("x0=" + secondsOf(model_.position(loop_.now())) + ",x1=" + role) +
            test::pg::ready());
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/member_model.cpp
+++ b/src/emulator/endpoint_model.cpp
@@ -1,10 +1,10 @@
-#include "rig/member_model.h"
+#include "emulator/endpoint_model.h"
 
 #include <algorithm>
 
-#include "chance.h"
+#include "common/uniform.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMicrosPerSecond = 1'000'000;
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void MemberModel::start(Micros now) {
+void EndpointModel::start(Micros now) {
   alive_ = true;
   startedAt_ = now;
   acceptsAt_ = now;
@@ -22,26 +22,26 @@
   waiting_.clear();
 }
 
-void MemberModel::die(Micros now) {
+void EndpointModel::die(Micros now) {
   alive_ = false;
   stalledAt_ = position(now);
   primary_ = false;
   connections_ = 0;
 }
 
-double MemberModel::warmth(Micros now) const {
-  if (startedAt_ == 0 || costs_.warmUp <= 0) return 1;
+double EndpointModel::warmth(Micros now) const {
+  if (startedAt_ == 0 || costs_.slowStartDuration <= 0) return 1;
   const double age = static_cast<double>(std::max<Micros>(0, now - startedAt_));
-  const double share = std::min(1.0, age / static_cast<double>(costs_.warmUp));
-  return costs_.coldFrom + (1 - costs_.coldFrom) * share;
+  const double share = std::min(1.0, age / static_cast<double>(costs_.slowStartDuration));
+  return costs_.slowStartInitialShare + (1 - costs_.slowStartInitialShare) * share;
 }
 
-double MemberModel::capacity(Micros now) const {
+double EndpointModel::capacity(Micros now) const {
   return warmth(now) * costs_.slots * static_cast<double>(kMicrosPerSecond) /
          static_cast<double>(std::max<Micros>(1, costs_.service));
 }
 
-MemberModel::Welcome MemberModel::connect(Micros now) {
+EndpointModel::Welcome EndpointModel::connect(Micros now) {
   connects_.add(now);
   acceptsAt_ = std::max(acceptsAt_, now) + costs_.accept;
   const bool taken = connections_ < costs_.connections;
@@ -50,9 +50,9 @@
   return {taken, acceptsAt_};
 }
 
-void MemberModel::disconnected() { connections_ -= connections_ > 0 ? 1 : 0; }
+void EndpointModel::disconnected() { connections_ -= connections_ > 0 ? 1 : 0; }
 
-MemberModel::Verdict MemberModel::ask(Micros now, bool write) {
+EndpointModel::Verdict EndpointModel::ask(Micros now, bool write) {
   Verdict out;
   out.at = now;
   out.position = position(now);
@@ -64,7 +64,7 @@
   } else {
     const auto slot = std::min_element(free_.begin(), free_.end());
     const Micros begin = std::max(now, *slot);
-    const double luck = evenly(random_());
+    const double luck = uniformUnit(random_());
     const double cost = (kCostLeast + kCostSpan * luck) * static_cast<double>(costs_.service) / warmth(begin);
     if (begin > now) waiting_.push_back(begin);
     *slot = begin + static_cast<Micros>(cost);
@@ -73,22 +73,22 @@
   return out;
 }
 
-bool MemberModel::hasRoom(Micros now) const {
+bool EndpointModel::hasRoom(Micros now) const {
   return alive_ && *std::min_element(free_.begin(), free_.end()) <= now;
 }
 
-void MemberModel::lead() {
+void EndpointModel::lead() {
   primary_ = true;
   stalledAt_ = 0;
 }
-void MemberModel::stall(Micros now) {
+void EndpointModel::stall(Micros now) {
   if (stalledAt_ == 0) stalledAt_ = position(now);
 }
-void MemberModel::goOn() { stalledAt_ = 0; }
+void EndpointModel::goOn() { stalledAt_ = 0; }
 
-Micros MemberModel::position(Micros now) const {
+Micros EndpointModel::position(Micros now) const {
   if (stalledAt_ != 0) return stalledAt_;
   return primary_ ? now : now - costs_.lag;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/member_model.h
+++ b/src/emulator/endpoint_model.h
@@ -1,5 +1,5 @@
-// An emulated member, without I/O: what connections and requests cost it, how it warms up, what it has of the
-// log, and who leads. Times are of any one clock.
+// An emulated endpoint, without I/O: what connections and requests cost it, how it warms up, what it has of
+// the log, and who leads. Times are of any one clock.
 #pragma once
 
 #include <cstdint>
@@ -7,27 +7,27 @@
 #include <random>
 #include <vector>
 
-#include "rig/bursts.h"
+#include "emulator/bursts.h"
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using transport::Micros;
 
-struct MemberCosts {
-  Micros accept = 500;          // of every connection, one after the other
-  Micros service = 4'000;       // of a request, in the mean, once it is warm
-  unsigned slots = 4;           // requests that it serves at once
-  unsigned queue = 64;          // and lets wait
-  unsigned connections = 1024;  // that it gives
-  double coldFrom = 0.2;        // of its speed right after a start
-  Micros warmUp = 10'000'000;   // until it has all of it
-  Micros lag = 100'000;         // of a replica behind its primary
+struct EndpointCosts {
+  Micros accept = 500;                    // of every connection, one after the other
+  Micros service = 4'000;                 // of a request, in the mean, once it is warm
+  unsigned slots = 4;                     // requests that it serves at once
+  unsigned queue = 64;                    // and lets wait
+  unsigned connections = 1024;            // that it gives
+  double slowStartInitialShare = 0.2;     // of its speed right after a start
+  Micros slowStartDuration = 10'000'000;  // until it has all of it
+  Micros lag = 100'000;                   // of a replica behind its primary
 };
 
-class MemberModel {
+class EndpointModel {
  public:
-  MemberModel(const MemberCosts& costs, bool primary, std::uint64_t seed)
+  EndpointModel(const EndpointCosts& costs, bool primary, std::uint64_t seed)
       : costs_(costs), primary_(primary), random_(seed), free_(costs.slots) {}
 
   // It starts (anew), cold; nothing of an earlier life is left.
@@ -68,7 +68,7 @@
   Micros position(Micros now) const;
 
  private:
-  MemberCosts costs_;
+  EndpointCosts costs_;
   bool primary_;
   std::mt19937_64 random_;
   std::vector<Micros> free_;    // when each slot is
@@ -83,4 +83,4 @@
   bool alive_ = true;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/faults.cpp
+++ b/src/emulator/faults.cpp
@@ -1,9 +1,9 @@
-#include "rig/faults.h"
+#include "emulator/faults.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 const Fault kNone;
@@ -53,4 +53,4 @@
   return std::max(notBefore, now + lateness(fault));
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/faults.h
+++ b/src/emulator/faults.h
@@ -7,10 +7,10 @@
 #include <random>
 #include <vector>
 
-#include "chance.h"
+#include "common/uniform.h"
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using transport::Micros;
 
@@ -25,7 +25,7 @@
   double twice = 0;       // share of datagrams that come a second time
   bool cutForth = false;  // nothing gets through that way, and nobody is told
   bool cutBack = false;
-  bool refuses = false;  // new connections are reset at once
+  bool rejects = false;  // new connections are reset at once
   bool resets = false;   // those that stand are reset once, when this begins
 };
 
@@ -45,11 +45,11 @@
   std::optional<Micros> streamArrival(Micros now, Way way, Micros notBefore);
 
  private:
-  double random() { return evenly(random_()); }
+  double random() { return uniformUnit(random_()); }
   Micros lateness(const Fault& fault);
 
   std::vector<Fault> schedule_;
   std::mt19937_64 random_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/file_text.h
+++ b/src/emulator/file_text.h
@@ -9,7 +9,7 @@
 #include "files/files.h"
 #include "xml/document.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 // Nothing where it can't be read; then the last of the problems says why.
 inline std::optional<std::string> textOfFile(const std::string& path, std::vector<xml::Problem>& problems) {
@@ -19,4 +19,4 @@
   return std::move(file.bytes);
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/gossip.cpp
+++ b/src/emulator/gossip.cpp
@@ -1,6 +1,6 @@
-#include "rig/gossip.h"
+#include "emulator/gossip.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 using membership::Micros;
@@ -19,29 +19,29 @@
 
 }  // namespace
 
-std::optional<GossipCost> gossipAt(unsigned drivers, Micros span, const std::function<bool()>& goesOn) {
+std::optional<GossipCost> gossipAt(unsigned gateways, Micros span, const std::function<bool()>& goesOn) {
   fleet::TalkPlan plan;
-  plan.drivers = drivers;
+  plan.gateways = gateways;
   plan.seed = kSeed;
   fleet::Talk talk(plan);
   if (!runFor(talk, span, goesOn)) return {};
   const std::uint64_t messages = talk.messages(), words = talk.words();
   if (!runFor(talk, span, goesOn)) return {};
-  const double over = static_cast<double>(span) / kMicrosPerSecond * drivers;
+  const double over = static_cast<double>(span) / kMicrosPerSecond * gateways;
   GossipCost out;
   out.messagesPerSecond = static_cast<double>(talk.messages() - messages) / over;
   out.wordsPerSecond = static_cast<double>(talk.words() - words) / over;
-  const unsigned victim = drivers - 1;
+  const unsigned victim = gateways - 1;
   const Micros died = talk.now();
   talk.kill(victim);
   while (talk.now() < died + kDeathKnownMost) {
     if (!runFor(talk, kMicrosPerSecond, goesOn)) return {};
     const auto [last, by] = talk.seen(membership::Happened::Kind::Failed, victim, died);
-    if (by + 1 < drivers) continue;
+    if (by + 1 < gateways) continue;
     out.deathKnownSeconds = static_cast<double>(last - died) / kMicrosPerSecond;
     return out;
   }
   return {};
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/hollow.cpp
+++ b/src/emulator/hollow.cpp
@@ -1,22 +1,22 @@
-#include "rig/hollow.h"
+#include "emulator/hollow.h"
 
 #include <stdexcept>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
-// The buffers of all hollow drivers come from one budget of the loop, which each would set to its own.
+// The buffers of all hollow gateways come from one budget of the loop, which each would set to its own.
 constexpr std::size_t kMemoryOfAll = std::size_t{8} << 30;
 
 }  // namespace
 
-HollowDriver::HollowDriver(transport::EventLoop& loop, const std::string& configuration) : loop_(loop) {
+HollowGateway::HollowGateway(transport::EventLoop& loop, const std::string& configuration) : loop_(loop) {
   std::string problem;
   if (!program::parseConfig(configuration, config_, problem)) throw std::runtime_error(problem);
   config_.memory = kMemoryOfAll;
 }
 
-void HollowDriver::start() {
+void HollowGateway::start() {
   end();
   observer_ = std::make_unique<Silent>();
   gateway_ = std::make_unique<program::Gateway>(loop_, config_, *observer_);
@@ -25,4 +25,4 @@
   gateway_->start();
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/hollow.h
+++ b/src/emulator/hollow.h
@@ -1,4 +1,4 @@
-// A hollow driver: the program's own gateway, whole, beside many others in one process and on one loop. It
+// A hollow gateway: the program's own gateway, whole, beside many others in one process and on one loop. It
 // has the real protocol and the real decisions for calling the list service, watching, probing and
 // connecting; it has no process and no memory limit of its own, and nobody asks it for anything.
 #pragma once
@@ -8,15 +8,15 @@
 
 #include "program/config.h"
 #include "program/gateway.h"
-#include "routing/observer.h"
+#include "stats/observer.h"
 #include "transport/event_loop.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
-class HollowDriver {
+class HollowGateway {
  public:
   // 'configuration': the text that the program would read at its start.
-  HollowDriver(transport::EventLoop& loop, const std::string& configuration);
+  HollowGateway(transport::EventLoop& loop, const std::string& configuration);
 
   // Begins a life; throws where the configuration or the listener can't be used.
   void start();
@@ -39,4 +39,4 @@
   std::unique_ptr<program::Gateway> gateway_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/judge.cpp
+++ b/src/emulator/judge.cpp
@@ -1,10 +1,10 @@
-#include "rig/judge.h"
+#include "emulator/judge.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr std::size_t kBreachesKept = 1000;
@@ -34,7 +34,7 @@
   const auto found = known_.find(id);
   if (found == known_.end()) return breach(Rule::OneAnswer, at, "", id + ": an answer that nobody asked for");
   Known& known = found->second;
-  const std::string& who = known.asked.driver;
+  const std::string& who = known.asked.gateway;
   if (known.over) return;
   if (how == Answered::Broken) {
     known.over = true;
@@ -43,9 +43,9 @@
   if (++known.answers > 1) return breach(Rule::OneAnswer, at, who, id + ": a second answer");
   if (at > known.asked.at + known.asked.patience + limits_.slack)
     breach(Rule::OneAnswer, at, who, id + ": its answer came after its client's time");
-  if (how == Answered::Refused && known.mayHaveRun && !known.asked.refusable)
+  if (how == Answered::Rejected && known.mayHaveRun && !known.asked.rejectable)
     breach(Rule::NoSecondEffect, at, who, id + ": refused though it may have run");
-  known.refused = how == Answered::Refused;
+  known.rejected = how == Answered::Rejected;
   if (how == Answered::Served && known.asked.bound && known.lastPosition == 0)
     breach(Rule::OneAnswer, at, who, id + ": served with what no member gave");
 }
@@ -57,96 +57,96 @@
   found->second.leftAt = at;
 }
 
-void Judge::endedOwing(const std::string& driver, Micros at) {
+void Judge::endedOwing(const std::string& gateway, Micros at) {
   for (auto& [id, known] : known_) {
-    if (known.asked.driver != driver || known.over || known.answers > 0) continue;
+    if (known.asked.gateway != gateway || known.over || known.answers > 0) continue;
     known.over = true;
-    breach(Rule::OneAnswer, at, driver, id + ": its driver was ended with the answer owing");
+    breach(Rule::OneAnswer, at, gateway, id + ": its driver was ended with the answer owing");
   }
 }
 
-void Judge::sent(const std::string& id, const std::string& member, Micros at) {
+void Judge::sent(const std::string& id, const std::string& endpoint, Micros at) {
   const auto found = known_.find(id);
-  if (found != known_.end()) found->second.sent[member] = at;
+  if (found != known_.end()) found->second.sent[endpoint] = at;
 }
 
 void Judge::checkSending(const Known& known, const std::string& id, Micros sentAt,
                          std::optional<Micros> told) {
   if (known.exempt) return;
   if (known.leftAt && sentAt > *known.leftAt + limits_.departed)
-    breach(Rule::NothingForDeparted, sentAt, known.asked.driver,
+    breach(Rule::NothingForDeparted, sentAt, known.asked.gateway,
            id + ": begun " + std::to_string(sentAt - *known.leftAt) + " us after its client had gone");
   const Micros left = known.asked.at + known.asked.patience - sentAt;
   if (told && *told > left + limits_.told)
-    breach(Rule::TimeTold, sentAt, known.asked.driver,
+    breach(Rule::TimeTold, sentAt, known.asked.gateway,
            id + ": its member was told " + std::to_string(*told) + " us, its client had " +
                std::to_string(left));
 }
 
-void Judge::killed(const std::string& driver, Micros at) {
+void Judge::killed(const std::string& gateway, Micros at) {
   for (auto& [id, known] : known_) {
-    if (known.asked.driver == driver && known.asked.at <= at && known.answers == 0)
+    if (known.asked.gateway == gateway && known.asked.at <= at && known.answers == 0)
       known.over = known.exempt = true;
   }
 }
 
-void Judge::reached(const std::string& id, const std::string& member, Micros arrived, Micros position,
+void Judge::reached(const std::string& id, const std::string& endpoint, Micros arrived, Micros position,
                     std::optional<Micros> timeTold) {
   const auto found = known_.find(id);
   Micros at = arrived;
   if (found != known_.end()) {
-    const auto sentAt = found->second.sent.find(member);
+    const auto sentAt = found->second.sent.find(endpoint);
     if (sentAt != found->second.sent.end()) at = sentAt->second;
   }
-  const std::string who = found == known_.end() ? "" : found->second.asked.driver;
-  const auto told = notifications_.toldNotReady(who, member, at);
+  const std::string who = found == known_.end() ? "" : found->second.asked.gateway;
+  const auto told = notifications_.toldNotReady(who, endpoint, at);
   if (told && at > *told + limits_.drainGrace)
     breach(Rule::DrainsKept, at, who,
-           id + ": sent to " + member + " " + std::to_string(at - *told) +
+           id + ": sent to " + endpoint + " " + std::to_string(at - *told) +
                " us after its driver was told that it drains or is gone");
-  if (const auto cold = cold_.find(member); cold != cold_.end()) {
+  if (const auto cold = cold_.find(endpoint); cold != cold_.end()) {
     std::vector<Micros>& sent = cold->second.sent;
     sent.push_back(at);
-    std::erase_if(sent, [&](Micros when) { return when <= at - limits_.fallWindow; });
-    const double can = cold->second.perSecond * static_cast<double>(limits_.fallWindow) /
+    std::erase_if(sent, [&](Micros when) { return when <= at - limits_.overloadWindow; });
+    const double can = cold->second.perSecond * static_cast<double>(limits_.overloadWindow) /
                        static_cast<double>(kMicrosPerSecond);
-    const double allowed = limits_.fallMultiple * can;
+    const double allowed = limits_.overloadMultiple * can;
     if (static_cast<double>(sent.size()) > allowed + 3 * std::sqrt(allowed) + 3)
       breach(Rule::ColdSpared, at, who,
-             member + ": " + std::to_string(sent.size()) + " requests while it is cold");
+             endpoint + ": " + std::to_string(sent.size()) + " requests while it is cold");
   }
   if (found == known_.end()) return;
   Known& known = found->second;
   checkSending(known, id, at, timeTold);
-  if (known.refused && !known.asked.refusable && !known.mayHaveRun)
-    breach(Rule::NoSecondEffect, at, who, id + ": reached " + member + " though it was refused");
+  if (known.rejected && !known.asked.rejectable && !known.mayHaveRun)
+    breach(Rule::NoSecondEffect, at, who, id + ": reached " + endpoint + " though it was refused");
   known.mayHaveRun = true;
   known.lastPosition = std::max<Micros>(1, position);
   if (known.asked.bound && position < at - *known.asked.bound)
     breach(Rule::NoStaleRead, at, who,
-           id + ": read at " + member + " from data too old by " +
+           id + ": read at " + endpoint + " from data too old by " +
                std::to_string(at - *known.asked.bound - position) + " us");
 }
 
-void Judge::ran(const std::string& id, const std::string& member, Micros at) {
+void Judge::ran(const std::string& id, const std::string& endpoint, Micros at) {
   const auto found = known_.find(id);
   if (found == known_.end()) return;
   Known& known = found->second;
   if (++known.effects > 1 && !known.asked.repeatable)
-    breach(Rule::NoSecondEffect, at, known.asked.driver, id + ": a second effect, at " + member);
+    breach(Rule::NoSecondEffect, at, known.asked.gateway, id + ": a second effect, at " + endpoint);
 }
 
-void Judge::coldCapacity(const std::string& member, Micros, double requestsPerSecond) {
-  cold_[member].perSecond = requestsPerSecond;
+void Judge::coldCapacity(const std::string& endpoint, Micros, double requestsPerSecond) {
+  cold_[endpoint].perSecond = requestsPerSecond;
 }
-void Judge::warm(const std::string& member) { cold_.erase(member); }
+void Judge::warm(const std::string& endpoint) { cold_.erase(endpoint); }
 
 const std::vector<Breach>& Judge::finish(Micros at) {
   for (auto& [id, known] : known_) {
     if (known.over || known.answers > 0) continue;
     if (at <= known.asked.at + known.asked.patience + limits_.slack) continue;
     known.over = true;
-    breach(Rule::OneAnswer, at, known.asked.driver, id + ": never answered");
+    breach(Rule::OneAnswer, at, known.asked.gateway, id + ": never answered");
   }
   return breaches_;
 }
@@ -162,4 +162,4 @@
   return out;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/judge.h
+++ b/src/emulator/judge.h
@@ -1,4 +1,4 @@
-// The five rules, judged from outside: by what clients asked and got, and by what members and the list
+// The five rules, judged from outside: by what clients asked and got, and by what endpoints and the list
 // service saw. No I/O; times are of one clock, that of the rig.
 #pragma once
 
@@ -9,15 +9,15 @@
 #include <string>
 #include <vector>
 
-#include "rig/notifications.h"
+#include "emulator/notifications.h"
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using transport::Micros;
 
-// The five rules, and what the operators' terms add: nothing is begun for a client that has gone, a member is
-// told no more time than its client has, and no invariant of a driver's own guard is broken.
+// The five rules, and what the operators' terms add: nothing is begun for a client that has gone, an endpoint
+// is told no more time than its client has, and no invariant of a gateway's own guard is broken.
 enum class Rule {
   OneAnswer,
   NoSecondEffect,
@@ -31,22 +31,22 @@
 inline constexpr std::size_t kRules = 8;
 const char* nameOf(Rule rule);
 
-enum class Answered { Served, Refused, Failed, Broken };  // Broken: the connection ended without one
+enum class Answered { Served, Rejected, Failed, Broken };  // Broken: the connection ended without one
 
 struct JudgeLimits {
   Micros slack = 70'000;        // an answer may come so long after the client's time (with the bench's 50 ms)
-  Micros drainGrace = 300'000;  // sends to a member that was told to drain (with the same)
-  Micros fallWindow = 2'000'000;  // a cold member's work is summed over this
-  double fallMultiple = 2.5;      // and may be so many times what it can do, and chance beyond it
-  Micros departed = 150'000;      // an attempt may begin so long after its client has gone (with the same)
-  Micros told = 200'000;          // beyond what its client has left (with the same)
+  Micros drainGrace = 300'000;  // sends to an endpoint that was told to drain (with the same)
+  Micros overloadWindow = 2'000'000;  // a cold endpoint's work is summed over this
+  double overloadMultiple = 2.5;      // and may be so many times what it can do, and chance beyond it
+  Micros departed = 150'000;  // an attempt may begin so long after its client has gone (with the same)
+  Micros told = 200'000;      // beyond what its client has left (with the same)
 };
 
 struct Breach {
   Rule rule = Rule::OneAnswer;
   Micros at = 0;
-  std::string who;   // the driver, as far as it is known
-  std::string what;  // the request or member, and what was seen
+  std::string who;   // the gateway, as far as it is known
+  std::string what;  // the request or endpoint, and what was seen
 };
 
 class Judge {
@@ -56,45 +56,45 @@
   // ---- What clients saw ----
   struct Asked {
     std::string id;
-    std::string driver;
+    std::string gateway;
     Micros at = 0;                // when its last byte was written
     Micros patience = 0;          // how long the client waits from then on
     bool repeatable = true;       // any number of effects does no harm
-    bool refusable = true;        // a refusal is allowed although it may have run
+    bool rejectable = true;       // a rejection is allowed although it may have run
     std::optional<Micros> bound;  // a read: how old its data may be when it is sent
   };
   void asked(const Asked& request);
   void answered(const std::string& id, Micros at, Answered how);
   // Its client went away by itself: nothing is owed any more.
   void left(const std::string& id, Micros at);
-  // A driver was ended by the rig: what it held is not its fault.
-  void killed(const std::string& driver, Micros at);
-
-  // ---- What members saw ----
-  // A driver has written an attempt, where the path to the member is looked at; without that it counts as
-  // sent when it reached the member.
-  void sent(const std::string& id, const std::string& member, Micros at);
-  // 'at': when its last byte came. 'position': up to when the member had applied all commits. 'told': for how
-  // long its driver will wait, where it says.
-  void reached(const std::string& id, const std::string& member, Micros at, Micros position,
+  // A gateway was ended by the rig: what it held is not its fault.
+  void killed(const std::string& gateway, Micros at);
+
+  // ---- What endpoints saw ----
+  // A gateway has written an attempt, where the path to the endpoint is looked at; without that it counts as
+  // sent when it reached the endpoint.
+  void sent(const std::string& id, const std::string& endpoint, Micros at);
+  // 'at': when its last byte came. 'position': up to when the endpoint had applied all commits. 'told': for
+  // how long its gateway will wait, where it says.
+  void reached(const std::string& id, const std::string& endpoint, Micros at, Micros position,
                std::optional<Micros> told = {});
   // It ended there with its effect, or without.
-  void ran(const std::string& id, const std::string& member, Micros at);
-  // A member is cold from a time on: how many requests it can do in a second at its age.
-  void coldCapacity(const std::string& member, Micros at, double requestsPerSecond);
-  void warm(const std::string& member);
+  void ran(const std::string& id, const std::string& endpoint, Micros at);
+  // An endpoint is cold from a time on: how many requests it can do in a second at its age.
+  void coldCapacity(const std::string& endpoint, Micros at, double requestsPerSecond);
+  void warm(const std::string& endpoint);
 
   // ---- What the list service told ----
-  // What counts as told to whom; whoever plays the service and the drivers feeds it.
+  // What counts as told to whom; whoever plays the service and the gateways feeds it.
   Notifications& notifications() { return notifications_; }
 
-  // A driver's own guard, or the rig, has seen something broken.
-  void seen(Rule rule, Micros at, const std::string& driver, const std::string& what) {
-    breach(rule, at, driver, what);
+  // A gateway's own guard, or the rig, has seen something broken.
+  void seen(Rule rule, Micros at, const std::string& gateway, const std::string& what) {
+    breach(rule, at, gateway, what);
   }
-  // A driver's end came while it owed answers, as late as a platform allows: what it held is lost by its
+  // A gateway's end came while it owed answers, as late as a platform allows: what it held is lost by its
   // fault.
-  void endedOwing(const std::string& driver, Micros at);
+  void endedOwing(const std::string& gateway, Micros at);
 
   // What is still open when all is over, and all breaches in the order in which they were seen.
   const std::vector<Breach>& finish(Micros at);
@@ -109,12 +109,12 @@
   struct Known {
     Asked asked;
     unsigned answers = 0;
-    bool over = false;  // left, or lost with its driver
+    bool over = false;  // left, or lost with its gateway
     bool mayHaveRun = false;
-    bool exempt = false;  // its driver was killed or stood still by the rig's doing
-    bool refused = false;
+    bool exempt = false;  // its gateway was killed or stood still by the rig's doing
+    bool rejected = false;
     std::optional<Micros> leftAt;
-    std::map<std::string, Micros> sent;  // by member, the newest
+    std::map<std::string, Micros> sent;  // by endpoint, the newest
     unsigned effects = 0;
     Micros lastPosition = 0;
   };
@@ -136,4 +136,4 @@
   std::uint64_t requests_ = 0;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/latencies.h
+++ b/src/emulator/latencies.h
@@ -6,7 +6,7 @@
 
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 class Latencies {
  public:
@@ -35,4 +35,4 @@
   std::uint64_t count_ = 0;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/later.h
+++ b/src/emulator/later.h
@@ -9,7 +9,7 @@
 
 #include "transport/event_loop.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 class Later {
  public:
@@ -39,4 +39,4 @@
   std::list<std::unique_ptr<transport::Timer>> due_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/link.cpp
+++ b/src/emulator/link.cpp
@@ -1,4 +1,4 @@
-#include "rig/link.h"
+#include "emulator/link.h"
 
 #include <arpa/inet.h>
 #include <netinet/in.h>
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr transport::Stream::Limits kLimits = {1 << 20, 8 << 20};
@@ -18,17 +18,17 @@
 // Held bytes are looked at again so often while a way is cut.
 constexpr Micros kLookAgain = 5'000;
 
-sockaddr_in socketAddress(const transport::Endpoint& endpoint) {
+sockaddr_in socketNameOf(const transport::SocketAddress& socketAddress) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
-  out.sin_port = htons(endpoint.port);
-  out.sin_addr.s_addr = htonl(endpoint.address);
+  out.sin_port = htons(socketAddress.port);
+  out.sin_addr.s_addr = htonl(socketAddress.address);
   return out;
 }
 
-transport::UniqueFd datagramSocket(const transport::Endpoint& at) {
+transport::UniqueFd datagramSocket(const transport::SocketAddress& at) {
   transport::UniqueFd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  const sockaddr_in address = socketAddress(at);
+  const sockaddr_in address = socketNameOf(at);
   if (!fd || ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
     throw std::runtime_error("a link can't have its address");
   return fd;
@@ -129,15 +129,15 @@
   pair.pump();
 }
 
-StreamLink::StreamLink(transport::EventLoop& loop, const transport::Endpoint& at,
-                       const transport::Endpoint& to, Weather weather)
+StreamLink::StreamLink(transport::EventLoop& loop, const transport::SocketAddress& at,
+                       const transport::SocketAddress& to, Weather weather)
     : loop_(loop), to_(to), weather_(std::move(weather)), start_(loop.now()), next_(loop, [this] {
         turnOfWeather();
       }) {
   transport::Opened opened = transport::listenOn(at, 512);
   if (!opened.fd) throw std::runtime_error("a link can't listen");
   listener_ = std::move(opened.fd);
-  endpoint_ = transport::boundTo(listener_.get()).value_or(at);
+  socketAddress_ = transport::boundTo(listener_.get()).value_or(at);
   loop_.watch(listener_.get(), *this);
   arm();
 }
@@ -171,8 +171,8 @@
     transport::Opened opened = transport::acceptFrom(listener_.get());
     if (!opened.fd) return;
     resetOnClose(opened.fd.get());
-    if (weather_.at(now()).refuses) {
-      ++refused_;
+    if (weather_.at(now()).rejects) {
+      ++rejected_;
       continue;
     }
     ++taken_;
@@ -197,8 +197,8 @@
   }
 }
 
-DatagramLink::DatagramLink(transport::EventLoop& loop, const transport::Endpoint& at,
-                           const transport::Endpoint& to, Weather weather)
+DatagramLink::DatagramLink(transport::EventLoop& loop, const transport::SocketAddress& at,
+                           const transport::SocketAddress& to, Weather weather)
     : loop_(loop),
       to_(to),
       weather_(std::move(weather)),
@@ -206,7 +206,7 @@
       front_(datagramSocket(at)),
       rear_(datagramSocket({at.address, 0})),
       landing_(loop, [this] { land(); }) {
-  endpoint_ = transport::boundTo(front_.get()).value_or(at);
+  socketAddress_ = transport::boundTo(front_.get()).value_or(at);
   loop_.watch(front_.get(), *this);
   loop_.watch(rear_.get(), *this);
 }
@@ -257,7 +257,7 @@
     flying_.erase(flying_.begin());
     const auto target = flown.way == Way::Forth ? std::optional(to_) : peer_;
     if (!target) continue;
-    const sockaddr_in address = socketAddress(*target);
+    const sockaddr_in address = socketNameOf(*target);
     const int fd = flown.way == Way::Forth ? rear_.get() : front_.get();
     ::sendto(fd, flown.bytes.data(), flown.bytes.size(), 0, reinterpret_cast<const sockaddr*>(&address),
              sizeof address);
@@ -266,4 +266,4 @@
   if (!flying_.empty()) landing_.arm(start_ + flying_.begin()->first);
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/link.h
+++ b/src/emulator/link.h
@@ -9,32 +9,32 @@
 #include <memory>
 #include <string>
 
-#include "rig/faults.h"
+#include "emulator/faults.h"
 #include "transport/event_loop.h"
 #include "transport/socket.h"
 #include "transport/stream.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 // Listens at an address of its own and passes on to another: delays, holds back what crosses a cut until it
-// heals, resets, refuses. A cut is silent: connections stay open and nothing comes.
+// heals, resets, rejects. A cut is silent: connections stay open and nothing comes.
 class StreamLink final : private transport::IoHandler {
  public:
   // At 'at' (port 0: any free one) for 'to'; the schedule's times count from now.
-  StreamLink(transport::EventLoop& loop, const transport::Endpoint& at, const transport::Endpoint& to,
-             Weather weather);
+  StreamLink(transport::EventLoop& loop, const transport::SocketAddress& at,
+             const transport::SocketAddress& to, Weather weather);
   ~StreamLink() override;
 
-  const transport::Endpoint& endpoint() const { return endpoint_; }
+  const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   // Hears of the bytes that come from who opened a connection, as they come.
   std::function<void(std::string_view bytes)> onForth;
   // Where new connections are passed on to from now on.
-  void leadTo(const transport::Endpoint& to) { to_ = to; }
+  void leadTo(const transport::SocketAddress& to) { to_ = to; }
   // A new schedule, from now on.
   void change(Weather weather);
   std::size_t passing() const { return pairs_.size(); }
   std::uint64_t taken() const { return taken_; }
-  std::uint64_t refused() const { return refused_; }
+  std::uint64_t rejected() const { return rejected_; }
 
  private:
   struct Half;
@@ -47,15 +47,15 @@
   Micros now() const { return loop_.now() - start_; }
 
   transport::EventLoop& loop_;
-  transport::Endpoint to_;
+  transport::SocketAddress to_;
   Weather weather_;
   Micros start_ = 0;
   transport::UniqueFd listener_;
-  transport::Endpoint endpoint_;
+  transport::SocketAddress socketAddress_;
   std::list<std::unique_ptr<Pair>> pairs_;
   transport::Timer next_;
   std::uint64_t taken_ = 0;
-  std::uint64_t refused_ = 0;
+  std::uint64_t rejected_ = 0;
 };
 
 // The same for datagrams: what comes to one of its addresses leaves from the other. Loss, doubles and
@@ -63,11 +63,11 @@
 class DatagramLink final : private transport::IoHandler {
  public:
   // Datagrams that come to endpoint() go to 'to', and what 'to' answers goes back to who sent last.
-  DatagramLink(transport::EventLoop& loop, const transport::Endpoint& at, const transport::Endpoint& to,
-               Weather weather);
+  DatagramLink(transport::EventLoop& loop, const transport::SocketAddress& at,
+               const transport::SocketAddress& to, Weather weather);
   ~DatagramLink() override;
 
-  const transport::Endpoint& endpoint() const { return endpoint_; }
+  const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   void change(Weather weather);
   std::uint64_t delivered() const { return delivered_; }
   std::uint64_t dropped() const { return dropped_; }
@@ -83,17 +83,17 @@
   Micros now() const { return loop_.now() - start_; }
 
   transport::EventLoop& loop_;
-  transport::Endpoint to_;
+  transport::SocketAddress to_;
   Weather weather_;
   Micros start_ = 0;
   transport::UniqueFd front_;
   transport::UniqueFd rear_;
-  transport::Endpoint endpoint_;
-  std::optional<transport::Endpoint> peer_;
+  transport::SocketAddress socketAddress_;
+  std::optional<transport::SocketAddress> peer_;
   std::multimap<Micros, Flying> flying_;  // by when it arrives
   transport::Timer landing_;
   std::uint64_t delivered_ = 0;
   std::uint64_t dropped_ = 0;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/list_feed.cpp
+++ b/src/emulator/list_feed.cpp
@@ -1,4 +1,4 @@
-#include "rig/list_feed.h"
+#include "emulator/list_feed.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -6,7 +6,7 @@
 #include <set>
 #include <utility>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1000;
@@ -27,10 +27,10 @@
 ListFeed::ListFeed(transport::EventLoop& loop, std::vector<ListedEntry> entries)
     : Listening(loop), entries_(std::move(entries)), arrivals_(kArrivalsKept) {}
 
-void ListFeed::change(std::size_t member) {
-  ListedEntry& entry = entries_.at(member);
+void ListFeed::change(std::size_t endpoint) {
+  ListedEntry& entry = entries_.at(endpoint);
   entry.phase = entry.phase == kReady ? kDraining : kReady;
-  changed_.push_back(member);
+  changed_.push_back(endpoint);
   ++revision_;
   made_.clear();
   for (auto& [line, waiting] : std::exchange(waiting_, {})) answer(*line, waiting.since);
@@ -108,22 +108,22 @@
   const bool whole = wantsAll(since);
   Text& made = made_[whole ? kNoRevision : since];
   if (made) return made;
-  std::vector<std::size_t> members;
+  std::vector<std::size_t> endpoints;
   if (whole) {
-    members.resize(entries_.size());
-    std::iota(members.begin(), members.end(), std::size_t{0});
+    endpoints.resize(entries_.size());
+    std::iota(endpoints.begin(), endpoints.end(), std::size_t{0});
   } else {
     const std::set<std::size_t> once(changed_.begin() + (since - kFirstRevision), changed_.end());
-    members.assign(once.begin(), once.end());
+    endpoints.assign(once.begin(), once.end());
   }
-  made = makeResponse(whole, members);
+  made = makeResponse(whole, endpoints);
   return made;
 }
 
-ListFeed::Text ListFeed::makeResponse(bool whole, const std::vector<std::size_t>& members) const {
+ListFeed::Text ListFeed::makeResponse(bool whole, const std::vector<std::size_t>& endpoints) const {
   std::vector<ListedEntry> told;
-  told.reserve(members.size());
-  for (const std::size_t member : members) told.push_back(entries_[member]);
+  told.reserve(endpoints.size());
+  for (const std::size_t endpoint : endpoints) told.push_back(entries_[endpoint]);
   const std::string body = "{\"revision\":" + std::to_string(revision_) +
                            ",\"complete\":" + (whole ? "true" : "false") + ",\"members\":" + textOf(told) +
                            "}";
@@ -131,4 +131,4 @@
       "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/list_feed.h
+++ b/src/emulator/list_feed.h
@@ -9,12 +9,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "rig/bursts.h"
-#include "rig/list_model.h"
+#include "emulator/bursts.h"
+#include "emulator/list_model.h"
 #include "standins/standins.h"
 #include "transport/event_loop.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 class ListFeed final : public test::Listening {
  public:
@@ -32,10 +32,10 @@
 
   ListFeed(transport::EventLoop& loop, std::vector<ListedEntry> entries);
 
-  // One member begins to drain or, where it does, is ready again. Watches that wait are told.
-  void change(std::size_t member);
-  // Watches that wait and hold this revision or a newer one. A driver calls again once it has taken a list
-  // in, so that these are the drivers at which it is in force.
+  // One endpoint begins to drain or, where it does, is ready again. Watches that wait are told.
+  void change(std::size_t endpoint);
+  // Watches that wait and hold this revision or a newer one. A gateway calls again once it has taken a list
+  // in, so that these are the gateways at which it is in force.
   std::size_t watching(std::int64_t since) const;
   // For how long the watches that wait now asked to, in the mean; 0 without one.
   Micros meanWait() const;
@@ -45,7 +45,7 @@
   // When calls came in since it was last up.
   const Bursts& arrivals() const { return arrivals_; }
 
-  // Down: connections break and new ones are refused, until it is up again. Changes go on.
+  // Down: connections break and new ones are rejected, until it is up again. Changes go on.
   void goDown();
   void comeUp();
 
@@ -67,10 +67,10 @@
   void answer(test::Line& line, std::int64_t since);
   bool wantsAll(std::int64_t since) const { return since < kFirstRevision || since > revision_; }
   Text responseTo(std::int64_t since);
-  Text makeResponse(bool whole, const std::vector<std::size_t>& members) const;
+  Text makeResponse(bool whole, const std::vector<std::size_t>& endpoints) const;
 
   std::vector<ListedEntry> entries_;
-  std::vector<std::size_t> changed_;  // the member that each revision after the first has changed
+  std::vector<std::size_t> changed_;  // the endpoint that each revision after the first has changed
   std::int64_t revision_ = kFirstRevision;
   std::map<std::int64_t, Text> made_;  // of this revision, by the caller's; of whole lists below the first
   std::unordered_map<test::Line*, Waiting> waiting_;
@@ -78,4 +78,4 @@
   Bursts arrivals_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/list_model.cpp
+++ b/src/emulator/list_model.cpp
@@ -1,11 +1,11 @@
-#include "rig/list_model.h"
+#include "emulator/list_model.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "chance.h"
+#include "common/uniform.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 std::string lineOf(const ListedEntry& entry, const std::string& phase) {
@@ -49,10 +49,10 @@
 std::size_t ListModel::write(std::int64_t since, Answer& answer) const {
   // A caller that holds something newer than what is here gets all.
   const bool whole = since < 0 || since > revision_;
-  std::string members;
+  std::string endpoints;
   std::size_t lines = 0;
   const auto add = [&](const ListedEntry& entry) {
-    members += (lines++ == 0 ? "" : ",") + lineOf(entry, entry.phase);
+    endpoints += (lines++ == 0 ? "" : ",") + lineOf(entry, entry.phase);
   };
   if (whole) {
     for (const ListedEntry& entry : entries_) {
@@ -64,7 +64,7 @@
     }
   }
   answer.body = "{\"revision\":" + std::to_string(revision_) + ",\"complete\":" + (whole ? "true" : "false") +
-                ",\"members\":[" + members + "]}";
+                ",\"members\":[" + endpoints + "]}";
   return lines;
 }
 
@@ -97,7 +97,7 @@
   return drawn(crowded_) ? turnedAway(now) : serve(now, since);
 }
 
-bool ListModel::drawn(double share) { return share > 0 && evenly(random_()) < share; }
+bool ListModel::drawn(double share) { return share > 0 && uniformUnit(random_()) < share; }
 
 ListModel::Answer ListModel::turnedAway(Micros now) {
   ++turnedAway_;
@@ -107,4 +107,4 @@
   return out;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/list_model.h
+++ b/src/emulator/list_model.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "rig/bursts.h"
+#include "emulator/bursts.h"
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using transport::Micros;
 
@@ -107,4 +107,4 @@
   Bursts arrivals_{100'000};
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/list_service.cpp
+++ b/src/emulator/list_service.cpp
@@ -1,9 +1,9 @@
-#include "rig/list_service.h"
+#include "emulator/list_service.h"
 
 #include <cstdlib>
 #include <utility>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1000;
@@ -31,8 +31,8 @@
   return doors_.size();
 }
 
-const transport::Endpoint& ListService::door(std::size_t number) const {
-  return number == 0 ? endpoint() : doors_.at(number - 1)->endpoint();
+const transport::SocketAddress& ListService::door(std::size_t number) const {
+  return number == 0 ? socketAddress() : doors_.at(number - 1)->socketAddress();
 }
 
 void ListService::heard(test::Line& line, std::size_t door) {
@@ -104,4 +104,4 @@
   for (auto& door : doors_) door->reopen();
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/list_service.h
+++ b/src/emulator/list_service.h
@@ -5,12 +5,12 @@
 #include <memory>
 #include <string>
 
-#include "rig/later.h"
-#include "rig/list_model.h"
+#include "emulator/later.h"
+#include "emulator/list_model.h"
 #include "standins/standins.h"
 #include "transport/event_loop.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 class ListService final : public test::Listening {
  public:
@@ -19,7 +19,7 @@
   // A further address of the same service, so that it can be told who calls; they are counted from 1, and 0
   // is the service's own.
   std::size_t addDoor();
-  const transport::Endpoint& door(std::size_t number) const;
+  const transport::SocketAddress& door(std::size_t number) const;
   // Hears of every call that is over: at which door, and with which answer.
   std::function<void(std::size_t door, const ListModel::Answer& answer)> onAnswer;
 
@@ -61,4 +61,4 @@
   Later later_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/load.cpp
+++ b/src/emulator/load.cpp
@@ -1,12 +1,12 @@
-#include "rig/load.h"
+#include "emulator/load.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "chance.h"
+#include "common/uniform.h"
 #include "standins/pg_bytes.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr transport::Stream::Limits kLimits = {1 << 20, 1 << 20};
@@ -15,7 +15,7 @@
 constexpr Micros kMicrosPerMilli = 1000;
 // A client looks so long beyond its time before it closes the connection.
 constexpr Micros kBeyondPatience = 600 * kMicrosPerMilli;
-// The close of a driver that ends may cross a request that it has not read; its client asks once more
+// The close of a gateway that ends may cross a request that it has not read; its client asks once more
 // elsewhere.
 constexpr Micros kCrossing = 50 * kMicrosPerMilli;
 // Within which a client that leaves does so.
@@ -44,10 +44,10 @@
     if (!told) {
       Judge::Asked request;
       request.id = id;
-      request.driver = load.driver_;
+      request.gateway = load.gateway_;
       request.at = load.loop_.now();
       request.patience = load.patience_;
-      request.repeatable = request.refusable = answer.kind != Kind::Save;
+      request.repeatable = request.rejectable = answer.kind != Kind::Save;
       if (answer.kind == Kind::View) request.bound = load.bound_;
       load.judge_.asked(request);
       ++load.asked_;
@@ -55,7 +55,7 @@
     }
     askedAt = load.loop_.now();
     limit.arm(askedAt + load.patience_ + kBeyondPatience);
-    if (load.leaving_ > 0 && evenly(load.random_()) < load.leaving_)
+    if (load.leaving_ > 0 && uniformUnit(load.random_()) < load.leaving_)
       leave.arm(askedAt + static_cast<Micros>(load.random_() % kLeavesWithin));
   }
 
@@ -63,7 +63,7 @@
     busy = true;
     told = false;
     answered = false;
-    id = load.driver_ + "-" + std::to_string(++load.sequence_);
+    id = load.gateway_ + "-" + std::to_string(++load.sequence_);
     answer = {arrival.at, 0, arrival.kind, arrival.group, Answered::Served};
     const std::string statement =
         arrival.kind == Kind::Save
@@ -89,7 +89,7 @@
       } else if (message.type == 'E') {
         const std::string code = test::pg::field(message.body, 'C');
         answered = true;
-        answer.how = code == "53300" || code == "57P03" ? Answered::Refused : Answered::Failed;
+        answer.how = code == "53300" || code == "57P03" ? Answered::Rejected : Answered::Failed;
         if (!welcomed) return finish();  // turned away at the door
       } else if (message.type == 'Z' && answered) {
         finish();
@@ -114,9 +114,9 @@
     if (busy && told && crossed) {
       load.judge_.left(id, load.loop_.now());
     } else if (busy && told) {
-      // Its driver is dead, which the rig tells the judge, or has broken its word.
+      // Its gateway is dead, which the rig tells the judge, or has broken its word.
       answer.at = load.loop_.now();
-      if (load.endpoint_) load.judge_.answered(id, answer.at, Answered::Broken);
+      if (load.socketAddress_) load.judge_.answered(id, answer.at, Answered::Broken);
     } else if (busy) {
       ++load.unreached_;
     }
@@ -138,10 +138,10 @@
   bool answered = false;  // its answer has come, but for its end
 };
 
-Load::Load(transport::EventLoop& loop, std::string driver, Arrivals arrivals, Micros patience, Micros bound,
+Load::Load(transport::EventLoop& loop, std::string gateway, Arrivals arrivals, Micros patience, Micros bound,
            Judge& judge, OnAnswer onAnswer, double leaving, std::uint64_t seed)
     : loop_(loop),
-      driver_(std::move(driver)),
+      gateway_(std::move(gateway)),
       arrivals_(std::move(arrivals)),
       patience_(patience),
       bound_(bound),
@@ -155,9 +155,9 @@
 
 Load::~Load() = default;
 
-void Load::leadTo(std::optional<transport::Endpoint> endpoint) {
-  if (endpoint == endpoint_) return;
-  endpoint_ = endpoint;
+void Load::leadTo(std::optional<transport::SocketAddress> socketAddress) {
+  if (socketAddress == socketAddress_) return;
+  socketAddress_ = socketAddress;
   resting_ = keeping_ = mayCross_ = false;
   while (!connections_.empty()) remove(*connections_.front());
 }
@@ -178,7 +178,7 @@
 }
 
 void Load::ask(const Arrivals::Arrival& arrival) {
-  if (!endpoint_ || resting_) {
+  if (!socketAddress_ || resting_) {
     ++unreached_;
     return;
   }
@@ -193,7 +193,7 @@
   Connection& connection = *connections_.back();
   connection.stream.output().append(test::pg::startup());
   int error = 0;
-  if (!connection.stream.connect(*endpoint_, error)) {
+  if (!connection.stream.connect(*socketAddress_, error)) {
     ++unreached_;
     return remove(connection);
   }
@@ -212,4 +212,4 @@
   }
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/load.h
+++ b/src/emulator/load.h
@@ -1,4 +1,4 @@
-// The clients of one driver on loopback: an open loop over connections that they keep. Latency counts from
+// The clients of one gateway on loopback: an open loop over connections that they keep. Latency counts from
 // the intended time; the judge hears of every request and answer.
 #pragma once
 
@@ -10,13 +10,13 @@
 #include <random>
 #include <string>
 
-#include "rig/arrivals.h"
-#include "rig/judge.h"
+#include "emulator/arrivals.h"
+#include "emulator/judge.h"
 #include "transport/event_loop.h"
 #include "transport/socket.h"
 #include "transport/stream.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 struct Answer {
   Micros intended = 0;
@@ -30,15 +30,15 @@
  public:
   using OnAnswer = std::function<void(const Answer&)>;
   // 'leaving': share of requests whose client leaves before their answer, drawn by the seed.
-  Load(transport::EventLoop& loop, std::string driver, Arrivals arrivals, Micros patience, Micros bound,
+  Load(transport::EventLoop& loop, std::string gateway, Arrivals arrivals, Micros patience, Micros bound,
        Judge& judge, OnAnswer onAnswer, double leaving = 0, std::uint64_t seed = 1);
   ~Load();
 
-  // Where the driver serves; nothing: nowhere at present, and what would be asked is not.
-  void leadTo(std::optional<transport::Endpoint> endpoint);
+  // Where the gateway serves; nothing: nowhere at present, and what would be asked is not.
+  void leadTo(std::optional<transport::SocketAddress> socketAddress);
   // Nothing new is sent there; what is out waits for its answer.
   void rest() { resting_ = true; }
-  // The driver was told to end: its close may cross a request that it has not read.
+  // The gateway was told to end: its close may cross a request that it has not read.
   void mayCross() { mayCross_ = true; }
   // From then on the connections that stand are used on, and no new ones are opened.
   void keepOnly() { keeping_ = true; }
@@ -46,7 +46,7 @@
   void stop();
 
   std::uint64_t asked() const { return asked_; }
-  std::uint64_t unreached() const { return unreached_; }  // for want of a driver
+  std::uint64_t unreached() const { return unreached_; }  // for want of a gateway
   std::size_t open() const;                               // without an answer so far
 
  private:
@@ -56,13 +56,13 @@
   void remove(Connection& connection);
 
   transport::EventLoop& loop_;
-  std::string driver_;
+  std::string gateway_;
   Arrivals arrivals_;
   Micros patience_;
   Micros bound_;
   Judge& judge_;
   OnAnswer onAnswer_;
-  std::optional<transport::Endpoint> endpoint_;
+  std::optional<transport::SocketAddress> socketAddress_;
   std::list<std::unique_ptr<Connection>> connections_;
   transport::Timer next_;
   std::uint64_t asked_ = 0;
@@ -76,4 +76,4 @@
   std::mt19937_64 random_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/notifications.cpp
+++ b/src/emulator/notifications.cpp
@@ -1,12 +1,12 @@
-#include "rig/notifications.h"
+#include "emulator/notifications.h"
 
 #include <algorithm>
 #include <limits>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
-void Notifications::changed(const std::string& member, ListedState state, Micros at) {
-  std::vector<Change>& known = changes_[member];
+void Notifications::changed(const std::string& endpoint, ListedState state, Micros at) {
+  std::vector<Change>& known = changes_[endpoint];
   const ListedState before = known.empty() ? ListedState::Ready : known.back().state;
   if (state != before) known.push_back({at, state});
 }
@@ -19,28 +19,28 @@
   if (!outages_.empty() && !outages_.back().until) outages_.back().until = at;
 }
 
-void Notifications::started(const std::string& driver, Micros at) {
-  lives_[driver] = Life{};
-  lives_[driver].startedAt = at;
+void Notifications::started(const std::string& gateway, Micros at) {
+  lives_[gateway] = Life{};
+  lives_[gateway].startedAt = at;
 }
 
-void Notifications::written(const std::string& driver, Micros at) {
-  lives_[driver].words.push_back({at, at, at});
+void Notifications::written(const std::string& gateway, Micros at) {
+  lives_[gateway].words.push_back({at, at, at});
 }
 
-void Notifications::writtenIntoSilence(const std::string& driver, Micros at, const Silence& silence) {
+void Notifications::writtenIntoSilence(const std::string& gateway, Micros at, const Silence& silence) {
   Micros counts = std::max(at, silence.since + terms_.atTheLatest);
   if (silence.waitEnds) counts = std::max(counts, *silence.waitEnds + terms_.afterWait);
-  lives_[driver].words.push_back({at, counts, std::min(counts, std::max(at, silence.until)), true});
+  lives_[gateway].words.push_back({at, counts, std::min(counts, std::max(at, silence.until)), true});
 }
 
-void Notifications::callFailed(const std::string& driver, Micros at) {
-  Life& life = lives_[driver];
+void Notifications::callFailed(const std::string& gateway, Micros at) {
+  Life& life = lives_[gateway];
   if (!life.firstFailure) life.firstFailure = at;
 }
 
-void Notifications::moved(const std::string& driver, Micros at) {
-  lives_[driver].words.push_back({at, at + terms_.afterMove, at + terms_.afterMove});
+void Notifications::moved(const std::string& gateway, Micros at) {
+  lives_[gateway].words.push_back({at, at + terms_.afterMove, at + terms_.afterMove});
 }
 
 // The first time from then on at which the service was up; far ahead while it is down.
@@ -75,10 +75,10 @@
   return counts;
 }
 
-std::optional<Micros> Notifications::toldNotReady(const std::string& driver, const std::string& member,
+std::optional<Micros> Notifications::toldNotReady(const std::string& gateway, const std::string& endpoint,
                                                   Micros at) const {
-  const auto known = changes_.find(member);
-  const auto life = lives_.find(driver);
+  const auto known = changes_.find(endpoint);
+  const auto life = lives_.find(gateway);
   if (known == changes_.end() || life == lives_.end()) return std::nullopt;
   const std::vector<Change>& changes = known->second;
   // From the newest back: the first that is told binds, and since the oldest of those before it that bind
@@ -93,4 +93,4 @@
   return since;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/notifications.h
+++ b/src/emulator/notifications.h
@@ -1,6 +1,6 @@
-// When a change of the list counts as told to a driver, by the operators' pages: the one model by which the
-// judge holds drivers to drains, removals and returns. It shares no constant and no code with the driver. No
-// I/O; times are of one clock, that of the rig.
+// When a change of the list counts as told to a gateway, by the operators' pages: the one model by which the
+// judge holds gateways to drains, removals and returns. It shares no constant and no code with the gateway.
+// No I/O; times are of one clock, that of the rig.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using transport::Micros;
 
 // The pages' spans. A test of the model may shorten them; the judge never does.
 struct NotificationTerms {
-  // STANDING: whatever else is allowed after a failed, refused or given-up call, a change counts so long
+  // STANDING: whatever else is allowed after a failed, rejected or given-up call, a change counts so long
   // after discovery had it and could be reached; a silent watch so long after it fell silent.
   Micros atTheLatest = 6'000'000;
   // STANDING: of a long poll that fell silent, so long after its wait is over, if that is later.
@@ -35,35 +35,36 @@
   explicit Notifications(NotificationTerms terms = {}) : terms_(terms) {}
 
   // ---- The service ----
-  // It has a new state of a member. A member that was never named is ready.
-  void changed(const std::string& member, ListedState state, Micros at);
+  // It has a new state of an endpoint. An endpoint that was never named is ready.
+  void changed(const std::string& endpoint, ListedState state, Micros at);
   // Nobody can reach it, from now on or no more.
   void serviceDown(Micros at);
   void serviceUp(Micros at);
 
-  // ---- A driver ----
+  // ---- A gateway ----
   // A new process: it was told nothing in this life. What changed before counts from its first call that
   // fails, or from the latest time that the terms give.
-  void started(const std::string& driver, Micros at);
+  void started(const std::string& gateway, Micros at);
   // The service has written an answer to it, which tells all changes up to then.
-  void written(const std::string& driver, Micros at);
+  void written(const std::string& gateway, Micros at);
   // The same, into a path that has been cut since a time: a watch that fell silent then. What the path held
-  // may arrive once it is whole again, and tells of returns from then on: a driver that knows of one is not
+  // may arrive once it is whole again, and tells of returns from then on: a gateway that knows of one is not
   // held to the removal before it. 'waitEnds': of a long poll, when its wait would have been over.
   struct Silence {
     Micros since = 0;
     Micros until = 0;
     std::optional<Micros> waitEnds;
   };
-  void writtenIntoSilence(const std::string& driver, Micros at, const Silence& silence);
-  // A call of it failed, was refused, or was given up.
-  void callFailed(const std::string& driver, Micros at);
+  void writtenIntoSilence(const std::string& gateway, Micros at, const Silence& silence);
+  // A call of it failed, was rejected, or was given up.
+  void callFailed(const std::string& gateway, Micros at);
   // It was told by a signal that the service is elsewhere.
-  void moved(const std::string& driver, Micros at);
+  void moved(const std::string& gateway, Micros at);
 
-  // Since when it has been told, as of a time, that a member drains or is gone; nothing where its newest word
-  // is that the member is ready.
-  std::optional<Micros> toldNotReady(const std::string& driver, const std::string& member, Micros at) const;
+  // Since when it has been told, as of a time, that an endpoint drains or is gone; nothing where its newest
+  // word is that the endpoint is ready.
+  std::optional<Micros> toldNotReady(const std::string& gateway, const std::string& endpoint,
+                                     Micros at) const;
 
  private:
   struct Change {
@@ -90,9 +91,9 @@
   Micros countsAt(const Life& life, const Change& change) const;
 
   NotificationTerms terms_;
-  std::map<std::string, std::vector<Change>> changes_;  // by member, in the order of their times
+  std::map<std::string, std::vector<Change>> changes_;  // by endpoint, in the order of their times
   std::vector<Span> outages_;
-  std::map<std::string, Life> lives_;  // by driver, the newest
+  std::map<std::string, Life> lives_;  // by gateway, the newest
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/rough_clients.cpp
+++ b/src/emulator/rough_clients.cpp
@@ -1,13 +1,13 @@
-#include "rig/rough_clients.h"
+#include "emulator/rough_clients.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "chance.h"
+#include "common/uniform.h"
 #include "standins/pg_bytes.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1000;
@@ -39,7 +39,7 @@
   void ask(const std::string& id, Micros patience) {
     Judge::Asked asked;
     asked.id = id;
-    asked.driver = all.driver_;
+    asked.gateway = all.gateway_;
     asked.at = all.loop_.now();
     asked.patience = patience;
     all.judge_.asked(asked);
@@ -51,7 +51,7 @@
       if (message.type != 'D' && message.type != 'E') continue;
       const std::string code = message.type == 'E' ? test::pg::field(message.body, 'C') : "";
       const Answered how = message.type == 'D'                  ? Answered::Served
-                           : code == "53300" || code == "57P03" ? Answered::Refused
+                           : code == "53300" || code == "57P03" ? Answered::Rejected
                                                                 : Answered::Failed;
       if (open.empty()) {
         owedNothing = true;  // its error
@@ -68,7 +68,7 @@
   }
   void overdue() {
     if (!awaitsAnswers && !owedNothing)
-      all.judge_.seen(Rule::OneAnswer, all.loop_.now(), all.driver_,
+      all.judge_.seen(Rule::OneAnswer, all.loop_.now(), all.gateway_,
                       "a client that stopped (" + std::to_string(static_cast<int>(kind)) +
                           ") got neither an error nor a close");
     all.remove(*this);
@@ -107,10 +107,10 @@
   bool askedSome = false;
 };
 
-RoughClients::RoughClients(transport::EventLoop& loop, std::string driver, double perSecond, unsigned groups,
+RoughClients::RoughClients(transport::EventLoop& loop, std::string gateway, double perSecond, unsigned groups,
                            Micros patience, std::uint64_t seed, Judge& judge)
     : loop_(loop),
-      driver_(std::move(driver)),
+      gateway_(std::move(gateway)),
       perSecond_(perSecond),
       groups_(groups),
       patience_(patience),
@@ -123,11 +123,11 @@
 RoughClients::~RoughClients() = default;
 
 Micros RoughClients::pause() {
-  return static_cast<Micros>(-std::log(1 - evenly(random_())) / perSecond_ *
+  return static_cast<Micros>(-std::log(1 - uniformUnit(random_())) / perSecond_ *
                              static_cast<double>(kMicrosPerSecond));
 }
 
-std::string RoughClients::nextId() { return driver_ + "-rough-" + std::to_string(++sequence_); }
+std::string RoughClients::nextId() { return gateway_ + "-rough-" + std::to_string(++sequence_); }
 
 std::string RoughClients::request(const std::string& id) {
   return test::pg::query("SELECT blob FROM rows WHERE handle = 'key' /* id=" + id +
@@ -135,9 +135,9 @@
                          ",cluster=" + std::to_string(random_() % groups_) + " */");
 }
 
-void RoughClients::leadTo(std::optional<transport::Endpoint> endpoint) {
-  if (endpoint == endpoint_) return;
-  endpoint_ = endpoint;
+void RoughClients::leadTo(std::optional<transport::SocketAddress> socketAddress) {
+  if (socketAddress == socketAddress_) return;
+  socketAddress_ = socketAddress;
   while (!clients_.empty()) {
     Client& client = *clients_.front();
     for (const std::string& id : client.open) judge_.left(id, loop_.now());
@@ -152,14 +152,14 @@
 
 void RoughClients::turn() {
   next_.arm(loop_.now() + pause());
-  if (endpoint_ && clients_.size() < kClientsMost) begin(static_cast<Kind>(random_() % kKinds));
+  if (socketAddress_ && clients_.size() < kClientsMost) begin(static_cast<Kind>(random_() % kKinds));
 }
 
 void RoughClients::begin(Kind kind) {
   clients_.push_back(std::make_unique<Client>(*this, kind));
   Client& client = *clients_.back();
   int error = 0;
-  if (!client.line.stream.connect(*endpoint_, error)) return remove(client);
+  if (!client.line.stream.connect(*socketAddress_, error)) return remove(client);
   client.due.arm(loop_.now() + kOwedWithin);
   const std::string opening = test::pg::startup();
   const std::string id = nextId();
@@ -218,4 +218,4 @@
   clients_.erase(found);
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/rough_clients.h
+++ b/src/emulator/rough_clients.h
@@ -1,4 +1,4 @@
-// Clients of one driver that do not behave: they stop in the middle, send garbage, write slowly, ask much at
+// Clients of one gateway that do not behave: they stop in the middle, send garbage, write slowly, ask much at
 // once, or leave. What each is owed all the same is checked, and told to the judge.
 #pragma once
 
@@ -9,21 +9,21 @@
 #include <random>
 #include <string>
 
-#include "rig/judge.h"
+#include "emulator/judge.h"
 #include "standins/standins.h"
 #include "transport/event_loop.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 class RoughClients {
  public:
   // 'perSecond': so many begin; 'groups': they ask for these.
-  RoughClients(transport::EventLoop& loop, std::string driver, double perSecond, unsigned groups,
+  RoughClients(transport::EventLoop& loop, std::string gateway, double perSecond, unsigned groups,
                Micros patience, std::uint64_t seed, Judge& judge);
   ~RoughClients();
 
-  // Where the driver serves; nothing: nowhere at present. Those that are there go without a word.
-  void leadTo(std::optional<transport::Endpoint> endpoint);
+  // Where the gateway serves; nothing: nowhere at present. Those that are there go without a word.
+  void leadTo(std::optional<transport::SocketAddress> socketAddress);
   // No further ones, and nothing more is checked of those that are there.
   void stop();
 
@@ -39,16 +39,16 @@
   Micros pause();
 
   transport::EventLoop& loop_;
-  std::string driver_;
+  std::string gateway_;
   double perSecond_;
   unsigned groups_;
   Micros patience_;
   std::mt19937_64 random_;
   Judge& judge_;
-  std::optional<transport::Endpoint> endpoint_;
+  std::optional<transport::SocketAddress> socketAddress_;
   std::list<std::unique_ptr<Client>> clients_;
   transport::Timer next_;
   std::uint64_t sequence_ = 0;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/scale.cpp
+++ b/src/emulator/scale.cpp
@@ -1,16 +1,16 @@
-#include "rig/scale.h"
+#include "emulator/scale.h"
 
 #include <unistd.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "rig/client_crowd.h"
-#include "rig/gossip.h"
-#include "rig/subset_cost.h"
+#include "emulator/client_crowd.h"
+#include "emulator/gossip.h"
+#include "emulator/subset_cost.h"
 #include "standins/standins.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1000;
@@ -23,10 +23,10 @@
 constexpr Micros kLookAtMemoryEvery = 500 * kMicrosPerMilli;
 // The part of the machine's memory that a run may take: one in so many.
 constexpr std::size_t kMemoryPart = 2;
-// Until a driver's memory stands still behind what it was told.
+// Until a gateway's memory stands still behind what it was told.
 constexpr Micros kRest = kMicrosPerSecond;
 constexpr Micros kBurstSpan = 100 * kMicrosPerMilli;
-constexpr std::size_t kAnsweringMembers = 3;
+constexpr std::size_t kAnsweringEndpoints = 3;
 
 double milliseconds(Micros time) { return static_cast<double>(time) / kMicrosPerMilli; }
 double seconds(Micros time) { return static_cast<double>(time) / kMicrosPerSecond; }
@@ -44,9 +44,9 @@
     : loop_(loop), plan_(plan), program_(std::move(program)), hooks_(std::move(hooks)) {}
 
 ScaleOutcome ScaleRun::play() {
-  if (plan_.drivers) drivers(*plan_.drivers);
-  if (plan_.members) {
-    for (const unsigned size : plan_.members->sizes) membersAt(*plan_.members, size);
+  if (plan_.gateways) gateways(*plan_.gateways);
+  if (plan_.endpoints) {
+    for (const unsigned size : plan_.endpoints->sizes) endpointsAt(*plan_.endpoints, size);
   }
   if (plan_.changes) {
     for (const unsigned rate : plan_.changes->sizes) changesAt(*plan_.changes, rate);
@@ -97,52 +97,52 @@
   if (hooks_.onProgress) hooks_.onProgress(name);
 }
 
-// ---- Drivers ----
+// ---- Gateways ----
 
-FleetPlan ScaleRun::fleetOf(unsigned drivers, unsigned real) const {
+FleetPlan ScaleRun::fleetOf(unsigned gateways, unsigned real) const {
   FleetPlan out;
   out.real = real;
-  out.hollow = drivers - real;
-  out.askWithin = plan_.askWithin;
+  out.hollow = gateways - real;
+  out.maxPollInterval = plan_.maxPollInterval;
   out.program = program_;
   return out;
 }
 
-bool ScaleRun::waitUpToDate(DriverFleet& fleet, std::size_t drivers) {
-  return wait(std::to_string(drivers) + " drivers watch an up to date list",
-              [&] { return fleet.upToDate() >= drivers; });
+bool ScaleRun::waitUpToDate(GatewayFleet& fleet, std::size_t gateways) {
+  return wait(std::to_string(gateways) + " drivers watch an up to date list",
+              [&] { return fleet.upToDate() >= gateways; });
 }
 
-bool ScaleRun::startFleet(DriverFleet& fleet) {
+bool ScaleRun::startFleet(GatewayFleet& fleet) {
   fleet.start();
-  for (const auto& driver : fleet.real()) processes_.push_back(driver->pid());
+  for (const auto& gateway : fleet.real()) processes_.push_back(gateway->pid());
   return waitUpToDate(fleet, fleet.size());
 }
 
-Micros ScaleRun::changeOnce(DriverFleet& fleet, std::size_t member, std::size_t drivers) {
+Micros ScaleRun::changeOnce(GatewayFleet& fleet, std::size_t endpoint, std::size_t gateways) {
   const Micros at = now();
-  fleet.feed().change(member % fleet.feed().size());
-  waitUpToDate(fleet, drivers);
+  fleet.feed().change(endpoint % fleet.feed().size());
+  waitUpToDate(fleet, gateways);
   return now() - at;
 }
 
-ScaleRun::Moment ScaleRun::momentOf(DriverFleet& fleet) {
+ScaleRun::Moment ScaleRun::momentOf(GatewayFleet& fleet) {
   Moment out;
   out.at = now();
   out.traffic = fleet.feed().traffic();
-  for (const auto& driver : fleet.real()) out.realProcessor += usageOf(driver->pid()).processor;
+  for (const auto& gateway : fleet.real()) out.realProcessor += usageOf(gateway->pid()).processor;
   out.rigProcessor = usageOf(::getpid()).processor;
   return out;
 }
 
-void ScaleRun::drivers(const DriversPart& part) {
-  for (const unsigned size : part.sizes) driversAt(part, size);
+void ScaleRun::gateways(const GatewaysPart& part) {
+  for (const unsigned size : part.sizes) gatewaysAt(part, size);
 }
 
-void ScaleRun::driversAt(const DriversPart& part, unsigned size) {
+void ScaleRun::gatewaysAt(const GatewaysPart& part, unsigned size) {
   if (over()) return;
-  begin(std::to_string(size) + " drivers, " + std::to_string(part.members) + " members");
-  DriverFleet fleet(loop_, fleetOf(size, std::min(part.real, size / 2)), listOf(part.members));
+  begin(std::to_string(size) + " drivers, " + std::to_string(part.endpoints) + " members");
+  GatewayFleet fleet(loop_, fleetOf(size, std::min(part.real, size / 2)), listOf(part.endpoints));
   const Micros startedAt = now();
   if (!startFleet(fleet)) return;
   const auto& traffic = fleet.feed().traffic();
@@ -156,7 +156,7 @@
   outcome_.results.fact("load", "drivers_" + std::to_string(size), machineLoad());
 }
 
-void ScaleRun::quiet(const DriversPart& part, DriverFleet& fleet) {
+void ScaleRun::quiet(const GatewaysPart& part, GatewayFleet& fleet) {
   const double watches = seconds(fleet.feed().meanWait());
   const Moment before = momentOf(fleet);
   if (!pass(part.quiet)) return;
@@ -172,7 +172,7 @@
   results.add("drivers", "real_cpu_us_per_s", size, processor / processes / span);
 }
 
-void ScaleRun::changesOneByOne(const DriversPart& part, DriverFleet& fleet) {
+void ScaleRun::changesOneByOne(const GatewaysPart& part, GatewayFleet& fleet) {
   if (over()) return;
   const Moment before = momentOf(fleet);
   std::vector<Micros> times;
@@ -190,12 +190,12 @@
               real(bytesOf(after.traffic) - bytesOf(before.traffic)) / part.changes);
 }
 
-// ---- A real driver as the list and its changes grow ----
+// ---- A real gateway as the list and its changes grow ----
 
-void ScaleRun::membersAt(const MembersPart& part, unsigned size) {
+void ScaleRun::endpointsAt(const EndpointsPart& part, unsigned size) {
   if (over()) return;
   begin(std::to_string(size) + " members, " + std::to_string(part.real) + " real drivers");
-  DriverFleet fleet(loop_, fleetOf(part.real, part.real), listOf(size));
+  GatewayFleet fleet(loop_, fleetOf(part.real, part.real), listOf(size));
   if (!startFleet(fleet)) return;
   auto& results = outcome_.results;
   results.add("members", "whole_bytes", size, real(fleet.feed().traffic().bytesOut) / part.real);
@@ -216,7 +216,7 @@
   results.fact("load", "members_" + std::to_string(size), machineLoad());
 }
 
-bool ScaleRun::changeEvenly(DriverFleet& fleet, std::size_t count, Micros span) {
+bool ScaleRun::changeEvenly(GatewayFleet& fleet, std::size_t count, Micros span) {
   const Micros start = now();
   for (std::size_t i = 0; i < count; ++i) {
     const Micros due = start + static_cast<Micros>(i) * span / static_cast<Micros>(count);
@@ -228,8 +228,8 @@
 
 void ScaleRun::changesAt(const ChangesPart& part, unsigned rate) {
   if (over()) return;
-  begin(std::to_string(rate) + " changes a second, " + std::to_string(part.members) + " members");
-  DriverFleet fleet(loop_, fleetOf(part.real, part.real), listOf(part.members));
+  begin(std::to_string(rate) + " changes a second, " + std::to_string(part.endpoints) + " members");
+  GatewayFleet fleet(loop_, fleetOf(part.real, part.real), listOf(part.endpoints));
   if (!startFleet(fleet)) return;
   const Moment before = momentOf(fleet);
   const auto count = static_cast<std::size_t>(rate * part.lasts / kMicrosPerSecond);
@@ -250,27 +250,27 @@
 void ScaleRun::clients(const ClientsPart& part) {
   if (over()) return;
   begin("clients of one real driver");
-  std::vector<std::unique_ptr<test::MemberStandIn>> members;
-  std::vector<ListedEntry> entries = listOf(kAnsweringMembers);
-  for (std::size_t i = 0; i < kAnsweringMembers; ++i) {
-    members.push_back(std::make_unique<test::MemberStandIn>(loop_));
-    members.back()->primary = entries[i].primary;
-    members.back()->keepsStatements = false;
-    entries[i].hostPort = members.back()->address();
+  std::vector<std::unique_ptr<test::EndpointStandIn>> endpoints;
+  std::vector<ListedEntry> entries = listOf(kAnsweringEndpoints);
+  for (std::size_t i = 0; i < kAnsweringEndpoints; ++i) {
+    endpoints.push_back(std::make_unique<test::EndpointStandIn>(loop_));
+    endpoints.back()->primary = entries[i].primary;
+    endpoints.back()->keepsStatements = false;
+    entries[i].hostPort = endpoints.back()->address();
   }
-  DriverFleet fleet(loop_, fleetOf(1, 1), entries);
+  GatewayFleet fleet(loop_, fleetOf(1, 1), entries);
   if (!startFleet(fleet)) return;
-  Child& driver = *fleet.real().front();
-  if (!wait("a driver serves", [&] { return driver.endpoint().has_value(); })) return;
-  ClientCrowd crowd(loop_, *driver.endpoint());
+  Child& gateway = *fleet.real().front();
+  if (!wait("a driver serves", [&] { return gateway.socketAddress().has_value(); })) return;
+  ClientCrowd crowd(loop_, *gateway.socketAddress());
   auto& results = outcome_.results;
   for (const unsigned size : part.sizes) {
     crowd.grow(size);
     if (!wait("clients have an answer or are turned away", [&] { return crowd.settled() >= size; })) return;
     if (!pass(kRest)) return;
-    const double resident = static_cast<double>(usageOf(driver.pid()).resident);
+    const double resident = static_cast<double>(usageOf(gateway.pid()).resident);
     results.add("clients", "held", size, real(crowd.held()));
-    // Of connections that all stand: behind those that were let go a driver keeps some memory.
+    // Of connections that all stand: behind those that were let go a gateway keeps some memory.
     if (crowd.held() == size) results.add("clients", "resident_kb", size, resident / kBytesPerKilobyte);
   }
   begin("statements through one real driver");
@@ -285,7 +285,7 @@
   results.fact("load", "statements", machineLoad());
 }
 
-// ---- Drivers that watch each other ----
+// ---- Gateways that watch each other ----
 
 void ScaleRun::gossip(const GossipPart& part) {
   for (const unsigned size : part.sizes) {
@@ -318,12 +318,12 @@
 
 void ScaleRun::faults(const FaultsPart& part) {
   if (over()) return;
-  begin("faults among " + std::to_string(part.drivers) + " drivers");
-  FleetPlan plan = fleetOf(part.drivers, std::min(part.real, part.drivers / 2));
+  begin("faults among " + std::to_string(part.gateways) + " drivers");
+  FleetPlan plan = fleetOf(part.gateways, std::min(part.real, part.gateways / 2));
   plan.cuttable = true;
-  DriverFleet fleet(loop_, plan, listOf(part.members));
+  GatewayFleet fleet(loop_, plan, listOf(part.endpoints));
   if (!startFleet(fleet)) return;
-  outcome_.results.fact("faults", "drivers", part.drivers);
+  outcome_.results.fact("faults", "drivers", part.gateways);
   if (!over()) restartHalf(fleet);
   if (!over()) listAway(part, fleet);
   if (!over()) cutSeventh(part, fleet);
@@ -331,7 +331,7 @@
   outcome_.results.fact("load", "faults", machineLoad());
 }
 
-void ScaleRun::restartHalf(DriverFleet& fleet) {
+void ScaleRun::restartHalf(GatewayFleet& fleet) {
   if (hooks_.onProgress) hooks_.onProgress("half of the drivers restart");
   const std::size_t ended = fleet.endHalf();
   const std::size_t left = fleet.size() - ended;
@@ -347,7 +347,7 @@
   results.fact("restart_half", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
 
-void ScaleRun::listAway(const FaultsPart& part, DriverFleet& fleet) {
+void ScaleRun::listAway(const FaultsPart& part, GatewayFleet& fleet) {
   if (hooks_.onProgress) hooks_.onProgress("the list service goes away and comes back");
   fleet.feed().goDown();
   fleet.feed().change(0);
@@ -364,7 +364,7 @@
   results.fact("list_away", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
 
-void ScaleRun::cutSeventh(const FaultsPart& part, DriverFleet& fleet) {
+void ScaleRun::cutSeventh(const FaultsPart& part, GatewayFleet& fleet) {
   if (hooks_.onProgress) hooks_.onProgress("a seventh is cut off and comes back");
   auto& results = outcome_.results;
   fleet.cut();
@@ -380,7 +380,7 @@
   results.fact("cut_seventh", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
 
-void ScaleRun::burst(const FaultsPart& part, DriverFleet& fleet) {
+void ScaleRun::burst(const FaultsPart& part, GatewayFleet& fleet) {
   if (hooks_.onProgress) hooks_.onProgress("a burst of changes");
   const Moment before = momentOf(fleet);
   if (!changeEvenly(fleet, part.burst, kMicrosPerSecond)) return;
@@ -397,4 +397,4 @@
                static_cast<double>(after.realProcessor - before.realProcessor) / processes);
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/scale.h
+++ b/src/emulator/scale.h
@@ -1,4 +1,4 @@
-// Plays a scale plan: drivers, members, changes and clients at rising sizes, then faults, and what each of
+// Plays a scale plan: gateways, endpoints, changes and clients at rising sizes, then faults, and what each of
 // them costs. Bounded in time and memory; all that it starts ends with it.
 #pragma once
 
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "rig/driver_fleet.h"
-#include "rig/scale_plan.h"
-#include "rig/scale_results.h"
+#include "emulator/driver_fleet.h"
+#include "emulator/scale_plan.h"
+#include "emulator/scale_results.h"
 #include "transport/event_loop.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 struct ScaleOutcome {
   ScaleResults results;
@@ -27,7 +27,7 @@
     std::function<bool()> goesOn;                             // false ends it early
     std::function<void(const std::string& step)> onProgress;  // before each step
   };
-  // 'program': the driver.
+  // 'program': the gateway.
   ScaleRun(transport::EventLoop& loop, const ScalePlan& plan, std::string program, Hooks hooks);
 
   ScaleOutcome play();
@@ -37,7 +37,7 @@
   struct Moment {
     Micros at = 0;
     ListFeed::Traffic traffic;
-    Micros realProcessor = 0;  // of all real drivers
+    Micros realProcessor = 0;  // of all real gateways
     Micros rigProcessor = 0;
   };
 
@@ -50,29 +50,29 @@
   void begin(const std::string& step);
   Micros now() { return loop_.clock().now(); }
 
-  FleetPlan fleetOf(unsigned drivers, unsigned real) const;
-  bool startFleet(DriverFleet& fleet);
-  bool waitUpToDate(DriverFleet& fleet, std::size_t drivers);
-  // One change; how long until it was in force at so many drivers.
-  Micros changeOnce(DriverFleet& fleet, std::size_t member, std::size_t drivers);
-  Moment momentOf(DriverFleet& fleet);
+  FleetPlan fleetOf(unsigned gateways, unsigned real) const;
+  bool startFleet(GatewayFleet& fleet);
+  bool waitUpToDate(GatewayFleet& fleet, std::size_t gateways);
+  // One change; how long until it was in force at so many gateways.
+  Micros changeOnce(GatewayFleet& fleet, std::size_t endpoint, std::size_t gateways);
+  Moment momentOf(GatewayFleet& fleet);
 
-  void drivers(const DriversPart& part);
-  void driversAt(const DriversPart& part, unsigned size);
-  void quiet(const DriversPart& part, DriverFleet& fleet);
-  void changesOneByOne(const DriversPart& part, DriverFleet& fleet);
-  void membersAt(const MembersPart& part, unsigned size);
+  void gateways(const GatewaysPart& part);
+  void gatewaysAt(const GatewaysPart& part, unsigned size);
+  void quiet(const GatewaysPart& part, GatewayFleet& fleet);
+  void changesOneByOne(const GatewaysPart& part, GatewayFleet& fleet);
+  void endpointsAt(const EndpointsPart& part, unsigned size);
   void changesAt(const ChangesPart& part, unsigned rate);
   void clients(const ClientsPart& part);
   void gossip(const GossipPart& part);
   void subsets(const SubsetsPart& part);
   void faults(const FaultsPart& part);
-  void restartHalf(DriverFleet& fleet);
-  void listAway(const FaultsPart& part, DriverFleet& fleet);
-  void cutSeventh(const FaultsPart& part, DriverFleet& fleet);
-  void burst(const FaultsPart& part, DriverFleet& fleet);
+  void restartHalf(GatewayFleet& fleet);
+  void listAway(const FaultsPart& part, GatewayFleet& fleet);
+  void cutSeventh(const FaultsPart& part, GatewayFleet& fleet);
+  void burst(const FaultsPart& part, GatewayFleet& fleet);
   // So many changes evenly over a span, up to the last of them; false where the run is over.
-  bool changeEvenly(DriverFleet& fleet, std::size_t count, Micros span);
+  bool changeEvenly(GatewayFleet& fleet, std::size_t count, Micros span);
 
   transport::EventLoop& loop_;
   ScalePlan plan_;
@@ -83,4 +83,4 @@
   Micros memoryLookedAt_ = 0;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/scale_plan.cpp
+++ b/src/emulator/scale_plan.cpp
@@ -1,10 +1,10 @@
-#include "rig/scale_plan.h"
+#include "emulator/scale_plan.h"
 
 #include <algorithm>
 #include <sstream>
 
-#include "rig/file_text.h"
-namespace heathflow::rig {
+#include "emulator/file_text.h"
+namespace heathflow::emulator {
 namespace {
 
 using transport::Micros;
@@ -13,13 +13,13 @@
 
 constexpr const char* kSpace = "urn:heathflow:scale:1";
 constexpr Micros kMicrosPerSecond = 1'000'000;
-// Of a hollow driver here: its listener, its watch, and the list service's end of that.
+// Of a hollow gateway here: its listener, its watch, and the list service's end of that.
 constexpr std::size_t kDescriptorsOfHollow = 3;
 // Of a real one: its log, and the list service's end of its watch.
 constexpr std::size_t kDescriptorsOfReal = 2;
 // Of each one that can be cut off: both ends of its path.
 constexpr std::size_t kDescriptorsOfCut = 2;
-// Connections at emulated members, and what the process itself has.
+// Connections at emulated endpoints, and what the process itself has.
 constexpr std::size_t kDescriptorsBeside = 600;
 
 void number(const Node* node, const char* name, unsigned& out) {
@@ -35,18 +35,18 @@
   return out;
 }
 
-DriversPart readDrivers(const Node* node) {
-  DriversPart out;
+GatewaysPart readGateways(const Node* node) {
+  GatewaysPart out;
   out.sizes = sizesOf(node);
-  number(node, "members", out.members);
+  number(node, "members", out.endpoints);
   number(node, "real", out.real);
   seconds(node, "seconds", out.quiet);
   number(node, "changes", out.changes);
   return out;
 }
 
-MembersPart readMembers(const Node* node) {
-  MembersPart out;
+EndpointsPart readEndpoints(const Node* node) {
+  EndpointsPart out;
   out.sizes = sizesOf(node);
   number(node, "real", out.real);
   number(node, "changes", out.changes);
@@ -56,7 +56,7 @@
 ChangesPart readChanges(const Node* node) {
   ChangesPart out;
   out.sizes = sizesOf(node);
-  number(node, "members", out.members);
+  number(node, "members", out.endpoints);
   number(node, "real", out.real);
   seconds(node, "seconds", out.lasts);
   return out;
@@ -86,8 +86,8 @@
 
 FaultsPart readFaults(const Node* node) {
   FaultsPart out;
-  number(node, "drivers", out.drivers);
-  number(node, "members", out.members);
+  number(node, "drivers", out.gateways);
+  number(node, "members", out.endpoints);
   number(node, "real", out.real);
   seconds(node, "seconds", out.lasts);
   number(node, "burst", out.burst);
@@ -123,38 +123,38 @@
 };
 
 void check(const ScalePlan& plan, Checker& checker) {
-  if (plan.drivers) {
-    checker.sizes("drivers", plan.drivers->sizes, kDriversMost);
-    checker.atMost("drivers", "a list", plan.drivers->members, kMembersMost);
+  if (plan.gateways) {
+    checker.sizes("drivers", plan.gateways->sizes, kGatewaysMost);
+    checker.atMost("drivers", "a list", plan.gateways->endpoints, kEndpointsMost);
   }
-  if (plan.members) {
-    checker.sizes("members", plan.members->sizes, kMembersMost);
-    checker.someReal("members", plan.members->real);
+  if (plan.endpoints) {
+    checker.sizes("members", plan.endpoints->sizes, kEndpointsMost);
+    checker.someReal("members", plan.endpoints->real);
   }
   if (plan.changes) {
     checker.sizes("changes", plan.changes->sizes, kChangesMost);
-    checker.atMost("changes", "a list", plan.changes->members, kMembersMost);
+    checker.atMost("changes", "a list", plan.changes->endpoints, kEndpointsMost);
     checker.someReal("changes", plan.changes->real);
   }
   if (plan.clients) checker.sizes("clients", plan.clients->sizes, kClientsMost);
   if (plan.gossip) {
-    checker.sizes("gossip", plan.gossip->sizes, kDriversMost);
+    checker.sizes("gossip", plan.gossip->sizes, kGatewaysMost);
     checker.notAlone("gossip", plan.gossip->sizes);
   }
   if (plan.subsets) {
-    checker.sizes("subsets", plan.subsets->sizes, kDriversMost);
+    checker.sizes("subsets", plan.subsets->sizes, kGatewaysMost);
     checker.notAlone("subsets", plan.subsets->sizes);
   }
   if (plan.faults) {
-    checker.atMost("faults", "a number of drivers", plan.faults->drivers, kDriversMost);
-    checker.atMost("faults", "a list", plan.faults->members, kMembersMost);
+    checker.atMost("faults", "a number of drivers", plan.faults->gateways, kGatewaysMost);
+    checker.atMost("faults", "a list", plan.faults->endpoints, kEndpointsMost);
     checker.atMost("faults", "a burst", plan.faults->burst, kChangesMost);
   }
 }
 
-std::size_t ofDrivers(unsigned drivers, unsigned real) {
-  const std::size_t processes = std::min(real, drivers);
-  return processes * kDescriptorsOfReal + (drivers - processes) * kDescriptorsOfHollow;
+std::size_t ofGateways(unsigned gateways, unsigned real) {
+  const std::size_t processes = std::min(real, gateways);
+  return processes * kDescriptorsOfReal + (gateways - processes) * kDescriptorsOfHollow;
 }
 
 }  // namespace
@@ -165,11 +165,11 @@
   if (!document || document->root() == nullptr || !document->valid()) return std::nullopt;
   ScalePlan out;
   out.name = attribute(document->root(), "name");
-  seconds(document->root(), "ask-within-s", out.askWithin);
+  seconds(document->root(), "ask-within-s", out.maxPollInterval);
   for (const Node* part : xml::children(document->root())) {
     const std::string_view name = xml::nameOf(part);
-    if (name == "drivers") out.drivers = readDrivers(part);
-    if (name == "members") out.members = readMembers(part);
+    if (name == "drivers") out.gateways = readGateways(part);
+    if (name == "members") out.endpoints = readEndpoints(part);
     if (name == "changes") out.changes = readChanges(part);
     if (name == "clients") out.clients = readClients(part);
     if (name == "gossip") out.gossip = readGossip(part);
@@ -192,14 +192,14 @@
 std::size_t descriptorsFor(const ScalePlan& plan) {
   std::size_t most = 0;
   const auto atOnce = [&](std::size_t count) { most = std::max(most, count); };
-  if (plan.drivers && !plan.drivers->sizes.empty())
-    atOnce(ofDrivers(plan.drivers->sizes.back(), plan.drivers->real));
-  if (plan.members) atOnce(ofDrivers(plan.members->real, plan.members->real));
-  if (plan.changes) atOnce(ofDrivers(plan.changes->real, plan.changes->real));
+  if (plan.gateways && !plan.gateways->sizes.empty())
+    atOnce(ofGateways(plan.gateways->sizes.back(), plan.gateways->real));
+  if (plan.endpoints) atOnce(ofGateways(plan.endpoints->real, plan.endpoints->real));
+  if (plan.changes) atOnce(ofGateways(plan.changes->real, plan.changes->real));
   if (plan.clients && !plan.clients->sizes.empty()) atOnce(plan.clients->sizes.back() + kDescriptorsOfReal);
   if (plan.faults)
-    atOnce(ofDrivers(plan.faults->drivers, plan.faults->real) + plan.faults->drivers * kDescriptorsOfCut);
+    atOnce(ofGateways(plan.faults->gateways, plan.faults->real) + plan.faults->gateways * kDescriptorsOfCut);
   return most + kDescriptorsBeside;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/scale_plan.h
+++ b/src/emulator/scale_plan.h
@@ -10,21 +10,21 @@
 #include "transport/clock.h"
 #include "xml/document.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 using Sizes = std::vector<unsigned>;
 
-// Drivers of one list service.
-struct DriversPart {
+// Gateways of one list service.
+struct GatewaysPart {
   Sizes sizes;
-  unsigned members = 100;
+  unsigned endpoints = 100;
   unsigned real = 10;  // processes among them, at the most half; the others are hollow
   transport::Micros quiet = 10'000'000;
   unsigned changes = 5;  // one after the other
 };
 
-// Members in the list of real drivers.
-struct MembersPart {
+// Endpoints in the list of real gateways.
+struct EndpointsPart {
   Sizes sizes;
   unsigned real = 2;
   unsigned changes = 20;
@@ -33,34 +33,34 @@
 // Changes a second.
 struct ChangesPart {
   Sizes sizes;
-  unsigned members = 1000;
+  unsigned endpoints = 1000;
   unsigned real = 2;
   transport::Micros lasts = 5'000'000;
 };
 
-// Connections of clients to one real driver.
+// Connections of clients to one real gateway.
 struct ClientsPart {
   Sizes sizes;
   unsigned asking = 16;
   unsigned statements = 10'000;
 };
 
-// Drivers that watch each other, in virtual time.
+// Gateways that watch each other, in virtual time.
 struct GossipPart {
   Sizes sizes;
   transport::Micros lasts = 30'000'000;
 };
 
-// Drivers of which each group has so many.
+// Gateways of which each group has so many.
 struct SubsetsPart {
   Sizes sizes;
   unsigned each = 20;
 };
 
-// What befalls drivers of one list service.
+// What befalls gateways of one list service.
 struct FaultsPart {
-  unsigned drivers = 0;
-  unsigned members = 100;
+  unsigned gateways = 0;
+  unsigned endpoints = 100;
   unsigned real = 10;
   transport::Micros lasts = 10'000'000;
   unsigned burst = 100;  // changes in one second
@@ -69,9 +69,9 @@
 // A part that is not named is not run.
 struct ScalePlan {
   std::string name;
-  transport::Micros askWithin = 10'000'000;
-  std::optional<DriversPart> drivers;
-  std::optional<MembersPart> members;
+  transport::Micros maxPollInterval = 10'000'000;
+  std::optional<GatewaysPart> gateways;
+  std::optional<EndpointsPart> endpoints;
   std::optional<ChangesPart> changes;
   std::optional<ClientsPart> clients;
   std::optional<GossipPart> gossip;
@@ -80,8 +80,8 @@
 };
 
 // What one machine can play.
-inline constexpr unsigned kDriversMost = 3'300;
-inline constexpr unsigned kMembersMost = 33'000;
+inline constexpr unsigned kGatewaysMost = 3'300;
+inline constexpr unsigned kEndpointsMost = 33'000;
 inline constexpr unsigned kChangesMost = 1'000;  // a second
 inline constexpr unsigned kClientsMost = 1'000;
 
@@ -95,4 +95,4 @@
 // The most descriptors that this process needs for it at once.
 std::size_t descriptorsFor(const ScalePlan& plan);
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/scale_results.cpp
+++ b/src/emulator/scale_results.cpp
@@ -1,4 +1,4 @@
-#include "rig/scale_results.h"
+#include "emulator/scale_results.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 #include <set>
 #include <sstream>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 // What is below this comes from the arithmetic alone.
@@ -120,4 +120,4 @@
   return out.str();
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/scale_results.h
+++ b/src/emulator/scale_results.h
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "rig/slope.h"
+#include "emulator/slope.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 // One quantity of a part, at the sizes of that part.
 struct Series {
@@ -49,4 +49,4 @@
   std::vector<std::pair<std::string, double>> facts_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -1,12 +1,12 @@
-#include "rig/scenario.h"
+#include "emulator/scenario.h"
 
 #include <algorithm>
 #include <array>
 #include <sstream>
 
+#include "emulator/file_text.h"
 #include "faultshim/fault_plan.h"
-#include "rig/file_text.h"
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 using xml::attribute;
@@ -35,25 +35,25 @@
   if (!text.empty()) out = numberOf<Micros>(text, 0) * unit;
 }
 
-void readMembers(const Node* node, Scenario& out) {
+void readEndpoints(const Node* node, Scenario& out) {
   number(node, "groups", out.groups);
   number(node, "replicas", out.replicas);
   out.cold = isTrue(attribute(node, "cold"));
   number(node, "bad", out.bad);
   number(node, "bad-by", out.badBy);
-  duration(node, "warm-up-ms", kMicrosPerMilli, out.member.warmUp);
-  number(node, "connections", out.member.connections);
-  duration(node, "accept-us", 1, out.member.accept);
-  duration(node, "service-us", 1, out.member.service);
-  number(node, "slots", out.member.slots);
-  duration(node, "lag-ms", kMicrosPerMilli, out.member.lag);
+  duration(node, "warm-up-ms", kMicrosPerMilli, out.endpoint.slowStartDuration);
+  number(node, "connections", out.endpoint.connections);
+  duration(node, "accept-us", 1, out.endpoint.accept);
+  duration(node, "service-us", 1, out.endpoint.service);
+  number(node, "slots", out.endpoint.slots);
+  duration(node, "lag-ms", kMicrosPerMilli, out.endpoint.lag);
 }
 
-void readDrivers(const Node* node, Scenario& out) {
-  number(node, "count", out.drivers);
+void readGateways(const Node* node, Scenario& out) {
+  number(node, "count", out.gateways);
   out.snapshot = isTrue(attribute(node, "snapshot"));
   duration(node, "learned-us", 1, out.learned);
-  duration(node, "usual-us", 1, out.usual);
+  duration(node, "usual-us", 1, out.initialLatency);
   out.faults = attribute(node, "faults");
   number(node, "faults-share", out.faultsShare);
   out.hardStops = isTrue(attribute(node, "hard-stops"));
@@ -75,7 +75,7 @@
 }
 
 void readLoad(const Node* node, Scenario& out) {
-  number(node, "per-driver", out.perDriver);
+  number(node, "per-driver", out.perGateway);
   number(node, "busy-share", out.busyShare);
   number(node, "busy-times", out.busyTimes);
   duration(node, "patience-ms", kMicrosPerMilli, out.patience);
@@ -107,7 +107,7 @@
   if (all.groups == 0 || all.groups * (all.replicas + 1) > 1000)
     complain("members",
              "there are no members, or more than 1,000: a size that one machine can play is expected");
-  if (all.member.slots == 0 || all.member.service == 0)
+  if (all.endpoint.slots == 0 || all.endpoint.service == 0)
     complain("members", "nothing is ever served: 'slots' and 'service-us' above 0 are expected");
   if (all.bad > all.groups * all.replicas)
     complain("members", "more are bad than there are replicas: no more than " +
@@ -133,7 +133,7 @@
 
 bool needsPaths(const Scenario& scenario) {
   return std::any_of(scenario.happenings.begin(), scenario.happenings.end(), [](const Happening& happening) {
-    return happening.kind >= Happening::Kind::CutMembers;
+    return happening.kind >= Happening::Kind::CutEndpoints;
   });
 }
 
@@ -142,19 +142,20 @@
   std::ostringstream out;
   out << "<scenario xmlns=\"" << kSpace << "\" name=\"" << all.name << "\" seconds=\""
       << all.length / kMicrosPerSecond << "\" seed=\"" << all.seed << "\">\n  <drivers count=\""
-      << all.drivers << "\" known=\"" << kKnown.at(static_cast<std::size_t>(all.known)) << "\" snapshot=\""
+      << all.gateways << "\" known=\"" << kKnown.at(static_cast<std::size_t>(all.known)) << "\" snapshot=\""
       << (all.snapshot ? "true" : "false") << "\" hard-stops=\"" << (all.hardStops ? "true" : "false")
       << "\" signal-series=\"" << (all.signalSeries ? "true" : "false") << "\" deadline-ms=\""
       << millis(all.deadline) << "\" faults=\"" << all.faults << "\" faults-share=\"" << all.faultsShare
       << "\"/>\n  <members groups=\"" << all.groups << "\" replicas=\"" << all.replicas << "\" cold=\""
       << (all.cold ? "true" : "false") << "\" bad=\"" << all.bad << "\" warm-up-ms=\""
-      << millis(all.member.warmUp) << "\" lag-ms=\"" << millis(all.member.lag) << "\"/>\n  <list call-us=\""
-      << all.list.call << "\" line-us=\"" << all.list.line << "\" reset-share=\"" << all.resetShare
-      << "\"/>\n  <load per-driver=\"" << all.perDriver << "\" busy-share=\"" << all.busyShare
-      << "\" busy-times=\"" << all.busyTimes << "\" patience-ms=\"" << millis(all.patience)
-      << "\" bound-ms=\"" << millis(all.bound) << "\" leaving=\"" << all.leaving << "\" rough=\"" << all.rough
-      << "\" idle-clients=\"" << all.idleClients << "\" view=\"" << all.mix.view << "\" any=\"" << all.mix.any
-      << "\" status=\"" << all.mix.status << "\" save=\"" << all.mix.save << "\"/>\n";
+      << millis(all.endpoint.slowStartDuration) << "\" lag-ms=\"" << millis(all.endpoint.lag)
+      << "\"/>\n  <list call-us=\"" << all.list.call << "\" line-us=\"" << all.list.line
+      << "\" reset-share=\"" << all.resetShare << "\"/>\n  <load per-driver=\"" << all.perGateway
+      << "\" busy-share=\"" << all.busyShare << "\" busy-times=\"" << all.busyTimes << "\" patience-ms=\""
+      << millis(all.patience) << "\" bound-ms=\"" << millis(all.bound) << "\" leaving=\"" << all.leaving
+      << "\" rough=\"" << all.rough << "\" idle-clients=\"" << all.idleClients << "\" view=\"" << all.mix.view
+      << "\" any=\"" << all.mix.any << "\" status=\"" << all.mix.status << "\" save=\"" << all.mix.save
+      << "\"/>\n";
   for (const Happening& happening : all.happenings) {
     out << "  <fault at-ms=\"" << millis(happening.at) << "\" kind=\"" << nameOf(happening.kind)
         << "\" share=\"" << happening.share << "\" for-ms=\"" << millis(happening.lasts) << "\"/>\n";
@@ -174,8 +175,8 @@
   duration(root, "seconds", kMicrosPerSecond, out.length);
   for (const Node* part : children(root)) {
     const std::string_view name = nameOf(part);
-    if (name == "drivers") readDrivers(part, out);
-    if (name == "members") readMembers(part, out);
+    if (name == "drivers") readGateways(part, out);
+    if (name == "members") readEndpoints(part, out);
     if (name == "list") readList(part, out);
     if (name == "load") readLoad(part, out);
     if (name == "fault") out.happenings.push_back(readHappening(part));
@@ -194,4 +195,4 @@
   return parseScenario(path, *text, problems);
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
