--- a/src/rig/site.cpp
+++ b/src/emulator/site.cpp
@@ -1,4 +1,4 @@
-#include "rig/site.h"
+#include "emulator/site.h"
 
 #include <signal.h>
 
@@ -14,7 +14,7 @@
 #include "snapshot/snapshot.h"
 #include "standins/gateway_rig.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 using Json = nlohmann::ordered_json;
@@ -23,11 +23,11 @@
 constexpr Micros kMicrosPerSecond = 1'000'000;
 constexpr Micros kTick = 50 * kMicrosPerMilli;
 constexpr Micros kBurst = 100 * kMicrosPerMilli;
-// The list learns of a new primary so much later than the members do.
+// The list learns of a new primary so much later than the endpoints do.
 constexpr Micros kListLearns = 300 * kMicrosPerMilli;
-// From a drain's word to the member's end.
+// From a drain's word to the endpoint's end.
 constexpr Micros kDrainLasts = kMicrosPerSecond;
-// The revision that the service has at the start, above what drivers know.
+// The revision that the service has at the start, above what gateways know.
 constexpr std::int64_t kServiceRevision = 100;
 // DEPLOY and PROTOCOL: the kill comes no sooner than the longest deadline (3 s at most) and 0.7 s after
 // SIGTERM, with the bench's slack, and new connections keep coming for 0.2 to 0.4 s.
@@ -41,7 +41,7 @@
 constexpr Micros kAtFirstLine = 200 * kMicrosPerMilli;
 constexpr Micros kReadyWithin = 10 * kMicrosPerSecond;
 constexpr Micros kSlowPath = 60 * kMicrosPerMilli;
-constexpr transport::Endpoint kAnyPort{test::kLoopback, 0};
+constexpr transport::SocketAddress kAnyPort{test::kLoopback, 0};
 // Breaches that are told one by one.
 constexpr std::size_t kBreachesTold = 20;
 constexpr int kExitedWell = 0;
@@ -70,10 +70,10 @@
 Fault pathFaultOf(Happening::Kind kind) {
   using Is = Happening::Kind;
   Fault out;
-  out.cutForth = kind == Is::CutMembers || kind == Is::CutList;
-  out.cutBack = out.cutForth || kind == Is::HangMembers;
-  out.resets = kind == Is::ResetMembers;
-  if (kind == Is::SlowMembers) out.delay = out.jitter = kSlowPath;
+  out.cutForth = kind == Is::CutEndpoints || kind == Is::CutList;
+  out.cutBack = out.cutForth || kind == Is::HangEndpoints;
+  out.resets = kind == Is::ResetEndpoints;
+  if (kind == Is::SlowEndpoints) out.delay = out.jitter = kSlowPath;
   return out;
 }
 
@@ -83,7 +83,7 @@
 
 }  // namespace
 
-struct Site::Driver {
+struct Site::Gateway {
   std::string name;
   std::size_t number = 0;
   std::size_t door = 0;
@@ -106,9 +106,9 @@
 std::string Outcomes::json() const {
   Json out;
   out["scenario"] = scenario;
-  out["requests"] = {{"asked", asked},     {"unreached", unreached}, {"served", served},
-                     {"refused", refused}, {"failed", failed},       {"refused_with_room", refusedWithRoom},
-                     {"p50_us", p50},      {"p99_us", p99},          {"first_served_us", firstServed}};
+  out["requests"] = {{"asked", asked},      {"unreached", unreached}, {"served", served},
+                     {"refused", rejected}, {"failed", failed},       {"refused_with_room", rejectedWithRoom},
+                     {"p50_us", p50},       {"p99_us", p99},          {"first_served_us", firstServed}};
   out["list"] = {{"calls", calls},
                  {"failed", callsFailed},
                  {"most_in_100ms", mostCalls},
@@ -118,7 +118,7 @@
   out["members"] = {{"connections", connections},
                     {"most_in_100ms", mostConnections},
                     {"turned_away", connectionsTurnedAway},
-                    {"probes", probes}};
+                    {"probes", healthChecks}};
   for (std::size_t i = 0; i < kRules; ++i) out["broken"][nameOf(static_cast<Rule>(i))] = broken[i];
   out["breaches"] = Json::array();
   for (const Breach& breach : breaches)
@@ -129,12 +129,12 @@
   out["seconds"] = Json::array();
   for (const Second& one : seconds) {
     out["seconds"].push_back({{"served", one.served},
-                              {"refused", one.refused},
+                              {"refused", one.rejected},
                               {"failed", one.failed},
-                              {"refused_with_room", one.refusedWithRoom},
-                              {"drivers", one.driversUp},
+                              {"refused_with_room", one.rejectedWithRoom},
+                              {"drivers", one.gatewaysUp},
                               {"calls", one.callsOfList},
-                              {"connections", one.connectionsAtMembers},
+                              {"connections", one.connectionsAtEndpoints},
                               {"p50_us", one.p50},
                               {"p99_us", one.p99},
                               {"notes", one.notes}});
@@ -143,16 +143,16 @@
 }
 
 double Outcomes::percentOfAnswers(std::uint64_t count) const {
-  return 100 * real(count) / std::max<double>(1, real(served + refused + failed));
+  return 100 * real(count) / std::max<double>(1, real(served + rejected + failed));
 }
 
-std::string Outcomes::row(unsigned drivers) const {
+std::string Outcomes::row(unsigned gateways) const {
   const double asking = std::max<double>(1, real(callsUntilListed));
   std::ostringstream out;
   out.precision(2);
-  out << std::fixed << milliseconds(lastList.value_or(0)) << ' ' << real(callsUntilListed) / drivers << ' '
+  out << std::fixed << milliseconds(lastList.value_or(0)) << ' ' << real(callsUntilListed) / gateways << ' '
       << 100 * real(callsFailedUntilListed) / asking << ' ' << mostCalls << ' ' << mostConnections << ' '
-      << percentOfAnswers(refused) << ' ' << percentOfAnswers(refusedWithRoom) << ' '
+      << percentOfAnswers(rejected) << ' ' << percentOfAnswers(rejectedWithRoom) << ' '
       << milliseconds(firstServed) << ' ' << connections << ' ' << (rulesKept() ? 1 : 0);
   return out.str();
 }
@@ -161,9 +161,9 @@
   std::ostringstream out;
   out.precision(1);
   out << std::fixed;
-  out << "requests: " << asked << " asked, " << served << " served, " << refused << " refused ("
-      << percentOfAnswers(refused) << "%, " << percentOfAnswers(refusedWithRoom) << "% with room), " << failed
-      << " failed, " << unreached << " found no driver; median " << milliseconds(p50) << " ms, 99% "
+  out << "requests: " << asked << " asked, " << served << " served, " << rejected << " refused ("
+      << percentOfAnswers(rejected) << "%, " << percentOfAnswers(rejectedWithRoom) << "% with room), "
+      << failed << " failed, " << unreached << " found no driver; median " << milliseconds(p50) << " ms, 99% "
       << milliseconds(p99) << " ms\n";
   out << "list service: " << calls << " calls, " << callsFailed << " failed, most in 100 ms " << mostCalls;
   if (lastList) {
@@ -171,7 +171,7 @@
         << " calls, " << callsFailedUntilListed << " of them failed";
   }
   out << "\nmembers: " << connections << " connections, most in 100 ms at one " << mostConnections << ", "
-      << connectionsTurnedAway << " turned away; " << probes << " probes\n";
+      << connectionsTurnedAway << " turned away; " << healthChecks << " probes\n";
   out << "given up by the drivers, by reason:";
   for (const auto& [name, value] : counters) {
     if (name.starts_with(kGivenUp) && value > 0) out << ' ' << name.substr(kGivenUp.size()) << ' ' << value;
@@ -195,9 +195,9 @@
   out << "# second served refused failed p99_ms connections calls drivers\n";
   for (std::size_t i = 0; i < seconds.size(); ++i) {
     const Second& one = seconds[i];
-    out << i + 1 << ' ' << one.served << ' ' << one.refused << ' ' << one.failed << ' '
-        << milliseconds(one.p99) << ' ' << one.connectionsAtMembers << ' ' << one.callsOfList << ' '
-        << one.driversUp << "\n";
+    out << i + 1 << ' ' << one.served << ' ' << one.rejected << ' ' << one.failed << ' '
+        << milliseconds(one.p99) << ' ' << one.connectionsAtEndpoints << ' ' << one.callsOfList << ' '
+        << one.gatewaysUp << "\n";
   }
   return out.str();
 }
@@ -211,99 +211,100 @@
       later_(loop) {
   if (!scenario_.faults.empty() && programs_.faults.empty())
     throw std::runtime_error("the scenario has failing calls, and no library for them was named");
-  buildMembers();
+  buildEndpoints();
   service_.model().goBackTo(kServiceRevision);
   service_.model().resetShare(scenario_.resetShare, scenario_.seed);
   service_.onAnswer = [this](std::size_t door, const ListModel::Answer& answer) {
     called(door, answer, true);
   };
-  buildDrivers();
+  buildGateways();
 }
 
-void Site::buildMembers() {
+void Site::buildEndpoints() {
   for (unsigned group = 0; group < scenario_.groups; ++group) {
     for (unsigned i = 0; i <= scenario_.replicas; ++i) {
-      MemberCosts costs = scenario_.member;
-      const std::size_t number = members_.size();
+      EndpointCosts costs = scenario_.endpoint;
+      const std::size_t number = endpoints_.size();
       // The last replicas are the bad ones, a group after the other.
       const std::size_t fromEnd = (scenario_.replicas - i) * scenario_.groups + group;
       if (i > 0 && fromEnd < scenario_.bad)
         costs.service = static_cast<Micros>(scenario_.badBy * static_cast<double>(costs.service));
-      members_.push_back(std::make_unique<Member>(loop_, "m" + std::to_string(number), group, costs, i == 0,
-                                                  scenario_.seed + number, judge_));
+      endpoints_.push_back(std::make_unique<EmulatedEndpoint>(
+          loop_, "m" + std::to_string(number), group, costs, i == 0, scenario_.seed + number, judge_));
       if (!needsPaths(scenario_)) continue;
-      const auto to = transport::parseEndpoint(members_.back()->address());
-      memberPaths_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort, to.value_or(kAnyPort),
-                                                          Weather({}, scenario_.seed + number)));
-      memberPaths_.back()->onForth = [this, number](std::string_view bytes) { noteSending(number, bytes); };
+      const auto to = transport::parseSocketAddress(endpoints_.back()->address());
+      endpointPaths_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort, to.value_or(kAnyPort),
+                                                            Weather({}, scenario_.seed + number)));
+      endpointPaths_.back()->onForth = [this, number](std::string_view bytes) { noteSending(number, bytes); };
     }
   }
 }
 
-void Site::buildDrivers() {
-  for (unsigned i = 0; i < scenario_.drivers; ++i) {
-    auto driver = std::make_unique<Driver>();
-    driver->name = "n" + std::to_string(i);
-    driver->number = i;
-    driver->door = service_.addDoor();
-    const std::string settings = settingsOf(*driver);
+void Site::buildGateways() {
+  for (unsigned i = 0; i < scenario_.gateways; ++i) {
+    auto gateway = std::make_unique<Gateway>();
+    gateway->name = "n" + std::to_string(i);
+    gateway->number = i;
+    gateway->door = service_.addDoor();
+    const std::string settings = settingsOf(*gateway);
     if (!settings.empty()) {
-      driver->settingsFile = folder_.path() + "/" + driver->name + ".xml";
-      std::ofstream(driver->settingsFile) << settings;
+      gateway->settingsFile = folder_.path() + "/" + gateway->name + ".xml";
+      std::ofstream(gateway->settingsFile) << settings;
     }
-    if (scenario_.learned > 0 || scenario_.usual > 0) {
+    if (scenario_.learned > 0 || scenario_.initialLatency > 0) {
       snapshot::Snapshot earlier;
-      earlier.name = driver->name;
+      earlier.name = gateway->name;
       if (scenario_.learned > 0) earlier.callCost = scenario_.learned;
-      earlier.usual = scenario_.usual;
+      earlier.initialLatency = scenario_.initialLatency;
       std::string problem;
-      const std::string file = folder_.path() + "/" + driver->name + ".snapshot";
+      const std::string file = folder_.path() + "/" + gateway->name + ".snapshot";
       if (!snapshot::save(file, earlier, files::Durable::No, problem)) throw std::runtime_error(problem);
     }
     if (needsPaths(scenario_)) {
-      listPaths_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort, service_.door(driver->door),
+      listPaths_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort, service_.door(gateway->door),
                                                         Weather({}, scenario_.seed + i)));
     }
-    drivers_.push_back(std::move(driver));
+    gateways_.push_back(std::move(gateway));
   }
 }
 
-// The settings of a driver's installation; empty where it needs none.
-std::string Site::settingsOf(const Driver& driver) const {
-  const bool keeps = scenario_.snapshot || scenario_.learned > 0 || scenario_.usual > 0;
+// The settings of a gateway's installation; empty where it needs none.
+std::string Site::settingsOf(const Gateway& gateway) const {
+  const bool keeps = scenario_.snapshot || scenario_.learned > 0 || scenario_.initialLatency > 0;
   if (!keeps && programs_.traces.empty()) return "";
   std::string out = "<heathflow xmlns=\"urn:heathflow:settings:1\" version=\"1\">";
   if (!programs_.traces.empty()) out += "<log form=\"text\" level=\"trace\"/>";
-  if (keeps) out += "<snapshot file=\"" + folder_.path() + "/" + driver.name + ".snapshot\" every=\"1\"/>";
+  if (keeps) out += "<snapshot file=\"" + folder_.path() + "/" + gateway.name + ".snapshot\" every=\"1\"/>";
   return out + "</heathflow>\n";
 }
 
-rig::Environment Site::environmentOf(const Driver& driver) const {
-  const std::size_t faulty = partOf(scenario_.faultsShare, scenario_.drivers);
-  if (scenario_.faults.empty() || driver.number >= faulty) return {};
+emulator::Environment Site::environmentOf(const Gateway& gateway) const {
+  const std::size_t faulty = partOf(scenario_.faultsShare, scenario_.gateways);
+  if (scenario_.faults.empty() || gateway.number >= faulty) return {};
   std::string problem;
   auto plan = faultshim::parsePlan(scenario_.faults, problem).value_or(faultshim::FaultPlan{});
-  plan.seed += scenario_.seed * 1009 + driver.number * 31 + (driver.child ? driver.child->lives() : 0);
+  plan.seed += scenario_.seed * 1009 + gateway.number * 31 + (gateway.child ? gateway.child->lives() : 0);
   return withFaults(programs_.faults, plan.text());
 }
 
-std::string Site::addressOf(std::size_t member) const {
-  return memberPaths_.empty() ? members_[member]->address() : toText(memberPaths_[member]->endpoint());
+std::string Site::addressOf(std::size_t endpoint) const {
+  return endpointPaths_.empty() ? endpoints_[endpoint]->address()
+                                : toText(endpointPaths_[endpoint]->socketAddress());
 }
 
-transport::Endpoint Site::listDoorOf(const Driver& driver) const {
-  if (elsewhere_) return elsewhere_->door(driver.elsewhere);
-  return listPaths_.empty() ? service_.door(driver.door) : listPaths_[driver.number]->endpoint();
+transport::SocketAddress Site::listDoorOf(const Gateway& gateway) const {
+  if (elsewhere_) return elsewhere_->door(gateway.elsewhere);
+  return listPaths_.empty() ? service_.door(gateway.door) : listPaths_[gateway.number]->socketAddress();
 }
 
-// A request on its way to a member: by its id, as the statement's comment has it.
-void Site::noteSending(std::size_t member, std::string_view bytes) {
+// A request on its way to an endpoint: by its id, as the statement's comment has it.
+void Site::noteSending(std::size_t endpoint, std::string_view bytes) {
   constexpr std::string_view kMark = "/* id=";
   for (std::size_t at = bytes.find(kMark); at != std::string_view::npos; at = bytes.find(kMark, at + 1)) {
     const std::size_t from = at + kMark.size();
     const std::size_t end = bytes.find(',', from);
     if (end == std::string_view::npos) return;
-    judge_.sent(std::string(bytes.substr(from, end - from)), members_[member]->name(), loop_.now());
+    judge_.sent(std::string(bytes.substr(from, end - from)), endpoints_[endpoint]->name(), loop_.now());
   }
 }
 
@@ -311,15 +312,15 @@
 
 std::vector<ListedEntry> Site::listOf() const {
   std::vector<ListedEntry> out;
-  for (std::size_t i = 0; i < members_.size(); ++i) {
-    const auto& member = members_[i];
+  for (std::size_t i = 0; i < endpoints_.size(); ++i) {
+    const auto& endpoint = endpoints_[i];
     ListedEntry entry;
-    entry.id = member->name();
+    entry.id = endpoint->name();
     entry.hostPort = addressOf(i);
-    entry.cell = member->group();
-    entry.upSinceMs = member->startedAt() / kMicrosPerMilli;
-    entry.primary = member->model().primary();
-    const auto phase = phases_.find(member->name());
+    entry.cell = endpoint->group();
+    entry.upSinceMs = endpoint->startedAt() / kMicrosPerMilli;
+    entry.primary = endpoint->model().primary();
+    const auto phase = phases_.find(endpoint->name());
     if (phase != phases_.end()) entry.phase = phase->second;
     if (entry.phase != kGone) out.push_back(entry);
   }
@@ -329,19 +330,19 @@
 std::string Site::configOf(std::size_t number) const {
   test::GatewayOptions options;
   options.name = "n" + std::to_string(number);
-  options.drivers = scenario_.drivers;
+  options.gateways = scenario_.gateways;
   options.aimMs = 500;
   options.deadlineMs = scenario_.deadline / kMicrosPerMilli;
   options.aimMs = std::min(options.aimMs, options.deadlineMs);
   options.connectTimeoutMs = 250;
   options.idleMs = 60'000;
   options.maxAgeMs = scenario_.bound / kMicrosPerMilli;
-  options.warmUpMs = scenario_.member.warmUp / kMicrosPerMilli;
+  options.warmUpMs = scenario_.endpoint.slowStartDuration / kMicrosPerMilli;
   std::ostringstream seed;
   seed << std::hex << (scenario_.seed * 0x9E3779B97F4A7C15U + number * 0xD1B54A32D192ED03U);
   options.seed = seed.str();
-  const Driver& driver = *drivers_[number];
-  const transport::Endpoint discovery = listDoorOf(driver);
+  const Gateway& gateway = *gateways_[number];
+  const transport::SocketAddress discovery = listDoorOf(gateway);
   std::vector<ListedEntry> known;
   if (scenario_.known != KnownList::None) known = listOf();
   if (scenario_.known == KnownList::Gone) {
@@ -354,25 +355,25 @@
   return test::configText(options, toText(discovery), textOf(known));
 }
 
-void Site::startDriver(Driver& driver) {
-  driver.serving = driver.resting = false;
-  driver.startedAt = loop_.now();
-  judge_.notifications().started(driver.name, loop_.now());
-  if (driver.child) {
-    driver.child->surround(environmentOf(driver));
-    driver.child->restart();
+void Site::startGateway(Gateway& gateway) {
+  gateway.serving = gateway.resting = false;
+  gateway.startedAt = loop_.now();
+  judge_.notifications().started(gateway.name, loop_.now());
+  if (gateway.child) {
+    gateway.child->surround(environmentOf(gateway));
+    gateway.child->restart();
     return;
   }
   std::vector<std::string> arguments;
-  if (!driver.settingsFile.empty()) arguments = {"serve", "--config", driver.settingsFile};
-  driver.child = std::make_unique<Child>(programs_.driver, configOf(driver.number), std::move(arguments),
-                                         environmentOf(driver));
+  if (!gateway.settingsFile.empty()) arguments = {"serve", "--config", gateway.settingsFile};
+  gateway.child = std::make_unique<Child>(programs_.gateway, configOf(gateway.number), std::move(arguments),
+                                          environmentOf(gateway));
 }
 
-// What the members are by now, at the service and where it has moved to.
+// What the endpoints are by now, at the service and where it has moved to.
 void Site::publish() {
-  for (const auto& member : members_)
-    judge_.notifications().changed(member->name(), stateOf(member->name()), loop_.now());
+  for (const auto& endpoint : endpoints_)
+    judge_.notifications().changed(endpoint->name(), stateOf(endpoint->name()), loop_.now());
   service_.set(listOf());
   if (elsewhere_) elsewhere_->set(listOf());
 }
@@ -385,58 +386,58 @@
 
 // Who has come up serves; one that has ended by itself has crashed.
 void Site::tick() {
-  for (const auto& driver : drivers_) {
-    if (!driver->child) continue;
-    const auto endpoint = driver->child->endpoint();
-    if (driver->child->over() && !driver->resting) {
-      driver->resting = true;
-      driver->load->leadTo({});
-      driver->rough->leadTo({});
-      std::string last = driver->child->events().empty() ? "" : driver->child->events().back().text;
-      outcomes_.crashes.push_back(driver->name + ", status " + std::to_string(driver->child->status()) +
+  for (const auto& gateway : gateways_) {
+    if (!gateway->child) continue;
+    const auto socketAddress = gateway->child->socketAddress();
+    if (gateway->child->over() && !gateway->resting) {
+      gateway->resting = true;
+      gateway->load->leadTo({});
+      gateway->rough->leadTo({});
+      std::string last = gateway->child->events().empty() ? "" : gateway->child->events().back().text;
+      outcomes_.crashes.push_back(gateway->name + ", status " + std::to_string(gateway->child->status()) +
                                   ": " + last);
-    } else if (!driver->serving && !driver->resting && endpoint) {
-      driver->serving = true;
-      driver->load->leadTo(endpoint);
-      driver->rough->leadTo(endpoint);
+    } else if (!gateway->serving && !gateway->resting && socketAddress) {
+      gateway->serving = true;
+      gateway->load->leadTo(socketAddress);
+      gateway->rough->leadTo(socketAddress);
       if (scenario_.idleClients > 0) {
-        driver->crowd = std::make_unique<ClientCrowd>(loop_, *endpoint);
-        driver->crowd->grow(scenario_.idleClients);
+        gateway->crowd = std::make_unique<ClientCrowd>(loop_, *socketAddress);
+        gateway->crowd->grow(scenario_.idleClients);
       }
-      outcomes_.slowestStart = std::max(outcomes_.slowestStart, loop_.now() - driver->startedAt);
+      outcomes_.slowestStart = std::max(outcomes_.slowestStart, loop_.now() - gateway->startedAt);
     } else {
-      checkStart(*driver);
+      checkStart(*gateway);
     }
   }
-  for (const auto& member : members_) {
-    const MemberModel& model = member->model();
+  for (const auto& endpoint : endpoints_) {
+    const EndpointModel& model = endpoint->model();
     if (!model.alive() || model.warmth(loop_.now()) >= 1) {
-      judge_.warm(member->name());
+      judge_.warm(endpoint->name());
     } else {
-      judge_.coldCapacity(member->name(), loop_.now(), model.capacity(loop_.now()));
+      judge_.coldCapacity(endpoint->name(), loop_.now(), model.capacity(loop_.now()));
     }
   }
   if (loop_.now() - secondAt_ >= kMicrosPerSecond) closeSecond();
 }
 
 // STANDING: ready within 10 s; told once.
-void Site::checkStart(Driver& driver) {
-  if (driver.serving || driver.resting || loop_.now() - driver.startedAt <= kReadyWithin) return;
-  driver.startedAt = loop_.now();
+void Site::checkStart(Gateway& gateway) {
+  if (gateway.serving || gateway.resting || loop_.now() - gateway.startedAt <= kReadyWithin) return;
+  gateway.startedAt = loop_.now();
   outcomes_.slowestStart = std::max(outcomes_.slowestStart, kReadyWithin);
-  outcomes_.crashes.push_back(driver.name + " is not ready within 10 s");
+  outcomes_.crashes.push_back(gateway.name + " is not ready within 10 s");
 }
 
 void Site::closeSecond() {
   Second& now = second();
   std::uint64_t connections = 0;
-  for (const auto& member : members_)
-    connections += member->model().connectionsTaken() + member->model().connectionsTurnedAway();
+  for (const auto& endpoint : endpoints_)
+    connections += endpoint->model().connectionsTaken() + endpoint->model().connectionsTurnedAway();
   std::uint64_t calls = service_.model().calls() + (elsewhere_ ? elsewhere_->model().calls() : 0);
-  now.connectionsAtMembers = connections - std::exchange(connectionsBefore_, connections);
+  now.connectionsAtEndpoints = connections - std::exchange(connectionsBefore_, connections);
   now.callsOfList = calls - std::exchange(callsBefore_, calls);
-  now.driversUp = static_cast<unsigned>(std::count_if(
-      drivers_.begin(), drivers_.end(), [](const auto& d) { return d->serving && !d->resting; }));
+  now.gatewaysUp = static_cast<unsigned>(std::count_if(
+      gateways_.begin(), gateways_.end(), [](const auto& d) { return d->serving && !d->resting; }));
   now.p50 = latencies_.quantile(0.5);
   now.p99 = latencies_.quantile(0.99);
   latencies_ = {};
@@ -453,17 +454,17 @@
       all_.add(answer.at - answer.intended);
       if (outcomes_.firstServed == 0) outcomes_.firstServed = answer.at - startedAt_;
       return;
-    case Answered::Refused: {
-      ++second().refused;
-      ++outcomes_.refused;
+    case Answered::Rejected: {
+      ++second().rejected;
+      ++outcomes_.rejected;
       const bool toPrimary = answer.kind == Kind::Status || answer.kind == Kind::Save;
-      const bool room = std::any_of(members_.begin(), members_.end(), [&](const auto& member) {
-        return member->group() == answer.group && !phases_.contains(member->name()) &&
-               (!toPrimary || member->model().primary()) && member->model().hasRoom(answer.at);
+      const bool room = std::any_of(endpoints_.begin(), endpoints_.end(), [&](const auto& endpoint) {
+        return endpoint->group() == answer.group && !phases_.contains(endpoint->name()) &&
+               (!toPrimary || endpoint->model().primary()) && endpoint->model().hasRoom(answer.at);
       });
       if (!room) return;
-      ++second().refusedWithRoom;
-      ++outcomes_.refusedWithRoom;
+      ++second().rejectedWithRoom;
+      ++outcomes_.rejectedWithRoom;
       return;
     }
     default:
@@ -472,20 +473,20 @@
   }
 }
 
-ListedState Site::stateOf(const std::string& member) const {
-  const auto phase = phases_.find(member);
+ListedState Site::stateOf(const std::string& endpoint) const {
+  const auto phase = phases_.find(endpoint);
   if (phase == phases_.end()) return ListedState::Ready;
   return phase->second == kGone ? ListedState::Gone : ListedState::Draining;
 }
 
-// The service has written an answer to a driver.
-void Site::noteTold(const Driver& driver, const ListModel::Answer& answer, bool overPath) {
-  const Cut cut = overPath && !listCuts_.empty() ? listCuts_[driver.number] : Cut{};
+// The service has written an answer to a gateway.
+void Site::noteTold(const Gateway& gateway, const ListModel::Answer& answer, bool overPath) {
+  const Cut cut = overPath && !listCuts_.empty() ? listCuts_[gateway.number] : Cut{};
   if (loop_.now() < cut.until) {
-    judge_.notifications().writtenIntoSilence(driver.name, loop_.now(),
+    judge_.notifications().writtenIntoSilence(gateway.name, loop_.now(),
                                               {cut.from, cut.until, answer.waitEnds});
   } else {
-    judge_.notifications().written(driver.name, loop_.now());
+    judge_.notifications().written(gateway.name, loop_.now());
   }
 }
 
@@ -501,127 +502,129 @@
 }
 
 void Site::called(std::size_t door, const ListModel::Answer& answer, bool overPath) {
-  if (door > 0 && !drivers_[door - 1]->listed) {
+  if (door > 0 && !gateways_[door - 1]->listed) {
     ++outcomes_.callsUntilListed;
     if (answer.kind != ListModel::Answer::Kind::Served) ++outcomes_.callsFailedUntilListed;
   }
   if (answer.kind != ListModel::Answer::Kind::Served) {
     ++outcomes_.callsFailed;
-    if (door > 0) judge_.notifications().callFailed(drivers_[door - 1]->name, loop_.now());
+    if (door > 0) judge_.notifications().callFailed(gateways_[door - 1]->name, loop_.now());
     return;
   }
   if (door == 0) return;
-  Driver& driver = *drivers_[door - 1];
-  noteTold(driver, answer, overPath);
-  if (std::exchange(driver.listed, true)) return;
+  Gateway& gateway = *gateways_[door - 1];
+  noteTold(gateway, answer, overPath);
+  if (std::exchange(gateway.listed, true)) return;
   if (--listsMissing_ == 0) outcomes_.lastList = loop_.now() - startedAt_;
 }
 
 void Site::killPrimaries(Micros lasts) {
-  std::vector<Member*> fallen;
-  for (const auto& member : members_) {
-    if (member->model().primary() && member->model().alive()) fallen.push_back(member.get());
+  std::vector<EmulatedEndpoint*> fallen;
+  for (const auto& endpoint : endpoints_) {
+    if (endpoint->model().primary() && endpoint->model().alive()) fallen.push_back(endpoint.get());
   }
-  for (Member* member : fallen) member->die();
-  for (const auto& member : members_) member->model().stall(loop_.now());
+  for (EmulatedEndpoint* endpoint : fallen) endpoint->die();
+  for (const auto& endpoint : endpoints_) endpoint->model().stall(loop_.now());
   later(lasts, [this, fallen] {
-    for (Member* old : fallen) {
-      Member* best = nullptr;
-      for (const auto& member : members_) {
-        if (member->group() != old->group() || !member->model().alive()) continue;
-        if (best == nullptr || member->model().position(loop_.now()) > best->model().position(loop_.now()))
-          best = member.get();
+    for (EmulatedEndpoint* old : fallen) {
+      EmulatedEndpoint* best = nullptr;
+      for (const auto& endpoint : endpoints_) {
+        if (endpoint->group() != old->group() || !endpoint->model().alive()) continue;
+        if (best == nullptr || endpoint->model().position(loop_.now()) > best->model().position(loop_.now()))
+          best = endpoint.get();
       }
       if (best != nullptr) best->model().lead();
     }
-    for (const auto& member : members_) {
-      if (member->model().alive()) member->model().goOn();
+    for (const auto& endpoint : endpoints_) {
+      if (endpoint->model().alive()) endpoint->model().goOn();
     }
     note("replicas lead");
   });
   later(lasts + kListLearns, [this] { publish(); });
   later(lasts + kMicrosPerSecond, [this, fallen] {
-    for (Member* member : fallen) member->start();
+    for (EmulatedEndpoint* endpoint : fallen) endpoint->start();
     publish();
     note("the old primaries are back, cold");
   });
 }
 
-void Site::restartMembers(double share, Micros lasts, bool drain) {
+void Site::restartEndpoints(double share, Micros lasts, bool drain) {
   // Replicas first: a primary goes only where all go.
-  std::vector<Member*> chosen;
+  std::vector<EmulatedEndpoint*> chosen;
   for (const bool primaries : {false, true}) {
-    for (const auto& member : members_) {
-      if (member->model().alive() && member->model().primary() == primaries) chosen.push_back(member.get());
+    for (const auto& endpoint : endpoints_) {
+      if (endpoint->model().alive() && endpoint->model().primary() == primaries)
+        chosen.push_back(endpoint.get());
     }
   }
   chosen.resize(partOf(share, chosen.size()));
-  std::erase_if(chosen, [share](Member* member) { return share < 1 && member->model().primary(); });
+  std::erase_if(chosen,
+                [share](EmulatedEndpoint* endpoint) { return share < 1 && endpoint->model().primary(); });
   const Micros goAfter = drain ? kDrainLasts : 0;
   if (drain) {
-    for (Member* member : chosen) {
-      phases_[member->name()] = kTerminating;
-      member->setDraining(true);
+    for (EmulatedEndpoint* endpoint : chosen) {
+      phases_[endpoint->name()] = kTerminating;
+      endpoint->setDraining(true);
     }
     publish();
   }
-  const auto led = std::make_shared<std::vector<Member*>>();
+  const auto led = std::make_shared<std::vector<EmulatedEndpoint*>>();
   later(goAfter, [this, chosen, led] {
-    for (Member* member : chosen) {
-      if (member->model().primary()) led->push_back(member);
-      member->die();
-      phases_[member->name()] = kGone;
+    for (EmulatedEndpoint* endpoint : chosen) {
+      if (endpoint->model().primary()) led->push_back(endpoint);
+      endpoint->die();
+      phases_[endpoint->name()] = kGone;
     }
     publish();
   });
   later(goAfter + lasts, [this, chosen, led] {
-    for (Member* member : chosen) {
-      member->start();
-      phases_.erase(member->name());
+    for (EmulatedEndpoint* endpoint : chosen) {
+      endpoint->start();
+      phases_.erase(endpoint->name());
     }
-    for (Member* member : *led) member->model().lead();
+    for (EmulatedEndpoint* endpoint : *led) endpoint->model().lead();
     publish();
     note("members are back, cold");
   });
 }
 
-void Site::rollDrivers(double share, Micros lasts) {
-  const std::size_t count = partOf(share, drivers_.size());
+void Site::rollGateways(double share, Micros lasts) {
+  const std::size_t count = partOf(share, gateways_.size());
   for (std::size_t i = 0; i < count; ++i) {
-    Driver& driver = *drivers_[i];
+    Gateway& gateway = *gateways_[i];
     const Micros at = lasts * static_cast<Micros>(i) / static_cast<Micros>(count);
-    later(at, [this, &driver] { endDriver(driver); });
+    later(at, [this, &gateway] { endGateway(gateway); });
     // The kernel has its ports again, and what was out has its answer.
     later(at + (scenario_.hardStops ? killAfterTerm() : 2 * kMicrosPerSecond),
-          [this, &driver] { startAgain(driver); });
+          [this, &gateway] { startAgain(gateway); });
   }
 }
 
 // A process that is not at its first line yet takes a signal by the system's own effect, which no program can
 // help; a platform that starts one waits for it too.
-void Site::reloadDriver(Driver& driver) {
-  const Micros due = driver.startedAt + kAtFirstLine;
-  if (loop_.now() >= due) return driver.child->signal(SIGHUP);
-  later(due - loop_.now(), [this, &driver] { reloadDriver(driver); });
+void Site::reloadGateway(Gateway& gateway) {
+  const Micros due = gateway.startedAt + kAtFirstLine;
+  if (loop_.now() >= due) return gateway.child->signal(SIGHUP);
+  later(due - loop_.now(), [this, &gateway] { reloadGateway(gateway); });
 }
 
-void Site::endDriver(Driver& driver) {
-  driver.resting = true;
-  driver.rough->leadTo({});
+void Site::endGateway(Gateway& gateway) {
+  gateway.resting = true;
+  gateway.rough->leadTo({});
   if (!scenario_.hardStops) {
-    driver.load->rest();
+    gateway.load->rest();
   } else {
-    driver.load->mayCross();
-    later(kStillComing, [&driver] { driver.load->keepOnly(); });
+    gateway.load->mayCross();
+    later(kStillComing, [&gateway] { gateway.load->keepOnly(); });
   }
-  if (!scenario_.signalSeries) return driver.child->signal(SIGTERM);
-  const auto pair = [&driver] {
-    driver.child->signal(SIGHUP);
-    driver.child->signal(SIGTERM);
+  if (!scenario_.signalSeries) return gateway.child->signal(SIGTERM);
+  const auto pair = [&gateway] {
+    gateway.child->signal(SIGHUP);
+    gateway.child->signal(SIGTERM);
   };
   pair();
   later(kSecondPair, pair);
-  later(kLastSignal, [&driver] { driver.child->signal(SIGTERM); });
+  later(kLastSignal, [&gateway] { gateway.child->signal(SIGTERM); });
 }
 
 // SIGKILL comes as early as a platform may send it.
@@ -630,22 +633,23 @@
 }
 
 // What was told to end a while ago, or is killed now.
-void Site::startAgain(Driver& driver) {
-  if (!driver.child->over()) {
-    scenario_.hardStops ? judge_.endedOwing(driver.name, loop_.now())
-                        : judge_.killed(driver.name, loop_.now());
-  } else if (driver.child->status() != kExitedWell) {
-    outcomes_.crashes.push_back(driver.name + " ended with status " + std::to_string(driver.child->status()));
+void Site::startAgain(Gateway& gateway) {
+  if (!gateway.child->over()) {
+    scenario_.hardStops ? judge_.endedOwing(gateway.name, loop_.now())
+                        : judge_.killed(gateway.name, loop_.now());
+  } else if (gateway.child->status() != kExitedWell) {
+    outcomes_.crashes.push_back(gateway.name + " ended with status " +
+                                std::to_string(gateway.child->status()));
   }
-  driver.load->leadTo({});
-  startDriver(driver);
+  gateway.load->leadTo({});
+  startGateway(gateway);
 }
 
 // Of the first so many paths, for a time.
 void Site::changePaths(std::vector<std::unique_ptr<StreamLink>>& links, double share, Micros lasts,
                        const Fault& fault) {
   const std::size_t count = partOf(share, links.size());
-  // The last ones first: the first members are primaries.
+  // The last ones first: the first endpoints are primaries.
   for (std::size_t i = links.size() - count; i < links.size(); ++i)
     links[i]->change(Weather({fault}, scenario_.seed + i));
   later(lasts, [this, &links, count] {
@@ -658,47 +662,47 @@
 void Site::begin(const Happening& happening) {
   using Is = Happening::Kind;
   note(std::string(nameOf(happening.kind)));
-  const std::size_t count = partOf(happening.share, drivers_.size());
+  const std::size_t count = partOf(happening.share, gateways_.size());
   switch (happening.kind) {
-    case Is::KillDrivers:
+    case Is::KillGateways:
       for (std::size_t i = 0; i < count; ++i) {
-        Driver& driver = *drivers_[i];
-        driver.resting = true;
-        judge_.killed(driver.name, loop_.now());
-        driver.load->leadTo({});
-        driver.rough->leadTo({});
-        driver.child->kill();
+        Gateway& gateway = *gateways_[i];
+        gateway.resting = true;
+        judge_.killed(gateway.name, loop_.now());
+        gateway.load->leadTo({});
+        gateway.rough->leadTo({});
+        gateway.child->kill();
       }
       return later(happening.lasts, [this, count] {
         for (std::size_t i = 0; i < count; ++i)
-          later(static_cast<Micros>(i), [this, i] { startDriver(*drivers_[i]); });
+          later(static_cast<Micros>(i), [this, i] { startGateway(*gateways_[i]); });
         note(std::to_string(count) + " drivers start again");
       });
-    case Is::RollDrivers:
-      return rollDrivers(happening.share, happening.lasts);
-    case Is::PauseDrivers:
+    case Is::RollGateways:
+      return rollGateways(happening.share, happening.lasts);
+    case Is::PauseGateways:
       for (std::size_t i = 0; i < count; ++i) {
-        drivers_[i]->load->rest();
-        drivers_[i]->rough->leadTo({});
-        judge_.killed(drivers_[i]->name, loop_.now());  // its silence is the rig's doing
-        drivers_[i]->child->pause();
+        gateways_[i]->load->rest();
+        gateways_[i]->rough->leadTo({});
+        judge_.killed(gateways_[i]->name, loop_.now());  // its silence is the rig's doing
+        gateways_[i]->child->pause();
       }
       return later(happening.lasts, [this, count] {
         for (std::size_t i = 0; i < count; ++i) {
-          drivers_[i]->child->resume();
+          gateways_[i]->child->resume();
           // What was still on its way as it was stopped.
-          judge_.killed(drivers_[i]->name, loop_.now());
-          drivers_[i]->load->leadTo({});
-          drivers_[i]->serving = false;
+          judge_.killed(gateways_[i]->name, loop_.now());
+          gateways_[i]->load->leadTo({});
+          gateways_[i]->serving = false;
         }
         note("drivers go on");
       });
     case Is::KillPrimary:
       return killPrimaries(happening.lasts);
-    case Is::RestartMembers:
-      return restartMembers(happening.share, happening.lasts, false);
-    case Is::DrainMembers:
-      return restartMembers(happening.share, happening.lasts, true);
+    case Is::RestartEndpoints:
+      return restartEndpoints(happening.share, happening.lasts, false);
+    case Is::DrainEndpoints:
+      return restartEndpoints(happening.share, happening.lasts, true);
     case Is::ListDown:
       serviceDown(service_);
       return later(happening.lasts, [this] {
@@ -715,19 +719,19 @@
       });
     case Is::LogsUnread:
       // One that starts has yet to say where it serves.
-      for (std::size_t i = 0; i < count; ++i) drivers_[i]->child->setDeaf(drivers_[i]->serving);
+      for (std::size_t i = 0; i < count; ++i) gateways_[i]->child->setDeaf(gateways_[i]->serving);
       return later(happening.lasts, [this, count] {
-        for (std::size_t i = 0; i < count; ++i) drivers_[i]->child->setDeaf(false);
+        for (std::size_t i = 0; i < count; ++i) gateways_[i]->child->setDeaf(false);
         note("logs are read again");
       });
-    case Is::ReloadDrivers:
-      for (std::size_t i = 0; i < count; ++i) reloadDriver(*drivers_[i]);
+    case Is::ReloadGateways:
+      for (std::size_t i = 0; i < count; ++i) reloadGateway(*gateways_[i]);
       return;
-    case Is::CutMembers:
-    case Is::HangMembers:
-    case Is::SlowMembers:
-    case Is::ResetMembers:
-      return changePaths(memberPaths_, happening.share, happening.lasts, pathFaultOf(happening.kind));
+    case Is::CutEndpoints:
+    case Is::HangEndpoints:
+    case Is::SlowEndpoints:
+    case Is::ResetEndpoints:
+      return changePaths(endpointPaths_, happening.share, happening.lasts, pathFaultOf(happening.kind));
     case Is::CutList:
       listCuts_.resize(listPaths_.size());
       for (std::size_t i = listPaths_.size() - partOf(happening.share, listPaths_.size());
@@ -742,11 +746,11 @@
       elsewhere_->model().goBackTo(kServiceRevision / 2);
       elsewhere_->set(listOf());
       judge_.notifications().serviceUp(loop_.now());
-      for (const auto& driver : drivers_) {
-        driver->elsewhere = elsewhere_->addDoor();
-        driver->child->configure(configOf(driver->number));
-        judge_.notifications().moved(driver->name, std::max(loop_.now(), driver->startedAt + kAtFirstLine));
-        reloadDriver(*driver);
+      for (const auto& gateway : gateways_) {
+        gateway->elsewhere = elsewhere_->addDoor();
+        gateway->child->configure(configOf(gateway->number));
+        judge_.notifications().moved(gateway->name, std::max(loop_.now(), gateway->startedAt + kAtFirstLine));
+        reloadGateway(*gateway);
       }
       return later(happening.lasts, [this] { serviceDown(service_); });
     case Is::ListCrowded:
@@ -765,14 +769,14 @@
 Outcomes Site::play(const std::function<bool(std::size_t number, const Second&)>& onSecond) {
   outcomes_.scenario = scenario_.name;
   outcomes_.seconds.emplace_back();
-  listsMissing_ = drivers_.size();
+  listsMissing_ = gateways_.size();
   loop_.turn(0);
   startedAt_ = secondAt_ = loop_.now();
   if (scenario_.cold) {
-    for (const auto& member : members_) {
-      const bool led = member->model().primary();
-      member->start();
-      if (led) member->model().lead();
+    for (const auto& endpoint : endpoints_) {
+      const bool led = endpoint->model().primary();
+      endpoint->start();
+      if (led) endpoint->model().lead();
     }
   }
   publish();
@@ -792,19 +796,19 @@
     ticking.arm(due);
   });
   ticking.arm(loop_.now() + kTick);
-  const std::size_t busy = partOf(scenario_.busyShare, drivers_.size());
-  for (const auto& driver : drivers_) {
-    const double rate = scenario_.perDriver * (driver->number < busy ? scenario_.busyTimes : 1);
-    driver->load = std::make_unique<Load>(
-        loop_, driver->name,
-        Arrivals(rate, scenario_.mix, scenario_.groups, scenario_.seed * 7919 + driver->number, startedAt_),
+  const std::size_t busy = partOf(scenario_.busyShare, gateways_.size());
+  for (const auto& gateway : gateways_) {
+    const double rate = scenario_.perGateway * (gateway->number < busy ? scenario_.busyTimes : 1);
+    gateway->load = std::make_unique<Load>(
+        loop_, gateway->name,
+        Arrivals(rate, scenario_.mix, scenario_.groups, scenario_.seed * 7919 + gateway->number, startedAt_),
         scenario_.patience, scenario_.bound, judge_, [this](const Answer& answer) { answered(answer); },
-        scenario_.leaving, scenario_.seed * 104'729 + driver->number);
-    driver->rough = std::make_unique<RoughClients>(loop_, driver->name, scenario_.rough, scenario_.groups,
-                                                   scenario_.patience,
-                                                   scenario_.seed * 15'485'863 + driver->number, judge_);
-    startDriver(*driver);
-    // Starting hundreds takes a while, in which those that are up must not find members and list service
+        scenario_.leaving, scenario_.seed * 104'729 + gateway->number);
+    gateway->rough = std::make_unique<RoughClients>(loop_, gateway->name, scenario_.rough, scenario_.groups,
+                                                    scenario_.patience,
+                                                    scenario_.seed * 15'485'863 + gateway->number, judge_);
+    startGateway(*gateway);
+    // Starting hundreds takes a while, in which those that are up must not find endpoints and list service
     // frozen.
     loop_.turn(0);
   }
@@ -820,38 +824,38 @@
     }
   }
   // What is out still gets its answer.
-  for (const auto& driver : drivers_) {
-    driver->load->stop();
-    driver->rough->stop();
+  for (const auto& gateway : gateways_) {
+    gateway->load->stop();
+    gateway->rough->stop();
   }
   const Micros last = loop_.now() + scenario_.patience + kMicrosPerSecond;
   const auto open = [&] {
-    return std::any_of(drivers_.begin(), drivers_.end(), [](const auto& d) { return d->load->open() > 0; });
+    return std::any_of(gateways_.begin(), gateways_.end(), [](const auto& d) { return d->load->open() > 0; });
   };
   while (loop_.now() < last && open()) loop_.turn(kTick);
   return finish();
 }
 
 void Site::gatherCounters() {
-  for (const auto& driver : drivers_) driver->child->signal(SIGUSR1);
+  for (const auto& gateway : gateways_) gateway->child->signal(SIGUSR1);
   const Micros end = loop_.now() + 3 * kMicrosPerSecond;
-  const auto told = [](const auto& driver) {
-    return driver->child->over() || driver->child->counters().contains(kLastCounter);
+  const auto told = [](const auto& gateway) {
+    return gateway->child->over() || gateway->child->counters().contains(kLastCounter);
   };
-  while (loop_.now() < end && !std::all_of(drivers_.begin(), drivers_.end(), told)) loop_.turn(kTick);
-  for (const auto& driver : drivers_) {
-    for (const auto& [name, value] : driver->child->counters()) outcomes_.counters[name] += value;
+  while (loop_.now() < end && !std::all_of(gateways_.begin(), gateways_.end(), told)) loop_.turn(kTick);
+  for (const auto& gateway : gateways_) {
+    for (const auto& [name, value] : gateway->child->counters()) outcomes_.counters[name] += value;
   }
 }
 
-// What the drivers' own guards saw, of all their lives.
+// What the gateways' own guards saw, of all their lives.
 void Site::gatherViolations() {
-  for (const auto& driver : drivers_) {
-    for (const LogEvent& event : driver->child->linesWith("invariants: broken"))
-      judge_.seen(Rule::InvariantsKept, event.at, driver->name, event.text);
+  for (const auto& gateway : gateways_) {
+    for (const LogEvent& event : gateway->child->linesWith("invariants: broken"))
+      judge_.seen(Rule::InvariantsKept, event.at, gateway->name, event.text);
     if (programs_.traces.empty()) continue;
-    std::ofstream log(programs_.traces + "/" + driver->name + ".log");
-    for (const LogEvent& event : driver->child->events())
+    std::ofstream log(programs_.traces + "/" + gateway->name + ".log");
+    for (const LogEvent& event : gateway->child->events())
       log << event.at - startedAt_ << ' ' << event.text << '\n';
   }
 }
@@ -864,9 +868,9 @@
   for (std::size_t i = 0; i < kRules; ++i) outcomes_.broken[i] = judge_.count(static_cast<Rule>(i));
   outcomes_.breaches = judge_.breaches();
   for (Breach& breach : outcomes_.breaches) breach.at -= startedAt_;
-  for (const auto& driver : drivers_) {
-    outcomes_.asked += driver->load->asked();
-    outcomes_.unreached += driver->load->unreached();
+  for (const auto& gateway : gateways_) {
+    outcomes_.asked += gateway->load->asked();
+    outcomes_.unreached += gateway->load->unreached();
   }
   outcomes_.p50 = all_.quantile(0.5);
   outcomes_.p99 = all_.quantile(0.99);
@@ -875,14 +879,14 @@
     outcomes_.calls += service->model().calls();
     outcomes_.mostCalls = std::max(outcomes_.mostCalls, service->model().arrivals().mostWithin(kBurst));
   }
-  for (const auto& member : members_) {
-    const MemberModel& model = member->model();
+  for (const auto& endpoint : endpoints_) {
+    const EndpointModel& model = endpoint->model();
     outcomes_.connections += model.connectionsTaken() + model.connectionsTurnedAway();
     outcomes_.connectionsTurnedAway += model.connectionsTurnedAway();
     outcomes_.mostConnections = std::max(outcomes_.mostConnections, model.connects().mostWithin(kBurst));
-    outcomes_.probes += member->probes();
+    outcomes_.healthChecks += endpoint->healthChecks();
   }
   return outcomes_;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/site.h
+++ b/src/emulator/site.h
@@ -1,4 +1,4 @@
-// A whole installation on loopback, played by a scenario: real drivers, emulated members and list service,
+// A whole installation on loopback, played by a scenario: real gateways, emulated endpoints and list service,
 // clients, and what happens to them. Bounded in count and time; all of it ends with the site.
 #pragma once
 
@@ -11,30 +11,30 @@
 #include <string>
 #include <vector>
 
-#include "rig/child.h"
-#include "rig/client_crowd.h"
-#include "rig/judge.h"
-#include "rig/latencies.h"
-#include "rig/later.h"
-#include "rig/link.h"
-#include "rig/list_service.h"
-#include "rig/load.h"
-#include "rig/member.h"
-#include "rig/rough_clients.h"
-#include "rig/scenario.h"
+#include "emulator/child.h"
+#include "emulator/client_crowd.h"
+#include "emulator/emulated_endpoint.h"
+#include "emulator/judge.h"
+#include "emulator/latencies.h"
+#include "emulator/later.h"
+#include "emulator/link.h"
+#include "emulator/list_service.h"
+#include "emulator/load.h"
+#include "emulator/rough_clients.h"
+#include "emulator/scenario.h"
 #include "standins/temporary_file.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 // One second of it.
 struct Second {
   std::uint64_t served = 0;
-  std::uint64_t refused = 0;
+  std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  std::uint64_t refusedWithRoom = 0;
+  std::uint64_t rejectedWithRoom = 0;
   std::uint64_t callsOfList = 0;
-  std::uint64_t connectionsAtMembers = 0;  // that came in
-  unsigned driversUp = 0;
+  std::uint64_t connectionsAtEndpoints = 0;  // that came in
+  unsigned gatewaysUp = 0;
   Micros p50 = 0;  // of what was served, from the intended time
   Micros p99 = 0;
   std::vector<std::string> notes;  // what happened
@@ -44,29 +44,29 @@
   std::string scenario;
   std::vector<Second> seconds;
   std::uint64_t asked = 0;
-  std::uint64_t unreached = 0;  // found no driver
+  std::uint64_t unreached = 0;  // found no gateway
   std::uint64_t served = 0;
-  std::uint64_t refused = 0;
+  std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  std::uint64_t refusedWithRoom = 0;  // although a member of their group would have served them at once
+  std::uint64_t rejectedWithRoom = 0;  // although an endpoint of their group would have served them at once
   Micros p50 = 0;
   Micros p99 = 0;
   Micros firstServed = 0;  // since the start; 0: none
-  // Until every driver has had its first list; of the first lives only.
+  // Until every gateway has had its first list; of the first lives only.
   std::optional<Micros> lastList;
-  std::uint64_t callsUntilListed = 0;        // of drivers that had no list yet
+  std::uint64_t callsUntilListed = 0;        // of gateways that had no list yet
   std::uint64_t callsFailedUntilListed = 0;  // and of those
   std::uint64_t calls = 0;
   std::uint64_t callsFailed = 0;
   std::size_t mostCalls = 0;        // in 100 ms, over all
-  std::uint64_t connections = 0;    // at members, over all
-  std::size_t mostConnections = 0;  // at one member in 100 ms
+  std::uint64_t connections = 0;    // at endpoints, over all
+  std::size_t mostConnections = 0;  // at one endpoint in 100 ms
   std::uint64_t connectionsTurnedAway = 0;
-  std::uint64_t probes = 0;
+  std::uint64_t healthChecks = 0;
   std::array<std::size_t, kRules> broken{};
   std::vector<Breach> breaches;
-  std::map<std::string, std::uint64_t> counters;  // of the newest lives of all drivers, added up
-  std::vector<std::string> crashes;               // drivers that ended by themselves, and what they said last
+  std::map<std::string, std::uint64_t> counters;  // of the newest lives of all gateways, added up
+  std::vector<std::string> crashes;  // gateways that ended by themselves, and what they said last
   Micros late = 0;  // the longest by which the rig itself was late: what it judges by times is off by so much
   Micros slowestStart = 0;  // of all starts, until it said that it serves
 
@@ -74,21 +74,22 @@
   double percentOfAnswers(std::uint64_t count) const;
   // All of it.
   std::string json() const;
-  // One line of numbers for scripts: last list in ms (0: not all have one), calls until then for each driver,
-  // their failed share in percent, most calls in 100 ms, most connections at one member in 100 ms, refused in
-  // percent, refused with room in percent, first served in ms, connections, rules kept (1) or not (0).
-  std::string row(unsigned drivers) const;
+  // One line of numbers for scripts: last list in ms (0: not all have one), calls until then for each
+  // gateway, their failed share in percent, most calls in 100 ms, most connections at one endpoint in 100 ms,
+  // rejected in percent, rejected with room in percent, first served in ms, connections, rules kept (1) or
+  // not (0).
+  std::string row(unsigned gateways) const;
   // A few lines for people.
   std::string table() const;
-  // Rows for a chart: second, served, refused, failed, p99 in ms, connections, calls.
+  // Rows for a chart: second, served, rejected, failed, p99 in ms, connections, calls.
   std::string columns() const;
 };
 
-// What plays a scenario's drivers.
+// What plays a scenario's gateways.
 struct Programs {
-  std::string driver;
+  std::string gateway;
   std::string faults;  // the library of failing calls; needed where the scenario has any
-  std::string traces;  // a folder for the drivers' logs with each step of each request; empty: none
+  std::string traces;  // a folder for the gateways' logs with each step of each request; empty: none
 };
 
 class Site {
@@ -98,45 +99,45 @@
       : Site(loop, scenario, Programs{std::move(program), "", ""}) {}
   ~Site();
 
-  // Where the drivers keep their settings and snapshots; it ends with the site.
+  // Where the gateways keep their settings and snapshots; it ends with the site.
   const std::string& folder() const { return folder_.path(); }
   // Plays it to its end; a row of each second goes to 'onSecond'. True: go on; false ends it early.
   Outcomes play(const std::function<bool(std::size_t number, const Second&)>& onSecond = {});
 
  private:
-  struct Driver;
+  struct Gateway;
 
   std::string configOf(std::size_t number) const;
   std::vector<ListedEntry> listOf() const;
   void publish();
-  void startDriver(Driver& driver);
+  void startGateway(Gateway& gateway);
   void tick();
   void begin(const Happening& happening);
-  void buildMembers();
-  void buildDrivers();
-  std::string settingsOf(const Driver& driver) const;
-  rig::Environment environmentOf(const Driver& driver) const;
-  std::string addressOf(std::size_t member) const;
-  transport::Endpoint listDoorOf(const Driver& driver) const;
+  void buildEndpoints();
+  void buildGateways();
+  std::string settingsOf(const Gateway& gateway) const;
+  emulator::Environment environmentOf(const Gateway& gateway) const;
+  std::string addressOf(std::size_t endpoint) const;
+  transport::SocketAddress listDoorOf(const Gateway& gateway) const;
   void changePaths(std::vector<std::unique_ptr<StreamLink>>& links, double share, Micros lasts,
                    const Fault& fault);
-  void noteSending(std::size_t member, std::string_view bytes);
-  void reloadDriver(Driver& driver);
-  void endDriver(Driver& driver);
+  void noteSending(std::size_t endpoint, std::string_view bytes);
+  void reloadGateway(Gateway& gateway);
+  void endGateway(Gateway& gateway);
   Micros killAfterTerm() const;
-  void startAgain(Driver& driver);
-  void checkStart(Driver& driver);
+  void startAgain(Gateway& gateway);
+  void checkStart(Gateway& gateway);
   void gatherViolations();
   void killPrimaries(Micros lasts);
-  void restartMembers(double share, Micros lasts, bool drain);
-  void rollDrivers(double share, Micros lasts);
+  void restartEndpoints(double share, Micros lasts, bool drain);
+  void rollGateways(double share, Micros lasts);
   void later(Micros after, std::function<void()> what);
   void note(const std::string& text);
   void answered(const Answer& answer);
   // 'overPath': the service's answer takes the path that may be cut.
   void called(std::size_t door, const ListModel::Answer& answer, bool overPath);
-  ListedState stateOf(const std::string& member) const;
-  void noteTold(const Driver& driver, const ListModel::Answer& answer, bool overPath);
+  ListedState stateOf(const std::string& endpoint) const;
+  void noteTold(const Gateway& gateway, const ListModel::Answer& answer, bool overPath);
   void serviceDown(ListService& service);
   void serviceUp(ListService& service);
   void closeSecond();
@@ -147,20 +148,20 @@
   transport::EventLoop& loop_;
   Scenario scenario_;
   Programs programs_;
-  test::TemporaryFolder folder_;  // it ends after the drivers
+  test::TemporaryFolder folder_;  // it ends after the gateways
   Judge judge_;
   ListService service_;
   std::unique_ptr<ListService> elsewhere_;  // where the service has moved to
-  std::vector<std::unique_ptr<Member>> members_;
-  std::vector<std::unique_ptr<StreamLink>> memberPaths_;  // to each member, where paths are played
-  std::vector<std::unique_ptr<StreamLink>> listPaths_;    // of each driver to the list service
+  std::vector<std::unique_ptr<EmulatedEndpoint>> endpoints_;
+  std::vector<std::unique_ptr<StreamLink>> endpointPaths_;  // to each endpoint, where paths are played
+  std::vector<std::unique_ptr<StreamLink>> listPaths_;      // of each gateway to the list service
   struct Cut {
     Micros from = 0;
     Micros until = 0;
   };
-  std::vector<Cut> listCuts_;  // the newest of each driver's path
-  std::vector<std::unique_ptr<Driver>> drivers_;
-  std::map<std::string, std::string> phases_;  // of members that are not ready
+  std::vector<Cut> listCuts_;  // the newest of each gateway's path
+  std::vector<std::unique_ptr<Gateway>> gateways_;
+  std::map<std::string, std::string> phases_;  // of endpoints that are not ready
   Later later_;
   Micros startedAt_ = 0;
   Micros secondAt_ = 0;
@@ -172,4 +173,4 @@
   Outcomes outcomes_;
 };
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/slope.cpp
+++ b/src/emulator/slope.cpp
@@ -1,9 +1,9 @@
-#include "rig/slope.h"
+#include "emulator/slope.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 Slope fit(const std::vector<Point>& points) {
   double weights = 0, sizes = 0, values = 0, squares = 0, products = 0;
@@ -29,4 +29,4 @@
   return out;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/slope.h
+++ b/src/emulator/slope.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 struct Point {
   double size = 0;
@@ -21,4 +21,4 @@
 // there is a base alone.
 Slope fit(const std::vector<Point>& points);
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/soak.cpp
+++ b/src/emulator/soak.cpp
@@ -1,14 +1,14 @@
-#include "rig/soak.h"
+#include "emulator/soak.h"
 
 #include <algorithm>
 #include <array>
 #include <random>
 #include <string>
 
-#include "chance.h"
+#include "common/uniform.h"
 #include "faultshim/fault_plan.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 using faultshim::ClockStep;
@@ -24,8 +24,8 @@
 constexpr Micros kQuietAtLast = 4 * kS;
 // Troubles of one moment begin within this.
 constexpr Micros kMoment = 1500 * kMs;
-// Members that come and go do so one event after the other.
-constexpr Micros kBetweenMembers = 6 * kS;
+// Endpoints that come and go do so one event after the other.
+constexpr Micros kBetweenEndpoints = 6 * kS;
 constexpr Micros kListTroubleMost = 12 * kS;
 
 class Drawing {
@@ -41,8 +41,8 @@
     installation();
     load();
     moment_ = between(kQuietAtFirst, std::max(kQuietAtFirst + kMs, out_.length - kQuietAtLast - 3 * kS));
-    driverTrouble();
-    memberTrouble();
+    gatewayTrouble();
+    endpointTrouble();
     if (chance(0.7)) listTrouble();
     for (int i = 0; i < 2; ++i) {
       if (chance(0.6)) pathTrouble();
@@ -54,10 +54,10 @@
   }
 
  private:
-  bool chance(double share) { return evenly(random_()) < share; }
+  bool chance(double share) { return uniformUnit(random_()) < share; }
   template <typename T>
   T between(T least, T most) {
-    return least + static_cast<T>(evenly(random_()) * static_cast<double>(most - least));
+    return least + static_cast<T>(uniformUnit(random_()) * static_cast<double>(most - least));
   }
   template <typename T, std::size_t kCount>
   T oneOf(const std::array<T, kCount>& values) {
@@ -73,11 +73,11 @@
   }
 
   void installation() {
-    out_.drivers = between(options_.driversLeast, options_.driversMost + 1);
+    out_.gateways = between(options_.gatewaysLeast, options_.gatewaysMost + 1);
     out_.groups = between(2U, 5U);
     out_.replicas = between(2U, 4U);
-    out_.member.warmUp = between(2 * kS, 6 * kS);
-    out_.member.lag = between(20 * kMs, 800 * kMs);
+    out_.endpoint.slowStartDuration = between(2 * kS, 6 * kS);
+    out_.endpoint.lag = between(20 * kMs, 800 * kMs);
     out_.snapshot = chance(0.5);
     out_.known = chance(0.1) ? KnownList::None : chance(0.5) ? KnownList::Old : KnownList::Current;
     out_.cold = chance(0.1);
@@ -87,7 +87,7 @@
   }
 
   void load() {
-    out_.perDriver = between(6.0, 20.0);
+    out_.perGateway = between(6.0, 20.0);
     out_.busyShare = 0.1;
     out_.busyTimes = between(1.0, 6.0);
     out_.patience = between(700 * kMs, 1900 * kMs);
@@ -99,37 +99,38 @@
     out_.hardStops = true;
   }
 
-  void driverTrouble() {
+  void gatewayTrouble() {
     if (chance(0.6)) {
-      add(Is::RollDrivers, when(), between(0.3, 1.0), between(kS, 8 * kS));
+      add(Is::RollGateways, when(), between(0.3, 1.0), between(kS, 8 * kS));
     } else {
-      add(chance(0.5) ? Is::KillDrivers : Is::PauseDrivers, when(), between(0.1, 0.6),
+      add(chance(0.5) ? Is::KillGateways : Is::PauseGateways, when(), between(0.1, 0.6),
           between(300 * kMs, 2 * kS));
     }
     if (chance(0.2)) add(Is::LogsUnread, when(), between(0.2, 1.0), between(kS, 4 * kS));
     for (int i = 0; i < 3; ++i) {
-      if (chance(0.4)) add(Is::ReloadDrivers, when(), between(0.1, 1.0), 0);
+      if (chance(0.4)) add(Is::ReloadGateways, when(), between(0.1, 1.0), 0);
     }
   }
 
-  void memberTrouble() {
-    constexpr std::array kKinds = {Is::DrainMembers, Is::RestartMembers, Is::KillPrimary};
+  void endpointTrouble() {
+    constexpr std::array kKinds = {Is::DrainEndpoints, Is::RestartEndpoints, Is::KillPrimary};
     Micros at = moment_ + between<Micros>(0, kMoment);
     add(oneOf(kKinds), at, between(0.2, 0.6), between(300 * kMs, 4 * kS));
-    at += kBetweenMembers;
+    at += kBetweenEndpoints;
     if (at < out_.length - kQuietAtLast)
       add(oneOf(kKinds), at, between(0.2, 0.6), between(300 * kMs, 2 * kS));
   }
 
   void listTrouble() {
     constexpr std::array kKinds = {Is::ListDown, Is::ListOlder, Is::ListMoves, Is::CutList, Is::ListCrowded};
-    // Half of them within the term on changes, half beyond it, and about the time at which members go.
+    // Half of them within the term on changes, half beyond it, and about the time at which endpoints go.
     const Micros lasts = chance(0.5) ? between(300 * kMs, 4 * kS) : between(6 * kS, kListTroubleMost);
     add(oneOf(kKinds), when(), between(0.5, 1.0), lasts);
   }
 
   void pathTrouble() {
-    constexpr std::array kKinds = {Is::CutMembers, Is::HangMembers, Is::SlowMembers, Is::ResetMembers};
+    constexpr std::array kKinds = {Is::CutEndpoints, Is::HangEndpoints, Is::SlowEndpoints,
+                                   Is::ResetEndpoints};
     add(oneOf(kKinds), when(), between(0.1, 0.4), between(300 * kMs, 3 * kS));
   }
 
@@ -183,4 +184,4 @@
   return Drawing(seed, options).draw();
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/soak.h
+++ b/src/emulator/soak.h
@@ -1,20 +1,20 @@
-// Scenarios at random: several troubles of drivers, members, list service, paths, clients and system calls
+// Scenarios at random: several troubles of gateways, endpoints, list service, paths, clients and system calls
 // that overlap in time. Equal seeds give equal scenarios; what breaks can be written down and played again.
 #pragma once
 
 #include <cstdint>
 
-#include "rig/scenario.h"
+#include "emulator/scenario.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 struct SoakOptions {
   unsigned seconds = 20;
-  unsigned driversLeast = 10;
-  unsigned driversMost = 30;
+  unsigned gatewaysLeast = 10;
+  unsigned gatewaysMost = 30;
   bool failingCalls = true;  // system calls fail and clocks are stepped
 };
 
 Scenario soakScenario(std::uint64_t seed, const SoakOptions& options);
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/usage.cpp
+++ b/src/emulator/usage.cpp
@@ -1,4 +1,4 @@
-#include "rig/usage.h"
+#include "emulator/usage.h"
 
 #include <sys/resource.h>
 #include <sys/sysinfo.h>
@@ -12,7 +12,7 @@
 #include <limits>
 #include <thread>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr std::size_t kKilobyte = 1024;
@@ -80,4 +80,4 @@
   return limit.rlim_cur > used ? limit.rlim_cur - used : 0;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/rig/usage.h
+++ b/src/emulator/usage.h
@@ -8,7 +8,7 @@
 
 #include "transport/clock.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 struct Usage {
   transport::Micros processor = 0;  // of all its threads, user and system
@@ -29,4 +29,4 @@
 // How many more descriptors this process may open.
 std::size_t descriptorsLeft();
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/src/faultshim/fault_plan.h
+++ b/src/faultshim/fault_plan.h
@@ -37,7 +37,7 @@
 inline constexpr std::size_t kFaults = 17;
 const char* nameOf(Fault fault);
 
-// STANDING: a driver may be held up so long between reading its clock and writing.
+// STANDING: a gateway may be held up so long between reading its clock and writing.
 inline constexpr Micros kLongestHoldUp = 150'000;
 
 // So many of the calls fail, from a time of the process to another.
--- a/src/faultshim/shim.h
+++ b/src/faultshim/shim.h
@@ -1,5 +1,5 @@
 // System calls of this process that fail by a plan: shim.cpp defines them in place of the C library's. It is
-// linked into a test, or preloaded into a driver that a rig starts, and touches no other process.
+// linked into a test, or preloaded into a gateway that a rig starts, and touches no other process.
 #pragma once
 
 #include "faultshim/fault_plan.h"
--- a/src/fleet/fleet.cpp
+++ b/src/fleet/fleet.cpp
@@ -13,8 +13,8 @@
 #include <unordered_map>
 #include <utility>
 
-#include "chance.h"
-#include "overloaded.h"
+#include "common/overloaded.h"
+#include "common/uniform.h"
 
 namespace heathflow::fleet {
 namespace {
@@ -25,7 +25,7 @@
 constexpr Micros kPath = 300;              // one way
 constexpr Micros kHandshake = 4 * kMilli;
 constexpr Micros kElection = 4500 * kMilli;
-constexpr Micros kListLag = 3 * kSecond;  // of roles; of members a third
+constexpr Micros kListLag = 3 * kSecond;  // of roles; of endpoints a third
 constexpr Micros kReplicaLag = 50 * kMilli;
 constexpr Micros kReportAge = 100 * kMilli;
 constexpr Micros kWindow = 5 * kSecond;
@@ -39,12 +39,12 @@
 // Of the four classes: aims and deadlines.
 constexpr std::array<Micros, kClasses> kAims = {200 * kMilli, 500 * kMilli, 300 * kMilli, 750 * kMilli};
 constexpr std::array<Micros, kClasses> kDeadlines = {600 * kMilli, 2 * kSecond, kSecond, 5 * kSecond};
-constexpr std::array<Consistency, kClasses> kNeeds = {Consistency::Bounded, Consistency::Any,
-                                                      Consistency::Fresh, Consistency::Write};
+constexpr std::array<Consistency, kClasses> kNeeds = {Consistency::BoundedStaleness, Consistency::Eventual,
+                                                      Consistency::Strong, Consistency::Write};
 
-struct Work {  // one attempt at a member
+struct Work {  // one attempt at an endpoint
   std::size_t router = 0;
-  MemberId member = 0;
+  EndpointId endpoint = 0;
   RequestId request = 0;
   std::uint32_t attempt = 0;
   std::uint64_t life = 0;  // of the router
@@ -52,8 +52,8 @@
   bool dropped = false;
 };
 
-struct MemberModel {
-  MemberId id = 0;
+struct EndpointModel {
+  EndpointId id = 0;
   GroupId group = 0;
   bool up = true;
   bool leads = false;
@@ -61,11 +61,11 @@
   bool draining = false;
   bool failing = false;
   bool losesAnswers = false;
-  bool failsProbes = false;
+  bool failsHealthChecks = false;
   Micros standsUntil = 0;  // it takes everything and does nothing
   Micros stoodAt = 0;      // where its position stands; 0: it moves
   Micros shownAt = 0;      // the newest position that it has shown a router
-  Micros launched = 0;     // 0: long ago
+  Micros startedAt = 0;    // 0: long ago
   unsigned life = 0;
   std::deque<std::shared_ptr<Work>> queue;
   unsigned running = 0;
@@ -82,14 +82,14 @@
 };
 
 struct RouterModel {
-  std::unique_ptr<Logic> logic;
+  std::unique_ptr<RoutingPolicy> logic;
   std::uint64_t life = 0;
   double rate = 1;
   RequestId lastId = 0;
   std::unordered_map<RequestId, Asked> asked;
-  std::unordered_map<MemberId, unsigned> idle;  // connections
-  std::unordered_map<MemberId, unsigned> standing;
-  std::set<MemberId> badFor;
+  std::unordered_map<EndpointId, unsigned> idle;  // connections
+  std::unordered_map<EndpointId, unsigned> standing;
+  std::set<EndpointId> badFor;
 };
 
 class World {
@@ -99,16 +99,16 @@
   Result play() {
     for (GroupId group = 0; group < plan_.groups; ++group) {
       primarySince_.push_back(0);
-      for (unsigned i = 0; i < plan_.members; ++i) {
-        MemberModel member;
-        member.id = members_.size() + 1;
-        member.group = group;
-        member.leads = i == group % plan_.members;
-        members_.push_back(member);
+      for (unsigned i = 0; i < plan_.endpoints; ++i) {
+        EndpointModel endpoint;
+        endpoint.id = endpoints_.size() + 1;
+        endpoint.group = group;
+        endpoint.leads = i == group % plan_.endpoints;
+        endpoints_.push_back(endpoint);
       }
     }
-    result_.memberAttempts.resize(members_.size());
-    result_.routerProbes.resize(plan_.routers);
+    result_.endpointAttempts.resize(endpoints_.size());
+    result_.routerHealthChecks.resize(plan_.routers);
     result_.routerRequests.resize(plan_.routers);
     routers_.resize(plan_.routers);
     for (std::size_t i = 0; i < routers_.size(); ++i) {
@@ -145,9 +145,9 @@
   };
 
   void at(Micros when, std::function<void()> run) { events_.push({when, ++order_, std::move(run)}); }
-  double uniform() { return evenly(random_()); }
+  double uniform() { return uniformUnit(random_()); }
   Micros exponential(double mean) { return static_cast<Micros>(-mean * std::log(1 - uniform())); }
-  MemberModel& member(MemberId id) { return members_[id - 1]; }
+  EndpointModel& endpoint(EndpointId id) { return endpoints_[id - 1]; }
   Window& window(Micros arrived) {
     const auto index = static_cast<std::size_t>((arrived - kStart) / kWindow);
     if (result_.windows.size() <= index) result_.windows.resize(index + 1);
@@ -164,34 +164,36 @@
     for (const auto& [id, count] : router.standing) standing_ -= count;
     router.standing.clear();
     std::vector<Action> actions;
-    router.logic = std::make_unique<Logic>(settings_, random_(), now_, actions);
+    router.logic = std::make_unique<RoutingPolicy>(settings_, random_(), now_, actions);
     perform(index, actions);
-    tell(index, listing(), MembersChanged::Scope::Full);
+    tell(index, listing(), EndpointsChanged::Scope::Full);
   }
 
-  Member entryOf(const MemberModel& model) const {
-    Member entry;
+  Endpoint entryOf(const EndpointModel& model) const {
+    Endpoint entry;
     entry.id = model.id;
     entry.group = model.group;
-    entry.state = !model.up ? MemberState::Gone : model.draining ? MemberState::Draining : MemberState::Ready;
-    entry.launched = model.launched;
-    entry.leads = model.leads;
+    entry.status = !model.up        ? EndpointStatus::Removed
+                   : model.draining ? EndpointStatus::Draining
+                                    : EndpointStatus::Ready;
+    entry.startedAt = model.startedAt;
+    entry.listedPrimary = model.leads;
     return entry;
   }
-  std::vector<Member> listing() const {
-    std::vector<Member> out;
-    for (const MemberModel& model : members_) out.push_back(entryOf(model));
+  std::vector<Endpoint> listing() const {
+    std::vector<Endpoint> out;
+    for (const EndpointModel& model : endpoints_) out.push_back(entryOf(model));
     return out;
   }
   // All routers hear of it, each in its own time.
-  void announce(const MemberModel& model, Micros lag) {
+  void announce(const EndpointModel& model, Micros lag) {
     for (std::size_t i = 0; i < routers_.size(); ++i) {
       at(now_ + static_cast<Micros>(static_cast<double>(lag * listSlow_) * (0.5 + uniform())),
-         [this, i, id = model.id] { tell(i, {entryOf(member(id))}, MembersChanged::Scope::Delta); });
+         [this, i, id = model.id] { tell(i, {entryOf(endpoint(id))}, EndpointsChanged::Scope::Delta); });
     }
   }
-  void tell(std::size_t index, std::vector<Member> entries, MembersChanged::Scope scope) {
-    post(index, MembersChanged{scope, std::move(entries)});
+  void tell(std::size_t index, std::vector<Endpoint> entries, EndpointsChanged::Scope scope) {
+    post(index, EndpointsChanged{scope, std::move(entries)});
   }
   void post(std::size_t index, const heathflow::Event& event) {
     std::vector<Action> actions;
@@ -202,18 +204,18 @@
   void perform(std::size_t index, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
       std::visit(Overloaded{
-                     [&](const Attempt& a) { attempt(index, a); },
-                     [&](const Cancel& a) { cancel(index, a); },
-                     [&](const Refuse& a) { giveUp(index, a.request, a.why); },
-                     [&](const Fail& a) { giveUp(index, a.request, a.why); },
-                     [&](const Probe& a) { probe(index, a); },
-                     [&](const Disconnect& a) {
+                     [&](const SendAttempt& a) { attempt(index, a); },
+                     [&](const CancelAttempt& a) { cancel(index, a); },
+                     [&](const RejectRequest& a) { giveUp(index, a.request, a.reason); },
+                     [&](const FailRequest& a) { giveUp(index, a.request, a.reason); },
+                     [&](const StartHealthCheck& a) { healthCheck(index, a); },
+                     [&](const CloseIdleConnections& a) {
                        RouterModel& router = routers_[index];
-                       standing_ -= router.idle[a.member];
-                       router.standing[a.member] -= router.idle[a.member];
-                       router.idle[a.member] = 0;
+                       standing_ -= router.idle[a.endpoint];
+                       router.standing[a.endpoint] -= router.idle[a.endpoint];
+                       router.idle[a.endpoint] = 0;
                      },
-                     [&](const Subscribe&) {},
+                     [&](const SubscribeToEndpoints&) {},
                      [&](const SetTimer& a) {
                        at(now_ + a.after, [this, index, token = a.token, life = routers_[index].life] {
                          if (routers_[index].life == life) post(index, TimerFired{token});
@@ -258,7 +260,7 @@
     if (++asked.answers == 2) ++result_.twice;
   }
 
-  void giveUp(std::size_t index, RequestId id, Hindrance why) {
+  void giveUp(std::size_t index, RequestId id, RejectReason why) {
     const auto found = routers_[index].asked.find(id);
     if (found == routers_[index].asked.end()) return;
     answer(index, id);
@@ -270,10 +272,10 @@
 
   bool someoneHasRoom(const Asked& asked) {
     const bool toPrimary =
-        kNeeds[asked.classIndex] == Consistency::Fresh || kNeeds[asked.classIndex] == Consistency::Write;
-    return std::any_of(members_.begin(), members_.end(), [&](const MemberModel& model) {
+        kNeeds[asked.classIndex] == Consistency::Strong || kNeeds[asked.classIndex] == Consistency::Write;
+    return std::any_of(endpoints_.begin(), endpoints_.end(), [&](const EndpointModel& model) {
       if (model.group != asked.group || !model.up || (toPrimary && !model.leads)) return false;
-      const Position need = now_ - settings_.classes[asked.classIndex].maxAge;
+      const LogPosition need = now_ - settings_.classes[asked.classIndex].maxStaleness;
       if (asked.classIndex == kView && positionOf(model) < need) return false;
       return model.running + model.queue.size() < plan_.cores * warmthOf(model);
     });
@@ -282,7 +284,7 @@
   // ---- Connections ----
 
   // Takes an idle one or opens one: how long that takes.
-  Micros connect(RouterModel& router, MemberId id) {
+  Micros connect(RouterModel& router, EndpointId id) {
     unsigned& idle = router.idle[id];
     if (idle > 0) {
       --idle;
@@ -293,7 +295,7 @@
     result_.connectionsPeak = std::max(result_.connectionsPeak, ++standing_);
     return kHandshake;
   }
-  void release(RouterModel& router, MemberId id, bool kept) {
+  void release(RouterModel& router, EndpointId id, bool kept) {
     if (kept) {
       ++router.idle[id];
     } else if (router.standing[id] > 0) {
@@ -302,92 +304,93 @@
     }
   }
 
-  // ---- Members ----
+  // ---- Endpoints ----
 
-  Position positionOf(const MemberModel& model) const {
+  LogPosition positionOf(const EndpointModel& model) const {
     if (model.leads) return now_;
     return model.stoodAt != 0 ? model.stoodAt : now_ - kReplicaLag;
   }
   // A position that a router sees. A log goes only forwards, so none before it is shown later.
-  Position showPosition(MemberModel& model) {
-    const Position position = positionOf(model);
+  LogPosition showPosition(EndpointModel& model) {
+    const LogPosition position = positionOf(model);
     model.shownAt = std::max(model.shownAt, position);
     return position;
   }
-  double warmthOf(const MemberModel& model) const {
-    if (model.launched == 0) return 1;
-    const double share =
-        std::min(1.0, static_cast<double>(now_ - model.launched) / static_cast<double>(settings_.warmUp));
-    return settings_.coldFrom + (1 - settings_.coldFrom) * share;
+  double warmthOf(const EndpointModel& model) const {
+    if (model.startedAt == 0) return 1;
+    const double share = std::min(
+        1.0, static_cast<double>(now_ - model.startedAt) / static_cast<double>(settings_.slowStartDuration));
+    return settings_.slowStartInitialShare + (1 - settings_.slowStartInitialShare) * share;
   }
 
-  void attempt(std::size_t index, const Attempt& action) {
+  void attempt(std::size_t index, const SendAttempt& action) {
     RouterModel& router = routers_[index];
     const auto found = router.asked.find(action.request);
     if (found == router.asked.end()) return;
     Asked& asked = found->second;
-    MemberModel& model = member(action.member);
-    ++result_.memberAttempts[action.member - 1];
+    EndpointModel& model = endpoint(action.endpoint);
+    ++result_.endpointAttempts[action.endpoint - 1];
     auto work = std::make_shared<Work>();
-    *work = {index, action.member, action.request, asked.attempts++, router.life, now_, false};
+    *work = {index, action.endpoint, action.request, asked.attempts++, router.life, now_, false};
     asked.open[work->attempt] = work;
     if (!model.up) {
-      at(now_ + 2 * kPath, [this, work, id = action.member] { ended(work, id, Outcome::ConnectFailed); });
+      at(now_ + 2 * kPath,
+         [this, work, id = action.endpoint] { ended(work, id, AttemptOutcome::ConnectFailed); });
       return;
     }
-    const Micros wait = connect(router, action.member);
-    at(asked.arrived + kDeadlines[asked.classIndex], [this, work, id = action.member] {
-      if (drop(work, id)) ended(work, id, Outcome::TimedOut);
+    const Micros wait = connect(router, action.endpoint);
+    at(asked.arrived + kDeadlines[asked.classIndex], [this, work, id = action.endpoint] {
+      if (drop(work, id)) ended(work, id, AttemptOutcome::TimedOut);
     });
-    if (isFar(index, action.member) && uniform() < kLostOnPath) return;
-    at(now_ + kPath + farther(index, action.member) + wait,
-       [this, work, id = action.member] { reach(work, id); });
+    if (isFar(index, action.endpoint) && uniform() < kLostOnPath) return;
+    at(now_ + kPath + farther(index, action.endpoint) + wait,
+       [this, work, id = action.endpoint] { reach(work, id); });
   }
 
-  void reach(const std::shared_ptr<Work>& work, MemberId id) {
+  void reach(const std::shared_ptr<Work>& work, EndpointId id) {
     if (work->dropped) return;
-    MemberModel& model = member(id);
-    if (!model.up) return lose(work, id, Outcome::Reset);
+    EndpointModel& model = endpoint(id);
+    if (!model.up) return lose(work, id, AttemptOutcome::ConnectionReset);
     if (warmthOf(model) < 1) {
       model.cold.push_back(now_);
-      while (now_ - model.cold.front() > settings_.fallWindow) model.cold.pop_front();
-      const double can = plan_.cores * warmthOf(model) * static_cast<double>(settings_.fallWindow) /
+      while (now_ - model.cold.front() > settings_.overloadWindow) model.cold.pop_front();
+      const double can = plan_.cores * warmthOf(model) * static_cast<double>(settings_.overloadWindow) /
                          static_cast<double>(plan_.work);
       const auto got = static_cast<double>(model.cold.size());
       result_.coldPeak = std::max(result_.coldPeak, got / can);
-      result_.coldLoad = std::max(result_.coldLoad, got / loadToFall(settings_.fallMultiple * can));
+      result_.coldLoad = std::max(result_.coldLoad, got / loadToFall(settings_.overloadMultiple * can));
     }
     RouterModel& router = routers_[work->router];
-    if (model.failing || router.badFor.contains(id)) return lose(work, id, Outcome::Error);
+    if (model.failing || router.badFor.contains(id)) return lose(work, id, AttemptOutcome::Error);
     const auto asked = router.asked.find(work->request);
     const bool write = asked != router.asked.end() && kNeeds[asked->second.classIndex] == Consistency::Write;
-    if (write && !model.leads) return lose(work, id, Outcome::Miss);
-    if (model.queue.size() >= kQueue) return lose(work, id, Outcome::Full);
+    if (write && !model.leads) return lose(work, id, AttemptOutcome::PreconditionFailed);
+    if (model.queue.size() >= kQueue) return lose(work, id, AttemptOutcome::Overloaded);
     model.queue.push_back(work);
     serve(id);
   }
 
-  void lose(const std::shared_ptr<Work>& work, MemberId id, Outcome outcome) {
+  void lose(const std::shared_ptr<Work>& work, EndpointId id, AttemptOutcome outcome) {
     work->dropped = true;
-    release(routers_[work->router], id, outcome != Outcome::Reset);
+    release(routers_[work->router], id, outcome != AttemptOutcome::ConnectionReset);
     at(now_ + kPath, [this, work, id, outcome] { ended(work, id, outcome); });
   }
 
-  void serve(MemberId id) {
-    MemberModel& model = member(id);
+  void serve(EndpointId id) {
+    EndpointModel& model = endpoint(id);
     while (model.up && now_ >= model.standsUntil && model.running < plan_.cores && !model.queue.empty()) {
       const auto work = model.queue.front();
       model.queue.pop_front();
       if (work->dropped) continue;
       ++model.running;
-      const Position position = showPosition(model);
+      const LogPosition position = showPosition(model);
       const Micros takes = exponential(static_cast<double>(plan_.work) / warmthOf(model));
       at(now_ + takes, [this, work, id, position, life = model.life] { complete(work, id, position, life); });
     }
   }
 
-  void complete(const std::shared_ptr<Work>& work, MemberId id, Position position, unsigned life) {
-    MemberModel& host = member(id);
+  void complete(const std::shared_ptr<Work>& work, EndpointId id, LogPosition position, unsigned life) {
+    EndpointModel& host = endpoint(id);
     if (host.life != life) return;
     if (now_ < host.standsUntil) {
       at(host.standsUntil, [this, work, id, position, life] { complete(work, id, position, life); });
@@ -400,32 +403,34 @@
       work->dropped = true;
       release(routers_[work->router], id, true);
       at(now_ + kPath + farther(work->router, id),
-         [this, work, id, position] { ended(work, id, Outcome::Ok, position); });
+         [this, work, id, position] { ended(work, id, AttemptOutcome::Ok, position); });
     }
     serve(id);
   }
 
-  bool isFar(std::size_t router, MemberId id) const { return pathsWorse_ && (router + id) % 2 == 0; }
-  Micros farther(std::size_t router, MemberId id) const { return isFar(router, id) ? kFarther : 0; }
+  bool isFar(std::size_t router, EndpointId id) const { return pathsWorse_ && (router + id) % 2 == 0; }
+  Micros farther(std::size_t router, EndpointId id) const { return isFar(router, id) ? kFarther : 0; }
 
   // Nobody waits for it any more. False where it was over.
-  bool drop(const std::shared_ptr<Work>& work, MemberId id) {
+  bool drop(const std::shared_ptr<Work>& work, EndpointId id) {
     if (work->dropped) return false;
     work->dropped = true;
     if (routers_[work->router].life == work->life) release(routers_[work->router], id, false);
     return true;
   }
 
-  void cancel(std::size_t index, const Cancel& action) {
+  void cancel(std::size_t index, const CancelAttempt& action) {
     const auto found = routers_[index].asked.find(action.request);
     if (found == routers_[index].asked.end()) return;
     const auto open = found->second.open.find(action.attempt);
     if (open == found->second.open.end()) return;
     const auto work = open->second;
-    if (drop(work, work->member)) at(now_, [this, work] { ended(work, work->member, Outcome::Cancelled); });
+    if (drop(work, work->endpoint))
+      at(now_, [this, work] { ended(work, work->endpoint, AttemptOutcome::Cancelled); });
   }
 
-  void ended(const std::shared_ptr<Work>& work, MemberId id, Outcome outcome, Position position = 0) {
+  void ended(const std::shared_ptr<Work>& work, EndpointId id, AttemptOutcome outcome,
+             LogPosition position = 0) {
     RouterModel& router = routers_[work->router];
     const auto found = router.asked.find(work->request);
     if (router.life != work->life || found == router.asked.end()) return;
@@ -434,15 +439,15 @@
     AttemptEnded event;
     event.request = work->request;
     event.attempt = work->attempt;
-    event.member = id;
+    event.endpoint = id;
     event.outcome = outcome;
     event.elapsed = now_ - work->sentAt;
-    event.mayBeFull = false;
-    if (outcome == Outcome::Ok) {
-      event.finished = true;
+    event.mayLackConnections = false;
+    if (outcome == AttemptOutcome::Ok) {
+      event.requestFinished = true;
       answer(work->router, work->request);
       if (now_ - asked.arrived <= kAims[asked.classIndex]) ++window(asked.arrived).inTime;
-      const Micros oldest = work->sentAt - settings_.classes[asked.classIndex].maxAge;
+      const Micros oldest = work->sentAt - settings_.classes[asked.classIndex].maxStaleness;
       if (asked.classIndex == kView && position < oldest) ++result_.stale;
       if (asked.classIndex == kSave) wrote(work->router, asked.group, asked.arrived, work->sentAt);
     }
@@ -457,23 +462,23 @@
     foundSum_ += std::max<Micros>(0, sentAt - std::max(since, arrived));
   }
 
-  void probe(std::size_t index, const Probe& action) {
+  void healthCheck(std::size_t index, const StartHealthCheck& action) {
     RouterModel& router = routers_[index];
-    ++result_.probes;
-    ++result_.routerProbes[index];
-    ++result_.probesBy[static_cast<std::size_t>(action.reason)];
-    MemberModel& model = member(action.member);
+    ++result_.healthChecks;
+    ++result_.routerHealthChecks[index];
+    ++result_.healthChecksBy[static_cast<std::size_t>(action.reason)];
+    EndpointModel& model = endpoint(action.endpoint);
     const bool up = model.up;
-    const Micros wait = up ? connect(router, action.member) : 0;
+    const Micros wait = up ? connect(router, action.endpoint) : 0;
     const bool stands = now_ < model.standsUntil;
     const Micros takes =
-        stands ? settings_.connectTimeout : 2 * (kPath + farther(index, action.member)) + wait;
-    at(now_ + takes, [this, index, id = action.member, up, life = router.life] {
+        stands ? settings_.connectTimeout : 2 * (kPath + farther(index, action.endpoint)) + wait;
+    at(now_ + takes, [this, index, id = action.endpoint, up, life = router.life] {
       if (routers_[index].life != life) return;
-      MemberModel& host = member(id);
-      ProbeEnded event;
-      event.member = id;
-      event.ok = up && host.up && !host.failsProbes && now_ >= host.standsUntil;
+      EndpointModel& host = endpoint(id);
+      HealthCheckEnded event;
+      event.endpoint = id;
+      event.ok = up && host.up && !host.failsHealthChecks && now_ >= host.standsUntil;
       event.elapsed = 2 * kPath;
       if (event.ok) {
         event.report.position =
@@ -490,12 +495,12 @@
   void happen(const Happening& what) {
     switch (what.kind) {
       case Happening::Kind::PrimariesDie:
-        for (MemberModel& model : members_) {
+        for (EndpointModel& model : endpoints_) {
           if (model.leads && uniform() < what.share) fall(model, what.lasts);
         }
         return;
-      case Happening::Kind::MembersReturn:
-        for (MemberModel& model : members_) {
+      case Happening::Kind::EndpointsReturn:
+        for (EndpointModel& model : endpoints_) {
           if (model.up && uniform() < what.share) fall(model, what.lasts);
         }
         return;
@@ -505,13 +510,13 @@
         }
         return;
       case Happening::Kind::ReplicasLag:
-        for (MemberModel& model : members_) {
+        for (EndpointModel& model : endpoints_) {
           if (model.leads || uniform() >= what.share) continue;
           model.lagging = true;
           model.stoodAt = now_;
           at(now_ + what.lasts, [this, id = model.id] {
-            member(id).lagging = false;
-            member(id).stoodAt = 0;
+            endpoint(id).lagging = false;
+            endpoint(id).stoodAt = 0;
           });
         }
         return;
@@ -528,59 +533,59 @@
     }
   }
 
-  // Each member is struck with the chance of the share.
-  void strike(const Happening& what, const std::function<void(MemberModel&)>& begins,
-              const std::function<void(MemberModel&)>& ends) {
-    for (MemberModel& model : members_) {
+  // Each endpoint is struck with the chance of the share.
+  void strike(const Happening& what, const std::function<void(EndpointModel&)>& begins,
+              const std::function<void(EndpointModel&)>& ends) {
+    for (EndpointModel& model : endpoints_) {
       if (!model.up || uniform() >= what.share) continue;
       begins(model);
-      at(now_ + what.lasts, [this, ends, id = model.id] { ends(member(id)); });
+      at(now_ + what.lasts, [this, ends, id = model.id] { ends(endpoint(id)); });
     }
   }
 
-  void standStill(MemberModel& model, Micros lasts) {
+  void standStill(EndpointModel& model, Micros lasts) {
     model.standsUntil = now_ + lasts;
     at(model.standsUntil, [this, id = model.id] { serve(id); });
   }
 
   // Every so often until a time.
-  void repeat(MemberId id, Micros every, Micros until, const std::function<void(MemberModel&)>& what) {
+  void repeat(EndpointId id, Micros every, Micros until, const std::function<void(EndpointModel&)>& what) {
     if (now_ >= until) return;
-    if (member(id).up) what(member(id));
+    if (endpoint(id).up) what(endpoint(id));
     at(now_ + every, [this, id, every, until, what] { repeat(id, every, until, what); });
   }
 
   void trouble(const Happening& what) {
-    const auto nothing = [](MemberModel&) {};
+    const auto nothing = [](EndpointModel&) {};
     const Micros until = now_ + what.lasts;
     switch (what.kind) {
-      case Happening::Kind::MembersHang:
+      case Happening::Kind::EndpointsHang:
         return strike(
-            what, [this, &what](MemberModel& m) { standStill(m, what.lasts); }, nothing);
-      case Happening::Kind::MembersPause: {
-        const auto pause = [this](MemberModel& m) { standStill(m, kPause); };
+            what, [this, &what](EndpointModel& m) { standStill(m, what.lasts); }, nothing);
+      case Happening::Kind::EndpointsPause: {
+        const auto pause = [this](EndpointModel& m) { standStill(m, kPause); };
         return strike(
-            what, [&](MemberModel& m) { repeat(m.id, kPauseEvery, until, pause); }, nothing);
+            what, [&](EndpointModel& m) { repeat(m.id, kPauseEvery, until, pause); }, nothing);
       }
-      case Happening::Kind::MembersFail:
+      case Happening::Kind::EndpointsFail:
         return strike(
-            what, [](MemberModel& m) { m.failing = true; }, [](MemberModel& m) { m.failing = false; });
+            what, [](EndpointModel& m) { m.failing = true; }, [](EndpointModel& m) { m.failing = false; });
       case Happening::Kind::AnswersLost:
         return strike(
-            what, [](MemberModel& m) { m.losesAnswers = true; },
-            [](MemberModel& m) { m.losesAnswers = false; });
-      case Happening::Kind::ProbesFail:
+            what, [](EndpointModel& m) { m.losesAnswers = true; },
+            [](EndpointModel& m) { m.losesAnswers = false; });
+      case Happening::Kind::HealthChecksFail:
         return strike(
-            what, [](MemberModel& m) { m.failsProbes = true; },
-            [](MemberModel& m) { m.failsProbes = false; });
-      case Happening::Kind::MembersFlap: {
-        const auto die = [this](MemberModel& m) { fall(m, kDown); };
+            what, [](EndpointModel& m) { m.failsHealthChecks = true; },
+            [](EndpointModel& m) { m.failsHealthChecks = false; });
+      case Happening::Kind::EndpointsFlap: {
+        const auto die = [this](EndpointModel& m) { fall(m, kDown); };
         return strike(
-            what, [&](MemberModel& m) { repeat(m.id, kFlapEvery, until, die); }, nothing);
+            what, [&](EndpointModel& m) { repeat(m.id, kFlapEvery, until, die); }, nothing);
       }
-      case Happening::Kind::MembersLeave:
+      case Happening::Kind::EndpointsLeave:
         return strike(
-            what, [this, &what](MemberModel& m) { leave(m, what.lasts); }, nothing);
+            what, [this, &what](EndpointModel& m) { leave(m, what.lasts); }, nothing);
       case Happening::Kind::ListLate:
         listSlow_ = kLaterList;
         return at(until, [this] { listSlow_ = 1; });
@@ -592,21 +597,21 @@
     }
   }
 
-  void leave(MemberModel& model, Micros lasts) {
+  void leave(EndpointModel& model, Micros lasts) {
     model.draining = true;
     announce(model, kListLag / 3);
     at(now_ + kDrain, [this, lasts, id = model.id] {
-      member(id).draining = false;
-      if (member(id).up) fall(member(id), lasts);
+      endpoint(id).draining = false;
+      if (endpoint(id).up) fall(endpoint(id), lasts);
     });
   }
 
-  void fall(MemberModel& model, Micros lasts) {
+  void fall(EndpointModel& model, Micros lasts) {
     model.up = false;
     ++model.life;
     model.running = 0;
     for (const auto& work : std::exchange(model.queue, {})) {
-      if (!work->dropped) lose(work, model.id, Outcome::Reset);
+      if (!work->dropped) lose(work, model.id, AttemptOutcome::ConnectionReset);
     }
     for (RouterModel& router : routers_) {
       standing_ -= router.standing[model.id];
@@ -616,16 +621,16 @@
     if (std::exchange(model.leads, false)) lead(model.group);
     model.stoodAt = now_;
     at(now_ + lasts, [this, id = model.id] {
-      MemberModel& back = member(id);
+      EndpointModel& back = endpoint(id);
       back.up = true;
-      back.launched = now_;
+      back.startedAt = now_;
       if (primaryOf(back.group) != nullptr) back.stoodAt = 0;
       announce(back, kListLag / 3);
     });
   }
 
-  MemberModel* primaryOf(GroupId group) {
-    for (MemberModel& model : members_) {
+  EndpointModel* primaryOf(GroupId group) {
+    for (EndpointModel& model : endpoints_) {
       if (model.group == group && model.leads) return &model;
     }
     return nullptr;
@@ -633,21 +638,21 @@
 
   // A group without a primary stands still until the one with most of the log takes over.
   void lead(GroupId group) {
-    for (MemberModel& model : members_) {
+    for (EndpointModel& model : endpoints_) {
       if (model.group == group && model.stoodAt == 0)
         model.stoodAt =
             std::max(model.shownAt, now_ - kReplicaLag - static_cast<Micros>(uniform() * kReplicaLag));
     }
     at(now_ + kElection, [this, group] {
-      MemberModel* next = nullptr;
-      for (MemberModel& model : members_) {
+      EndpointModel* next = nullptr;
+      for (EndpointModel& model : endpoints_) {
         if (model.group != group || !model.up) continue;
         if (next == nullptr || model.stoodAt > next->stoodAt) next = &model;
       }
       if (next == nullptr) return lead(group);
       next->leads = true;
       primarySince_[group] = now_;
-      for (MemberModel& model : members_) {
+      for (EndpointModel& model : endpoints_) {
         if (model.group == group && !model.lagging && model.up) model.stoodAt = 0;
       }
       announce(*next, kListLag);
@@ -656,12 +661,12 @@
 
   const Plan& plan_;
   std::mt19937_64 random_;
-  Settings settings_;
+  PolicySettings settings_;
   Micros now_ = kStart;
   bool arriving_ = true;
   std::uint64_t order_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::vector<MemberModel> members_;
+  std::vector<EndpointModel> endpoints_;
   std::vector<RouterModel> routers_;
   std::vector<Micros> primarySince_;
   std::set<std::tuple<GroupId, std::size_t, Micros>> foundBy_;
@@ -677,37 +682,37 @@
 
 double loadToFall(double allowed) { return allowed + 2 * std::sqrt(allowed) + 2; }
 
-Settings settingsOf(const Plan& plan) {
-  Settings out;
+PolicySettings settingsOf(const Plan& plan) {
+  PolicySettings out;
   for (std::uint32_t i = 0; i < kClasses; ++i) {
-    ClassSettings entry;
+    RequestClassSettings entry;
     entry.consistency = kNeeds[i];
-    entry.maxAge = i == kView ? 3 * kSecond : 0;
-    entry.aim = kAims[i];
+    entry.maxStaleness = i == kView ? 3 * kSecond : 0;
+    entry.latencyObjective = kAims[i];
     entry.deadline = kDeadlines[i];
-    entry.worth = 2;
-    entry.lateShare = i == kSave ? 0.3 : 0;
-    entry.effect = i == kSave ? Effect::Keyed : Effect::Safe;
-    entry.scope = i == kSave ? KeyScope::Group : KeyScope::Everywhere;
-    entry.window = 5 * kSecond;
+    entry.priorityWeight = 2;
+    entry.lateValueShare = i == kSave ? 0.3 : 0;
+    entry.idempotency = i == kSave ? Idempotency::WithKey : Idempotency::Idempotent;
+    entry.keyScope = i == kSave ? KeyScope::Group : KeyScope::Global;
+    entry.keyWindow = 5 * kSecond;
     out.classes.push_back(entry);
   }
-  out.drivers = plan.routers;
-  out.tick = 5 * kMilli;
-  out.tokens = TokenMode::Remembered;
-  out.mustAsk = false;
-  out.askWithin = 10 * kSecond;
-  out.mayProbe = true;
-  out.mayCancel = true;
-  out.mayAdviseRetry = true;
+  out.gatewayCount = plan.routers;
+  out.timerResolution = 5 * kMilli;
+  out.sessionTokens = SessionTokenSource::Gateway;
+  out.discoveryIsPolled = false;
+  out.maxPollInterval = 10 * kSecond;
+  out.healthChecksAllowed = true;
+  out.cancellationAllowed = true;
+  out.retryAfterAllowed = true;
   out.maxRetryAfter = 500 * kMilli;
   out.maxAttempts = 10;
   out.connectTimeout = 250 * kMilli;
-  out.answerSlack = 20 * kMilli;
-  out.coldFrom = 0.15;
-  out.warmUp = 16 * kSecond;
-  out.fallWindow = 2 * kSecond;
-  out.fallMultiple = 2.5;
+  out.responseSlack = 20 * kMilli;
+  out.slowStartInitialShare = 0.15;
+  out.slowStartDuration = 16 * kSecond;
+  out.overloadWindow = 2 * kSecond;
+  out.overloadMultiple = 2.5;
   return out;
 }
 
--- a/src/fleet/talk.cpp
+++ b/src/fleet/talk.cpp
@@ -11,7 +11,7 @@
 using membership::Sending;
 using membership::State;
 
-// What a paused driver's socket keeps.
+// What a paused gateway's socket keeps.
 constexpr std::size_t kKeptMost = 200;
 
 unsigned numberOf(const std::string& name) {
@@ -20,41 +20,41 @@
 
 }  // namespace
 
-Talk::Talk(const TalkPlan& plan) : plan_(plan), random_(plan.seed), nodes_(plan.drivers) {
-  for (unsigned i = 0; i < plan.drivers; ++i) start(i);
+Talk::Talk(const TalkPlan& plan) : plan_(plan), random_(plan.seed), nodes_(plan.gateways) {
+  for (unsigned i = 0; i < plan.gateways; ++i) start(i);
 }
 
-void Talk::start(unsigned driver) {
+void Talk::start(unsigned gateway) {
   membership::DetectorSettings settings = plan_.settings;
-  Node& node = nodes_[driver];
-  settings.name = settings.address = nameOf(driver);
-  settings.seeds = {nameOf(0), nameOf(1 % plan_.drivers), nameOf(2 % plan_.drivers)};
-  settings.seed = plan_.seed * 1'000'003 + driver * 1'009 + ++node.life;
+  Node& node = nodes_[gateway];
+  settings.name = settings.address = nameOf(gateway);
+  settings.seeds = {nameOf(0), nameOf(1 % plan_.gateways), nameOf(2 % plan_.gateways)};
+  settings.seed = plan_.seed * 1'000'003 + gateway * 1'009 + ++node.life;
   node.detector = std::make_unique<Detector>(settings, now_);
   node.paused = false;
   node.kept.clear();
   std::vector<Sending> none;
-  settle(driver, none);
+  settle(gateway, none);
 }
 
-void Talk::kill(unsigned driver) { nodes_[driver].detector.reset(); }
-void Talk::pause(unsigned driver) { nodes_[driver].paused = true; }
+void Talk::kill(unsigned gateway) { nodes_[gateway].detector.reset(); }
+void Talk::pause(unsigned gateway) { nodes_[gateway].paused = true; }
 
-void Talk::resume(unsigned driver) {
-  Node& node = nodes_[driver];
+void Talk::resume(unsigned gateway) {
+  Node& node = nodes_[gateway];
   node.paused = false;
   std::vector<Sending> sendings;
   node.detector->turn(now_, sendings);
   for (auto& [from, message] : std::exchange(node.kept, {}))
     node.detector->hear(now_, nameOf(from), message, sendings);
-  settle(driver, sendings);
+  settle(gateway, sendings);
 }
 
-void Talk::leave(unsigned driver) {
+void Talk::leave(unsigned gateway) {
   std::vector<Sending> sendings;
-  nodes_[driver].detector->leave(now_, sendings);
-  post(driver, sendings);
-  kill(driver);
+  nodes_[gateway].detector->leave(now_, sendings);
+  post(gateway, sendings);
+  kill(gateway);
 }
 
 void Talk::post(unsigned from, std::vector<Sending>& sendings) {
@@ -73,13 +73,13 @@
   sendings.clear();
 }
 
-void Talk::settle(unsigned driver, std::vector<Sending>& sendings) {
-  post(driver, sendings);
-  Detector& detector = *nodes_[driver].detector;
-  for (auto& event : detector.events()) events_.push_back({now_, driver, std::move(event)});
+void Talk::settle(unsigned gateway, std::vector<Sending>& sendings) {
+  post(gateway, sendings);
+  Detector& detector = *nodes_[gateway].detector;
+  for (auto& event : detector.events()) events_.push_back({now_, gateway, std::move(event)});
   const Micros due = std::max(now_ + 1, detector.due());
-  nodes_[driver].wake = due;
-  turns_.emplace(due, driver);
+  nodes_[gateway].wake = due;
+  turns_.emplace(due, gateway);
 }
 
 void Talk::run(Micros span) {
@@ -102,13 +102,13 @@
       node.detector->hear(now_, nameOf(flown.from), flown.message, sendings);
       settle(flown.to, sendings);
     } else {
-      const unsigned driver = turns_.top().second;
+      const unsigned gateway = turns_.top().second;
       turns_.pop();
-      Node& node = nodes_[driver];
+      Node& node = nodes_[gateway];
       if (!node.detector || node.paused || node.wake != turn) continue;
       now_ = std::max(now_, turn);
       node.detector->turn(now_, sendings);
-      settle(driver, sendings);
+      settle(gateway, sendings);
     }
   }
   now_ = end;
@@ -128,12 +128,13 @@
   return true;
 }
 
-std::pair<Micros, unsigned> Talk::seen(membership::Happened::Kind kind, unsigned driver, Micros since) const {
+std::pair<Micros, unsigned> Talk::seen(membership::Happened::Kind kind, unsigned gateway,
+                                       Micros since) const {
   std::set<unsigned> by;
   Micros last = 0;
   for (const TalkEvent& event : events_) {
-    if (event.at < since || event.what.kind != kind || event.what.name != nameOf(driver)) continue;
-    if (by.insert(event.driver).second) last = event.at;
+    if (event.at < since || event.what.kind != kind || event.what.name != nameOf(gateway)) continue;
+    if (by.insert(event.gateway).second) last = event.at;
   }
   return {last, static_cast<unsigned>(by.size())};
 }
--- a/src/fleet/talk.h
+++ b/src/fleet/talk.h
@@ -1,5 +1,5 @@
-// Many drivers that talk, under a virtual clock: messages that get lost, come late or twice, paths that are
-// cut in one direction, drivers that stand still, die and start again. Equal plans give equal results.
+// Many gateways that talk, under a virtual clock: messages that get lost, come late or twice, paths that are
+// cut in one direction, gateways that stand still, die and start again. Equal plans give equal results.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "chance.h"
+#include "common/uniform.h"
 #include "membership/detector.h"
 
 namespace heathflow::fleet {
@@ -20,7 +20,7 @@
 using membership::Micros;
 
 struct TalkPlan {
-  unsigned drivers = 10;
+  unsigned gateways = 10;
   double loss = 0;
   double twice = 0;
   Micros delay = 1'000;
@@ -32,7 +32,7 @@
 
 struct TalkEvent {
   Micros at = 0;
-  unsigned driver = 0;  // who saw it
+  unsigned gateway = 0;  // who saw it
   membership::Happened what;
 };
 
@@ -46,23 +46,23 @@
   // Nothing gets through from one to another, in this direction.
   void cut(unsigned from, unsigned to) { cuts_.insert({from, to}); }
   void heal() { cuts_.clear(); }
-  void kill(unsigned driver);
+  void kill(unsigned gateway);
   // A new life under the same name.
-  void start(unsigned driver);
-  void pause(unsigned driver);
-  void resume(unsigned driver);
-  void leave(unsigned driver);
+  void start(unsigned gateway);
+  void pause(unsigned gateway);
+  void resume(unsigned gateway);
+  void leave(unsigned gateway);
 
-  bool up(unsigned driver) const { return nodes_[driver].detector != nullptr; }
-  Detector& at(unsigned driver) { return *nodes_[driver].detector; }
+  bool up(unsigned gateway) const { return nodes_[gateway].detector != nullptr; }
+  Detector& at(unsigned gateway) { return *nodes_[gateway].detector; }
   const std::vector<TalkEvent>& events() const { return events_; }
   std::uint64_t messages() const { return messages_; }
   std::uint64_t words() const { return words_; }
-  static std::string nameOf(unsigned driver) { return "n" + std::to_string(driver); }
+  static std::string nameOf(unsigned gateway) { return "n" + std::to_string(gateway); }
   // Whether all that are up see each other as alive, and nobody else.
   bool agreed() const;
-  // The time of the last of these events about a driver, and how many of those that are up have seen it.
-  std::pair<Micros, unsigned> seen(membership::Happened::Kind kind, unsigned driver, Micros since) const;
+  // The time of the last of these events about a gateway, and how many of those that are up have seen it.
+  std::pair<Micros, unsigned> seen(membership::Happened::Kind kind, unsigned gateway, Micros since) const;
 
  private:
   struct Node {
@@ -80,8 +80,8 @@
     bool operator>(const Flying& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   void post(unsigned from, std::vector<membership::Sending>& sendings);
-  void settle(unsigned driver, std::vector<membership::Sending>& sendings);
-  double random() { return evenly(random_()); }
+  void settle(unsigned gateway, std::vector<membership::Sending>& sendings);
+  double random() { return uniformUnit(random_()); }
 
   TalkPlan plan_;
   std::mt19937_64 random_;
--- a/src/installation/installation.cpp
+++ b/src/installation/installation.cpp
@@ -54,8 +54,8 @@
   out.advertise = attribute(node, "advertise");
   out.agent = attribute(node, "agent");
   const std::string address = attribute(node, "address");
-  if (const auto endpoint = transport::parseEndpoint(address)) {
-    out.address = *endpoint;
+  if (const auto socketAddress = transport::parseSocketAddress(address)) {
+    out.address = *socketAddress;
   } else {
     collector.add(
         out.line, "listener",
--- a/src/installation/installation.h
+++ b/src/installation/installation.h
@@ -25,7 +25,7 @@
 
 struct Listener {
   std::string name;
-  transport::Endpoint address;
+  transport::SocketAddress address;
   std::string protocol;
   std::string advertise;  // empty: the address itself
   std::string agent;      // empty: the program's own name
@@ -55,7 +55,7 @@
   std::string credentials;  // read from it
 };
 
-// What is kept on disk for the driver's next life.
+// What is kept on disk for the gateway's next life.
 struct SnapshotSettings {
   std::string file;        // empty: nothing is kept
   unsigned every = 10;     // seconds from one writing to the next, where there is something new
--- a/src/invariants/guard.h
+++ b/src/invariants/invariant_checker.h
@@ -1,5 +1,5 @@
 // The rules as invariants of one process, checked where it sends, repeats, answers, closes and starts. The
-// guard keeps a record of its own, apart from the decisions that it checks: what it refuses has been decided
+// guard keeps a record of its own, apart from the decisions that it checks: what it rejects has been decided
 // wrongly, and is counted. Decisions only, under any one clock.
 #pragma once
 
@@ -10,39 +10,39 @@
 #include <unordered_map>
 #include <vector>
 
-#include "logic.h"
+#include "policy/routing_policy.h"
 
 namespace heathflow::invariants {
 
 enum class Invariant {
-  SentAfterAnswer,     // an attempt for a request that has its final answer
-  SentAfterLeaving,    // or whose client has left
-  SentAfterTime,       // or whose client's time is over
-  ToldTooMuchTime,     // a member was told a longer time than the client has left
-  SentToDraining,      // to a member that was told to drain, or to be gone, beyond the grace
-  SecondCopy,          // beside an attempt that is still out, where the settings allow none
-  RepeatedEffect,      // after one that may have run, where its class allows none
-  SecondAnswer,        // a request got two final answers
-  RefusedAfterEffect,  // a refusal promises that there was no effect
-  ClosedUnanswered,    // this process closed a connection whose request has no answer
-  TakenAfterClose,     // a request was taken on a connection that is being closed
-  StartedUnready       // clients were taken in before there was a list
+  SentAfterAnswer,      // an attempt for a request that has its final answer
+  SentAfterDisconnect,  // or whose client has left
+  SentAfterDeadline,    // or whose client's time is over
+  TimeoutTooLong,       // an endpoint was told a longer time than the client has left
+  SentToDraining,       // to an endpoint that was told to drain, or to be gone, beyond the grace
+  ForbiddenHedge,       // beside an attempt that is still out, where the settings allow none
+  RepeatedEffect,       // after one that may have run, where its class allows none
+  SecondAnswer,         // a request got two final answers
+  RejectedAfterEffect,  // a rejection promises that there was no effect
+  ClosedUnanswered,     // this process closed a connection whose request has no answer
+  AcceptedAfterClose,   // a request was taken on a connection that is being closed
+  StartedUnready        // clients were taken in before there was a list
 };
 inline constexpr std::size_t kInvariants = 12;
 const char* nameOf(Invariant invariant);
 
-// STANDING: the slack of the time that a member is told.
+// STANDING: the slack of the time that an endpoint is told.
 inline constexpr Micros kToldSlack = 150'000;
 
-class Guard {
+class InvariantChecker {
  public:
   // Hears of each violation, with the request's id or 0.
   using OnBroken = std::function<void(Invariant invariant, RequestId request)>;
-  // 'drainGrace': for how long a member may still be sent to after it was told to drain.
-  Guard(const Settings& settings, Micros drainGrace, OnBroken onBroken);
+  // 'drainGrace': for how long an endpoint may still be sent to after it was told to drain.
+  InvariantChecker(const PolicySettings& settings, Micros drainGrace, OnBroken onBroken);
 
   // ---- Starting ----
-  void listTaken(Micros now, const MembersChanged& list);
+  void listTaken(Micros now, const EndpointsChanged& list);
   void startsTaking();
 
   // ---- A request's path ----
@@ -53,14 +53,14 @@
   struct Sending {
     RequestId request = 0;
     std::uint32_t attempt = 0;
-    MemberId member = 0;
-    Micros told = 0;  // the time that the member is told, from now on
+    EndpointId endpoint = 0;
+    Micros told = 0;  // the time that the endpoint is told, from now on
   };
   // Whether it may be written; where not it must not be.
   bool maySend(Micros now, const Sending& sending);
   // 'mayHaveRun': it was written, and nothing says that it had no effect.
   void ended(RequestId request, std::uint32_t attempt, bool mayHaveRun);
-  enum class Final { Served, Refused, Failed };
+  enum class Final { Served, Rejected, Failed };
   void answered(RequestId request, Final answer);
   void left(RequestId request);
   // Nothing of the request is out or owed any more.
@@ -75,27 +75,27 @@
   std::size_t open() const { return records_.size(); }
 
  private:
-  struct Try {
+  struct AttemptRecord {
     std::uint32_t attempt = 0;
     Micros sentAt = 0;
     bool out = true;
     bool mayHaveRun = true;
   };
-  struct Record {
+  struct RequestRecord {
     std::uint32_t classIndex = 0;
     Micros deadline = 0;
     bool answered = false;
     bool left = false;
-    std::vector<Try> tries;  // that were written
+    std::vector<AttemptRecord> tries;  // that were written
   };
   bool broken(Invariant invariant, RequestId request);
-  bool mayRepeat(const Record& record, Micros now) const;
+  bool mayRepeat(const RequestRecord& record, Micros now) const;
 
-  const Settings& settings_;
+  const PolicySettings& settings_;
   Micros drainGrace_;
   OnBroken onBroken_;
-  std::unordered_map<RequestId, Record> records_;
-  std::unordered_map<MemberId, Micros> drainingSince_;
+  std::unordered_map<RequestId, RequestRecord> records_;
+  std::unordered_map<EndpointId, Micros> drainingSince_;
   bool listed_ = false;
   std::array<std::uint64_t, kInvariants> counts_{};
 };
--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -8,11 +8,11 @@
 namespace heathflow::membership {
 namespace {
 
-// So many probes in a row without a sign of anybody, and this driver doubts itself and not the others.
+// So many probes in a row without a sign of anybody, and this gateway doubts itself and not the others.
 constexpr unsigned kAlone = 3;
-// A young driver exchanges all that is known so often, and once more for each doubling of drivers.
+// A young gateway exchanges all that is known so often, and once more for each doubling of gateways.
 constexpr double kYoungExchanges = 4;
-// This share of exchanges is tried with those that are thought to be gone, or a seed; of a young driver's
+// This share of exchanges is tried with those that are thought to be gone, or a seed; of a young gateway's
 // with a seed.
 constexpr double kWithLost = 0.25, kWithSeedYoung = 0.5;
 // Others that suspect the same shorten its time to refute, up to so many.
@@ -43,7 +43,7 @@
     if (peer.state == State::Suspected) out = std::min(out, peer.suspectedAt + suspicionTime(peer));
   }
   for (const auto& [sequence, errand] : errands_) out = std::min(out, errand.until);
-  // Late turns show that this driver stood still, so that it has to have some.
+  // Late turns show that this gateway stood still, so that it has to have some.
   return std::min(out, lastTurn_ + settings_.pause / 2);
 }
 
@@ -89,7 +89,7 @@
   return out;
 }
 
-// A newer word of a driver takes the place of an older one.
+// A newer word of a gateway takes the place of an older one.
 void Detector::spread(const Word& word) {
   std::erase_if(rumours_, [&](const Rumour& rumour) {
     return rumour.word.name == word.name &&
@@ -318,7 +318,7 @@
   }
 }
 
-// What is said of this driver itself: a suspicion is refuted, and after a death that was none a new life
+// What is said of this gateway itself: a suspicion is refuted, and after a death that was none a new life
 // begins.
 void Detector::learnOfSelf(Micros now, const Word& word) {
   if (word.life.salt != life_.salt) {
@@ -441,7 +441,7 @@
 
 void Detector::hear(Micros now, const std::string& from, const Message& message, std::vector<Sending>& out) {
   if (left_ || message.from == settings_.name) return;
-  // Who is heard from shows that this driver is not alone.
+  // Who is heard from shows that this gateway is not alone.
   unanswered_ = 0;
   setUnsure(false);
   for (const Word& word : message.words) learn(now, word);
--- a/src/membership/detector.h
+++ b/src/membership/detector.h
@@ -1,6 +1,6 @@
-// Who of the drivers is there: failure detection by random probes, suspicion and rumours (SWIM, Das, Gupta
+// Who of the gateways is there: failure detection by random probes, suspicion and rumours (SWIM, Das, Gupta
 // and Motivala, 2002; own health after "Lifeguard", Dadgar, Phillips and Currey, 2018). A state machine that
-// is fed messages and a virtual clock; no socket, no clock of its own. Clocks of drivers need not agree.
+// is fed messages and a virtual clock; no socket, no clock of its own. Clocks of gateways need not agree.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 #include <string>
 #include <vector>
 
-#include "chance.h"
+#include "common/uniform.h"
 
 namespace heathflow::membership {
 
 using Micros = std::int64_t;  // a clock reading or a duration, microseconds
 
-// One life of a driver: from its start to its end. Later lives of a name have higher numbers.
+// One life of a gateway: from its start to its end. Later lives of a name have higher numbers.
 struct Life {
   std::uint64_t start = 0;  // of its own clock, and never lower than that of an earlier life it has heard of
   std::uint64_t salt = 0;   // drawn at the start: two that live with one name differ
   auto operator<=>(const Life&) const = default;
 };
 
-// What is said of a driver. 'Failed' and 'Left' end a life for good: who is declared failed and lives begins
+// What is said of a gateway. 'Failed' and 'Left' end a life for good: who is declared failed and lives begins
 // a new one.
 enum class State : std::uint8_t { Alive, Suspected, Failed, Left };
 const char* nameOf(State state);
@@ -74,12 +74,12 @@
   Micros period = 1'000'000;          // from probe to probe
   Micros ackWithin = 250'000;         // of a direct probe; the rest of the period is for indirect ones
   unsigned helpers = 3;               // that are asked to probe for us
-  double suspicionLeast = 1.0;        // periods for each power of ten of drivers, confirmed by many
+  double suspicionLeast = 1.0;        // periods for each power of ten of gateways, confirmed by many
   double suspicionMost = 3.0;         // times that, confirmed by nobody
-  double retellings = 3.0;            // of a word, for each doubling of drivers
+  double retellings = 3.0;            // of a word, for each doubling of gateways
   std::size_t wordsEach = 16;         // in a message
   Micros exchangeEvery = 15'000'000;  // all that is known, with one other
-  Micros pause = 500'000;             // a turn that comes so late shows that this driver stood still
+  Micros pause = 500'000;             // a turn that comes so late shows that this gateway stood still
   Micros forgetAfter = 120'000'000;   // those that have ended, and so long their lives are not believed again
   std::uint64_t seed = 1;
 };
@@ -92,7 +92,7 @@
   Micros due() const;
   void turn(Micros now, std::vector<Sending>& out);
   void hear(Micros now, const std::string& from, const Message& message, std::vector<Sending>& out);
-  // Says that this driver goes, to as many as a word is told to.
+  // Says that this gateway goes, to as many as a word is told to.
   void leave(Micros now, std::vector<Sending>& out);
 
   struct Seen {
@@ -104,7 +104,7 @@
   // All others that are known, those that ended lately too.
   std::map<std::string, Seen> view() const;
   std::size_t living() const;  // others, the suspected too
-  // Whether this driver can't judge others: it stood still, or hears from nobody.
+  // Whether this gateway can't judge others: it stood still, or hears from nobody.
   bool unsure() const { return unsure_; }
   // Grows with each change of the view.
   std::uint64_t version() const { return version_; }
@@ -167,7 +167,7 @@
   Micros suspicionTime(const Peer& peer) const;
   unsigned retellings() const;
   bool isYoung() const;
-  double random() { return evenly(random_()); }
+  double random() { return uniformUnit(random_()); }
   std::vector<std::string> someOf(std::vector<std::string> names, std::size_t count);
   std::vector<std::string> others(const std::string& except) const;  // that are alive
 
--- a/src/state.h
+++ b/src/policy/endpoint_state.h
@@ -1,4 +1,4 @@
-// What a router keeps of members, groups and requests: data only. What is done with it is decided in
+// What a router keeps of endpoints, groups and requests: data only. What is done with it is decided in
 // logic.cpp.
 #pragma once
 
@@ -8,8 +8,8 @@
 #include <limits>
 #include <vector>
 
-#include "logic.h"
-#include "member_evidence.h"
+#include "policy/endpoint_evidence.h"
+#include "policy/routing_policy.h"
 
 namespace heathflow {
 
@@ -28,18 +28,18 @@
   }
 };
 
-struct Peer {
-  Member info;
-  double order = 0;            // this router's own, from 0 to 1: among equals the lowest comes first
-  bool ready = false;          // the contract lets us send to it
-  bool draining = false;       // listed so since its last launch
-  bool doubted = false;        // where the list is only advice: nothing but the list speaks of its state
-  Position position = kNever;  // the last known log position
-  Micros primaryAt = kNever;   // the newest time at which it is known to have been the primary
-  Micros replicaAt = kNever;   // the newest time at which it is known to have been a replica
-  Micros toldAt = kNever;      // when it last spoke of its role
-  Micros deniedAt = kNever;    // when it refused a write as no primary, and has taken none since
-  Micros listedAt = kNever;    // when the list first took it for the primary
+struct EndpointState {
+  Endpoint info;
+  double order = 0;               // this router's own, from 0 to 1: among equals the lowest comes first
+  bool ready = false;             // the contract lets us send to it
+  bool draining = false;          // listed so since its last launch
+  bool doubted = false;           // where the list is only advice: nothing but the list speaks of its state
+  LogPosition position = kNever;  // the last known log position
+  Micros primaryAt = kNever;      // the newest time at which it is known to have been the primary
+  Micros replicaAt = kNever;      // the newest time at which it is known to have been a replica
+  Micros toldAt = kNever;         // when it last spoke of its role
+  Micros deniedAt = kNever;       // when it rejected a write as no primary, and has taken none since
+  Micros listedAt = kNever;       // when the list first took it for the primary
   int inFlight = 0;
   double load = 0;              // own requests in flight, each weighed by its class
   int longReads = 0;            // own ones in flight
@@ -50,22 +50,22 @@
   int strikes = 0;
   int failures = 0;  // time-outs, broken connections and malformed answers in a row
   Micros blockedUntil = kNever;
-  Micros suspectUntil = kNever;  // something broke, and a probe is to tell whether it lives
+  Micros suspectUntil = kNever;  // something broke, and a health check is to tell whether it lives
   Micros heardAt = kNever;
   Micros brokeAt = kNever;    // when a request there last ended without a word
   Micros namedAt = kNever;    // by the list
   std::uint64_t namedIn = 0;  // the newest list that did
-  bool probing = false;
-  Micros probedAt = kNever;
-  Micros unwillingAt = kNever;  // when it last turned a probe away for wanting nothing new
-  MemberEvidence evidence;      // for times in which the list has expired
+  bool healthChecking = false;
+  Micros healthCheckedAt = kNever;
+  Micros unwillingAt = kNever;  // when it last turned a health check away for wanting nothing new
+  EndpointEvidence evidence;    // for times in which the list has expired
   Micros lagAt = kNever;
   Micros lag = 0;              // how far behind it was last told to be, the age of the telling included
-  bool refused = false;        // it turned a connection away, and a probe is to tell whether it lives
+  bool rejected = false;       // it turned a connection away, and a health check is to tell whether it lives
   bool broken = false;         // a connection broke under a request, and it has not answered since
   bool lost = false;           // and it then failed: it most likely died
   Micros returnedAt = kNever;  // when it answered again
-  double ease = 1;             // so many times its even part of a cold member does this router ask of it
+  double ease = 1;             // so many times its even part of a cold endpoint does this router ask of it
   Micros easedAt = kNever;
   Fading sent;  // work sent to it, what it turned away included
 };
@@ -81,42 +81,42 @@
   }
 };
 
-struct Group {
-  std::vector<MemberId> members;  // by id, so that their order is the same at every router
-  Micros primaryAt = kNever;      // the newest time at which any member is known to have been the primary
-  Micros toldAt = kNever;         // when one last claimed to be it
+struct EndpointGroup {
+  std::vector<EndpointId> endpoints;  // by id, so that their order is the same at every router
+  Micros primaryAt = kNever;  // the newest time at which any endpoint is known to have been the primary
+  Micros toldAt = kNever;     // when one last claimed to be it
   Micros soughtAt = kNever;
   Micros askedAllAt = kNever;               // who leads
   bool seeksAll = false;                    // in this round
   std::vector<std::deque<RequestId>> held;  // by class
   std::size_t heldCount = 0;
-  Fading taken;  // work that warm members have answered
+  Fading taken;  // work that warm endpoints have answered
   Fading reads;  // lately, of those that need a position
   Record replicas;
   Record primary;
   bool ticking = false;
 };
 
-struct Try {
-  MemberId member = 0;
+struct AttemptRecord {
+  EndpointId endpoint = 0;
   Micros sentAt = 0;
   double cost = 0;
   bool pending = true;
   bool ran = true;        // false once it is known that it never ran
   bool recalled = false;  // cancelled before it was written
-  bool isLong = false;    // counts among its member's long reads
+  bool isLong = false;    // counts among its endpoint's long reads
 };
 
-struct Job {
+struct PendingRequest {
   Request request;
   Micros arrived = 0;
   Micros aimEnd = 0;
-  Position token = kNever;  // the session's write that a read must see
+  LogPosition token = kNever;  // the session's write that a read must see
   Consistency consistency = Consistency::Write;
-  std::vector<Try> tries;
+  std::vector<AttemptRecord> tries;
   int pending = 0;
   double luck = 0;
-  Hindrance hindrance = Hindrance::None;
+  RejectReason rejectReason = RejectReason::None;
   bool over = false;
   bool held = false;
   bool bound = false;  // its client has seen a part of an attempt's answer
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -17,7 +17,7 @@
 
 // Used where neither the file nor the system sets a lower limit (DEPLOY, Limits).
 constexpr std::size_t kSocketsAtMost = 1024;
-// LATER, Score: a driver has 32 to 192 MB.
+// LATER, Score: a gateway has 32 to 192 MB.
 constexpr std::size_t kMemoryMbLeast = 32;
 constexpr std::size_t kMemoryMbMost = 1'000'000;
 constexpr std::size_t kMegabyte = 1'000'000;
@@ -47,16 +47,16 @@
   return true;
 }
 
-bool readEndpoint(const Json& file, const char* key, const char* name, transport::Endpoint& out,
+bool readEndpoint(const Json& file, const char* key, const char* name, transport::SocketAddress& out,
                   std::string& problem) {
   std::string text;
   if (!readText(file, key, name, text, problem)) return false;
-  const auto endpoint = transport::parseEndpoint(text);
-  if (!endpoint) {
+  const auto socketAddress = transport::parseSocketAddress(text);
+  if (!socketAddress) {
     problem = std::string("the key '") + key + "' holds no address and port: " + text;
     return false;
   }
-  out = *endpoint;
+  out = *socketAddress;
   return true;
 }
 
@@ -118,7 +118,7 @@
       problem = std::string("the key '") + key + "' is missing";
       return false;
     }
-    const auto known = protocol::parseMemberList(file.at("known").dump(), problem);
+    const auto known = protocol::parseEndpointList(file.at("known").dump(), problem);
     if (!known) {
       problem = "the key 'known' can't be read: " + problem;
       return false;
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "protocol/member_list.h"
+#include "protocol/endpoint_list.h"
 #include "settings/settings.h"
 #include "transport/socket.h"
 
@@ -12,12 +12,12 @@
 
 struct Config {
   std::string name;
-  transport::Endpoint listen;
-  transport::Endpoint discovery;
+  transport::SocketAddress listen;
+  transport::SocketAddress discovery;
   std::uint64_t seed = 0;
   std::size_t sockets = 0;
   std::size_t memory = 0;  // bytes
-  protocol::MemberList known;
+  protocol::EndpointList known;
   settings::InstanceSettings settings;
 };
 
--- a/src/program/counters.cpp
+++ b/src/program/counters.cpp
@@ -12,7 +12,7 @@
 
 using invariants::nameOf;
 using routing::nameOf;
-using startup::nameOf;
+using stats::nameOf;
 
 using Entry = std::pair<const char*, std::uint64_t>;
 
@@ -43,20 +43,20 @@
   addGroup(out, "requests",
            {{"taken", c.requestsTaken},
             {"served", c.requestsServed},
-            {"refused", c.requestsRefused},
+            {"refused", c.requestsRejected},
             {"failed", c.requestsFailed},
             {"left", c.requestsLeft},
             {"malformed", c.requestsMalformed}});
   std::vector<Entry> outcomes = {{"made", c.attemptsMade}, {"written", c.attemptsWritten}};
-  const std::vector<Entry> ended = byName<Outcome>(c.attemptsEnded);
+  const std::vector<Entry> ended = byName<AttemptOutcome>(c.attemptsEnded);
   outcomes.insert(outcomes.end(), ended.begin(), ended.end());
   addGroup(out, "attempts", outcomes);
-  addGroup(out, "retried_after", byName<Outcome>(c.retriedAfter));
+  addGroup(out, "retried_after", byName<AttemptOutcome>(c.retriedAfter));
   addGroup(out, "probes",
-           {{"made", c.probesMade},
-            {"answered", c.probesAnswered},
-            {"turned_away", c.probesTurnedAway},
-            {"failed", c.probesFailed}});
+           {{"made", c.healthChecksMade},
+            {"answered", c.healthChecksAnswered},
+            {"turned_away", c.healthChecksTurnedAway},
+            {"failed", c.healthChecksFailed}});
   addGroup(out, "clients",
            {{"accepted", c.clientsAccepted},
             {"turned_away", c.clientsTurnedAway},
@@ -71,7 +71,7 @@
             {"retired", c.connectionsRetired},
             {"stale", c.connectionsStale},
             {"spared", c.connectionsSpared},
-            {"protocol_errors", c.memberProtocolErrors}});
+            {"protocol_errors", c.endpointProtocolErrors}});
   addGroup(out, "discovery",
            {{"calls", c.discoveryCalls},
             {"failures", c.discoveryFailures},
@@ -79,9 +79,9 @@
             {"expired", c.listsExpired},
             {"expired_for_us", c.listsExpiredFor},
             {"attempts_on_expired", c.attemptsOnExpiredList}});
-  addGroup(out, "discovery_failed", byName<startup::CallFailure>(c.discoveryFailedBy));
+  addGroup(out, "discovery_failed", byName<stats::CallFailure>(c.discoveryFailedBy));
   addGroup(out, "descriptors", {{"now", c.descriptors}, {"peak", c.descriptorsPeak}});
-  addGroup(out, "memory", {{"refusals", c.memoryRefusals}});
+  addGroup(out, "memory", {{"refusals", c.memoryRejections}});
   addGroup(out, "invariants", byName<invariants::Invariant>(c.broken));
   return out;
 }
--- a/src/program/counters.h
+++ b/src/program/counters.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "routing/observer.h"
+#include "stats/observer.h"
 
 namespace heathflow::program {
 
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -31,7 +31,7 @@
 // lists.
 constexpr std::size_t kPartForBuffers = 2;
 
-// What the platform's one listener speaks, and its members.
+// What the platform's one listener speaks, and its endpoints.
 constexpr std::string_view kFirstProtocol = "postgresql";
 // What the program calls itself where nothing else is set.
 constexpr const char* kOwnName = "heathflow";
@@ -87,14 +87,14 @@
   return out;
 }
 
-routing::MemberPool::Protocols spokenBy(const Protocols& protocols) {
-  routing::MemberPool::Protocols out;
+routing::ConnectionPool::Protocols spokenBy(const Protocols& protocols) {
+  routing::ConnectionPool::Protocols out;
   for (const auto& protocol : protocols) out.push_back(protocol.get());
   return out;
 }
 
-// Of members whose family is not named: the platform's protocol at the listed address, others where the list
-// names their port.
+// Of endpoints whose family is not named: the platform's protocol at the listed address, others where the
+// list names their port.
 routing::Directory::Doors usualDoors(const Protocols& protocols) {
   routing::Directory::Doors out;
   for (const auto& protocol : protocols) {
@@ -121,31 +121,31 @@
   return out;
 }
 
-Micros stopWithin(const Settings& settings) {
+Micros stopWithin(const PolicySettings& settings) {
   Micros longest = 0;
-  for (const ClassSettings& entry : settings.classes) longest = std::max(longest, entry.deadline);
+  for (const RequestClassSettings& entry : settings.classes) longest = std::max(longest, entry.deadline);
   return std::min(longest, kDeadlineCountedAtMost) + kKillAfterDeadline - kBeforeKill;
 }
 
-startup::CallerSettings callerSettings(const Config& config,
-                                       const std::optional<snapshot::Snapshot>& earlier) {
-  startup::CallerSettings out;
+discovery::CallerSettings callerSettings(const Config& config,
+                                         const std::optional<snapshot::Snapshot>& earlier) {
+  discovery::CallerSettings out;
   out.name = config.name;
-  // Where lists are pushed each driver has its agent for itself.
-  out.ownService = !config.settings.logic.mustAsk;
-  out.drivers = out.ownService ? 1 : config.settings.logic.drivers;
-  out.askWithin = config.settings.logic.askWithin;
+  // Where lists are pushed each gateway has its agent for itself.
+  out.ownService = !config.settings.logic.discoveryIsPolled;
+  out.gateways = out.ownService ? 1 : config.settings.logic.gatewayCount;
+  out.maxPollInterval = config.settings.logic.maxPollInterval;
   out.seed = config.seed;
   if (!earlier) return out;
   out.cost = earlier->callCost;
-  out.rest = startup::restAfter(earlier->youngDeaths, out.askWithin);
+  out.rest = discovery::restAfter(earlier->youngDeaths, out.maxPollInterval);
   return out;
 }
 
-// What an earlier life has learned of members.
+// What an earlier life has learned of endpoints.
 settings::InstanceSettings withMemory(settings::InstanceSettings settings,
                                       const std::optional<snapshot::Snapshot>& earlier) {
-  if (earlier) settings.logic.usual = earlier->usual;
+  if (earlier) settings.logic.initialLatency = earlier->initialLatency;
   return settings;
 }
 
@@ -176,12 +176,13 @@
       directory_(pool_, usualDoors(protocols_), familyDoors(protocols_, installation), observer),
       caller_(callerSettings(config, earlier), loop.now()),
       watch_(
-          loop, config.discovery, caller_, observer, [this](const protocol::MemberList& list) { take(list); },
+          loop, config.discovery, caller_, observer,
+          [this](const protocol::EndpointList& list) { take(list); },
           [this] {
-            router_.membersChanged({MembersChanged::Scope::Failed, {}});
+            router_.endpointsChanged({EndpointsChanged::Scope::Failed, {}});
           },
           [this](std::optional<Micros> stoodBefore) {
-            router_.listExpired({startup::kToldWithin, stoodBefore});
+            router_.listExpired({discovery::kToldWithin, stoodBefore});
           }),
       shared_(config.settings.classNames) {
   if (earlier) memory_ = *earlier;
@@ -231,12 +232,12 @@
 
 void Gateway::start() {
   // The list as it was last known comes first, as old as it may be.
-  protocol::MemberList known = config_.known;
+  protocol::EndpointList known = config_.known;
   known.complete = true;
-  startup::BeliefSettings settings;
-  settings.askWithin = config_.settings.logic.askWithin;
+  discovery::BeliefSettings settings;
+  settings.maxPollInterval = config_.settings.logic.maxPollInterval;
   settings.listFor = installation_.snapshot.listFor * kMicrosPerSecond;
-  settings.mayProbe = config_.settings.logic.mayProbe;
+  settings.healthChecksAllowed = config_.settings.logic.healthChecksAllowed;
   // Of two old lists the one of the higher revision. Another service's revisions say nothing of this one's: a
   // list that it gave is not gone on from.
   const auto kept = snapshot::believed(memory_, loop_.now(), settings);
@@ -245,11 +246,12 @@
   memory_.source = toText(config_.discovery);
   if (!installation_.snapshot.file.empty()) memory_.list = known;
   watch_.startFrom(known.revision);
-  router_.membersChanged(directory_.take(known, loop_.now(), false));
+  router_.endpointsChanged(directory_.take(known, loop_.now(), false));
   router_.start();
-  router_.guard().startsTaking();
-  // Where lists are pushed the module asks for nothing: on sockets a push comes over a watch all the same.
-  if (!config_.settings.logic.mustAsk) watch_.subscribe();
+  router_.checker().startsTaking();
+  // Where lists are pushed the routing policy asks for nothing: on sockets a push comes over a watch all the
+  // same.
+  if (!config_.settings.logic.discoveryIsPolled) watch_.subscribe();
 }
 
 void Gateway::reload(const Config& fresh) {
@@ -259,13 +261,13 @@
 }
 
 // The list as a whole is kept, for changes alone would be of no use to the next life.
-void Gateway::take(const protocol::MemberList& list) {
+void Gateway::take(const protocol::EndpointList& list) {
   if (!installation_.snapshot.file.empty()) {
     memory_.listTrueAt = loop_.now();
     if (!movedTo_.empty()) memory_.source = std::exchange(movedTo_, {});
     protocol::apply(list, memory_.list);
   }
-  router_.membersChanged(directory_.take(list, loop_.now(), true));
+  router_.endpointsChanged(directory_.take(list, loop_.now(), true));
 }
 
 snapshot::Snapshot Gateway::remember() const {
@@ -273,8 +275,9 @@
   out.name = config_.name;
   out.writtenAt = loop_.now();
   out.callCost = caller_.cost();
-  const auto served = observer_.counters.attemptsEnded[static_cast<std::size_t>(Outcome::Ok)];
-  if (served >= kAnswersToTell) out.usual = static_cast<Micros>(observer_.counters.answersTook / served);
+  const auto served = observer_.counters.attemptsEnded[static_cast<std::size_t>(AttemptOutcome::Ok)];
+  if (served >= kAnswersToTell)
+    out.initialLatency = static_cast<Micros>(observer_.counters.answersTook / served);
   return out;
 }
 
--- a/src/program/gateway.h
+++ b/src/program/gateway.h
@@ -5,15 +5,15 @@
 #include <memory>
 #include <vector>
 
+#include "discovery/caller.h"
+#include "discovery/directory.h"
+#include "discovery/discovery_watch.h"
+#include "downstream/client_listener.h"
 #include "installation/installation.h"
 #include "program/config.h"
-#include "routing/client_listener.h"
-#include "routing/directory.h"
-#include "routing/discovery_watch.h"
-#include "routing/member_pool.h"
 #include "routing/router.h"
 #include "snapshot/snapshot.h"
-#include "startup/caller.h"
+#include "upstream/connection_pool.h"
 
 namespace heathflow::program {
 
@@ -30,7 +30,7 @@
   // Takes clients from here on.
   void start();
   // Where clients reach it.
-  std::optional<transport::Endpoint> boundTo(std::size_t listener = 0) const {
+  std::optional<transport::SocketAddress> boundTo(std::size_t listener = 0) const {
     return entrances_[listener].listener->boundTo();
   }
   // Takes over what may change while it runs: where discovery is. The rest holds from the next start on.
@@ -39,8 +39,8 @@
   snapshot::Snapshot remember() const;
   // Grows with each list that was taken in, so that a new one is seen to be worth keeping.
   std::uint64_t listsTaken() const { return observer_.counters.listsTaken; }
-  // Lets all clients go between their requests, then calls back. What members do not answer in time gets its
-  // answer before the platform ends the process.
+  // Lets all clients go between their requests, then calls back. What endpoints do not answer in time gets
+  // its answer before the platform ends the process.
   void drain(std::function<void()> done);
 
  private:
@@ -49,22 +49,22 @@
   installation::Installation installation_;
   std::vector<std::unique_ptr<protocol::Protocol>> protocols_;  // by the pool's index
   routing::DescriptorBudget budget_;
-  routing::MemberPool pool_;
+  routing::ConnectionPool pool_;
   routing::Router router_;
   routing::Observer& observer_;
   routing::Directory directory_;
-  startup::Caller caller_;
+  discovery::Caller caller_;
   routing::DiscoveryWatch watch_;
   snapshot::Snapshot memory_;  // of the list as it is, and of earlier lives
   std::string movedTo_;        // the list service's new place, while the list is still of the old one
   routing::ClientSession::Shared shared_;
   struct Entrance {
-    transport::Endpoint address;
+    transport::SocketAddress address;
     std::string name;
     std::unique_ptr<protocol::Protocol> protocol;
     std::unique_ptr<routing::ClientListener> listener;
   };
-  void take(const protocol::MemberList& list);
+  void take(const protocol::EndpointList& list);
   void addEntrance(const installation::Listener& listener, routing::Observer& observer);
   std::vector<Entrance> entrances_;
   bool ending_ = false;
--- a/src/program/keeper.cpp
+++ b/src/program/keeper.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
+#include "discovery/belief.h"
 #include "program/log.h"
-#include "startup/belief.h"
 
 namespace heathflow::program {
 namespace {
@@ -38,7 +38,7 @@
   ++youngDeaths_;
   // Nothing is asked yet: there is time to wait for the disk.
   owed_ = !write(files::Durable::Yes);
-  next_.arm(begunAt_ + std::min<transport::Micros>(startup::kYoung, settings_.every * kMicrosPerSecond));
+  next_.arm(begunAt_ + std::min<transport::Micros>(discovery::kYoung, settings_.every * kMicrosPerSecond));
 }
 
 void Keeper::end() {
@@ -49,7 +49,7 @@
 }
 
 void Keeper::turn() {
-  const bool grown = youngDeaths_ > 0 && loop_.now() - begunAt_ >= startup::kYoung;
+  const bool grown = youngDeaths_ > 0 && loop_.now() - begunAt_ >= discovery::kYoung;
   if (grown) youngDeaths_ = 0;
   owed_ = owed_ || grown;
   // Requests are out: what would have to wait for the disk would hold them up.
--- a/src/program/log.h
+++ b/src/program/log.h
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "installation/installation.h"
-#include "routing/observer.h"
+#include "stats/observer.h"
 
 namespace heathflow::program {
 
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -31,7 +31,7 @@
 constexpr std::string_view kServe = "serve";
 
 void logCounters(const routing::Observer& observer) {
-  std::istringstream lines(program::describe(observer.counters) + sparing::describe(observer.ledger));
+  std::istringstream lines(program::describe(observer.counters) + stats::describe(observer.upstreamStats));
   for (std::string line; std::getline(lines, line);) program::logLine(line);
 }
 
@@ -188,7 +188,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  // Signals are held first of all: whoever starts a driver may send it one at any time.
+  // Signals are held first of all: whoever starts a gateway may send it one at any time.
   if (argc == 1 || argv[1] == kServe) program::holdSignals();
   try {
     return argc == 1 ? serveWith({}) : commandLine(argc, argv);
--- a/src/program/reloading.h
+++ b/src/program/reloading.h
@@ -4,8 +4,8 @@
 
 #include <string>
 
+#include "discovery/start_retry.h"
 #include "program/gateway.h"
-#include "startup/start_retry.h"
 #include "transport/event_loop.h"
 
 namespace heathflow::program {
@@ -24,7 +24,7 @@
   transport::EventLoop& loop_;
   Gateway& gateway_;
   std::string otherwise_;
-  startup::StartRetry retry_;
+  discovery::StartRetry retry_;
   transport::Timer again_;
 };
 
--- a/src/program/starting.cpp
+++ b/src/program/starting.cpp
@@ -4,16 +4,16 @@
 #include <ctime>
 #include <system_error>
 
+#include "discovery/start_retry.h"
 #include "program/log.h"
-#include "startup/start_retry.h"
 
 namespace heathflow::program {
 namespace {
 
-constexpr startup::Micros kMicrosPerSecond = 1'000'000;
+constexpr discovery::Micros kMicrosPerSecond = 1'000'000;
 constexpr long kNanosPerMicro = 1000;
 
-void rest(startup::Micros span) {
+void rest(discovery::Micros span) {
   const timespec time{span / kMicrosPerSecond, span % kMicrosPerSecond * kNanosPerMicro};
   ::nanosleep(&time, nullptr);
 }
@@ -29,12 +29,12 @@
 }  // namespace
 
 int untilStarted(const std::string& what, const std::function<int()>& attempt) {
-  startup::StartRetry retry;
+  discovery::StartRetry retry;
   bool told = false;
   for (;;) {
     const int error = errorOf(attempt);
     if (error == 0) return 0;
-    const startup::Micros wait = retry.next(error);
+    const discovery::Micros wait = retry.next(error);
     if (wait < 0) return error;
     if (!told) logLine(what + " is tried again: " + std::strerror(error));
     told = true;
--- a/src/program/starting.h
+++ b/src/program/starting.h
@@ -1,4 +1,4 @@
-// Starts what a call of the system may refuse for a moment: tries again within a bounded time.
+// Starts what a call of the system may reject for a moment: tries again within a bounded time.
 #pragma once
 
 #include <functional>
--- a/src/protocol/bolt_client.cpp
+++ b/src/protocol/bolt_client.cpp
@@ -13,17 +13,17 @@
 
 // All from 5.4 down to 5.0.
 constexpr std::string_view kProposals("\0\4\4\5\0\0\0\0\0\0\0\0\0\0\0\0", 16);
-// A member reports on itself in one row of one text.
-constexpr std::string_view kProbeStatement = "CALL heathflow.stats()";
+// An endpoint reports on itself in one row of one text.
+constexpr std::string_view kHealthCheckStatement = "CALL heathflow.stats()";
 // Of one message: it has to fit what is held of an answer, with room for a further one's head.
-constexpr std::size_t kMessageMost = kMemberAnswerLimit - 4096;
+constexpr std::size_t kMessageMost = kEndpointAnswerLimit - 4096;
 
 void addEntry(std::string& out, std::string_view key, std::string_view text) {
   packstream::addText(out, key);
   packstream::addText(out, text);
 }
 
-// The codes that concern the driver's own standing with a member, and no statement.
+// The codes that concern the gateway's own standing with an endpoint, and no statement.
 bool ofLogin(std::string_view code) {
   for (const std::string_view own : {"Unauthorized", "AuthorizationExpired", "TokenExpired",
                                      "CredentialsExpired", "AuthenticationRateLimit"}) {
@@ -85,12 +85,12 @@
   phase_ = Phase::Busy;
   answer_ = Answer{};
   owed_.clear();
-  transaction_ = probing_ = failing_ = done_ = answering_ = committing_ = passed_ = false;
+  transaction_ = healthChecking_ = failing_ = done_ = answering_ = committing_ = passed_ = false;
   written_ = 0;
   runsFrom_ = effectFrom_ = kNever;
 }
 
-// RUN or BEGIN goes out as it came, but for the time that is left and for the bookmarks, of which a member
+// RUN or BEGIN goes out as it came, but for the time that is left and for the bookmarks, of which an endpoint
 // knows its own only.
 bool BoltClient::writeFirst(std::string_view payload, Tag tag, std::int64_t leftMs, Buffer& out) {
   std::string_view problem;
@@ -105,7 +105,7 @@
     std::vector<std::string_view> own;
     for (const std::string_view mark : extra->marks) {
       const auto bookmark = bolt::parseBookmark(mark);
-      // One that is not ours was a member's from the first.
+      // One that is not ours was an endpoint's from the first.
       const std::string_view kept = bookmark ? bookmark->own : mark;
       if (!kept.empty()) own.push_back(kept);
     }
@@ -146,7 +146,7 @@
       runsFrom_ = end;
       if (!transaction_) effectFrom_ = end;
     }
-    // Until a COMMIT is out whole the member takes all back when the connection breaks.
+    // Until a COMMIT is out whole the endpoint takes all back when the connection breaks.
     if (tag == Tag::Commit) {
       effectFrom_ = std::min(effectFrom_, end);
       committing_ = true;
@@ -165,13 +165,13 @@
 
 bool BoltClient::more(std::string_view message, Buffer& out) { return push(message, false, 0, out); }
 
-bool BoltClient::askProbe(Buffer& out) {
+bool BoltClient::askHealthCheck(Buffer& out) {
   begin();
-  probing_ = true;
+  healthChecking_ = true;
   const std::size_t before = out.size();
   std::string run;
   packstream::addStructureHead(run, static_cast<std::uint8_t>(Tag::Run), 3);
-  packstream::addText(run, kProbeStatement);
+  packstream::addText(run, kHealthCheckStatement);
   packstream::addMapHead(run, 0);
   packstream::addMapHead(run, 1);
   addEntry(run, "mode", "r");
@@ -208,20 +208,20 @@
   // As the specification has it, a transient failure has been rolled back, and so has every one before a
   // COMMIT.
   const bool transient = code.starts_with("Neo.TransientError.");
-  answer_.undone = transient || (transaction_ && !committing_);
+  answer_.rolledBack = transient || (transaction_ && !committing_);
   if (code == bolt::status::kNoThreads) return Answer::Kind::Full;
   if (code == bolt::status::kNotALeader || code == bolt::status::kReadOnly ||
       code == bolt::status::kBookmarkTimeout) {
-    answer_.undone = true;
+    answer_.rolledBack = true;
     return Answer::Kind::Miss;
   }
   if (code == bolt::status::kUnavailable || code == bolt::status::kUnavailableToo)
     return Answer::Kind::NotNow;
   if (ofLogin(code)) {
-    answer_.undone = true;
+    answer_.rolledBack = true;
     return Answer::Kind::Error;
   }
-  // The statement's own fault: every member would say the same, and the client is to read it.
+  // The statement's own fault: every endpoint would say the same, and the client is to read it.
   if (code.starts_with("Neo.ClientError.")) return Answer::Kind::Value;
   return Answer::Kind::Error;
 }
@@ -271,11 +271,11 @@
   // Nothing may have been asked behind the last.
   if (!owed_.empty()) return broken();
   answer_.pieces[1] = {seen_, message.size()};
-  if (probing_) return ended(answer_.value.size == 0 ? Answer::Kind::Empty : Answer::Kind::Value);
+  if (healthChecking_) return ended(answer_.value.size == 0 ? Answer::Kind::Empty : Answer::Kind::Value);
   return ended(Answer::Kind::Value);
 }
 
-// One whole message of the member.
+// One whole message of the endpoint.
 BoltClient::Event BoltClient::take(std::string_view message, std::string_view payload, Tag tag) {
   unsigned fields = 0;
   if (bolt::checkFields(payload, fields) != Flaw::None) return broken();
@@ -309,7 +309,7 @@
     Reader reader(payload, 2);
     const auto list = reader.head();
     if (!list || list->type != Type::List) return broken();
-    if (probing_) {
+    if (healthChecking_) {
       const auto text = list->size == 1 ? reader.text() : std::nullopt;
       if (!text || answer_.value.size != 0) return broken();
       answer_.value = placeOf(*text, message);
@@ -353,7 +353,7 @@
       seen_ += cut.size;
     }
   }
-  if (phase_ != Phase::Busy || seen_ == 0 || failing_ || probing_) return Event::NeedMore;
+  if (phase_ != Phase::Busy || seen_ == 0 || failing_ || healthChecking_) return Event::NeedMore;
   // All that was asked has its reply and the client has to ask on; or there is too much to be held back; or a
   // part has been passed on already, and there is nothing to hold the rest back for.
   if (!passed_ && !owed_.empty() && !full && seen_ < kHeldBack) return Event::NeedMore;
--- a/src/protocol/bolt_client.h
+++ b/src/protocol/bolt_client.h
@@ -1,4 +1,4 @@
-// Bolt towards a member, on one connection: a state machine that is fed bytes.
+// Bolt towards an endpoint, on one connection: a state machine that is fed bytes.
 #pragma once
 
 #include <cstddef>
@@ -11,14 +11,14 @@
 
 namespace heathflow::protocol {
 
-// How the driver makes itself known to members; without a principal it says that it is nobody.
+// How the gateway makes itself known to endpoints; without a principal it says that it is nobody.
 struct BoltLogin {
   std::string agent = "heathflow";
   std::string principal;
   std::string credentials;
 };
 
-class BoltClient final : public MemberSide {
+class BoltClient final : public EndpointSide {
  public:
   // 'login' outlives it.
   explicit BoltClient(const BoltLogin& login) : login_(login) {}
@@ -26,7 +26,7 @@
   bool start(Buffer& out) override;
   bool ask(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) override;
   bool more(std::string_view message, Buffer& out) override;
-  bool askProbe(Buffer& out) override;
+  bool askHealthCheck(Buffer& out) override;
   Event feed(std::string_view bytes, bool full, Buffer& out) override;
   std::size_t seen() const override { return seen_; }
   void dropped() override;
@@ -39,7 +39,7 @@
   bool usable() const override { return phase_ == Phase::Idle; }
   bool tidy(Buffer& out) override;
 
-  // So much of an answer is held back, bytes, in case another member has to give it after all.
+  // So much of an answer is held back, bytes, in case another endpoint has to give it after all.
   static constexpr std::size_t kHeldBack = 48 * 1024;
 
  private:
@@ -61,9 +61,9 @@
   std::size_t seen_ = 0;
   bolt::ChunkScan scan_;
   std::string scratch_;
-  std::deque<bolt::Tag> owed_;  // what the member was asked and has not replied to
+  std::deque<bolt::Tag> owed_;  // what the endpoint was asked and has not replied to
   bool transaction_ = false;
-  bool probing_ = false;
+  bool healthChecking_ = false;
   bool failing_ = false;  // a FAILURE has come; what was asked behind it is ignored
   bool done_ = false;     // the last reply has come
   bool answering_ = false;
--- a/src/protocol/bolt_message.cpp
+++ b/src/protocol/bolt_message.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kChunkMost = 0xFFFF;
 constexpr std::string_view kEnd("\0\0", 2);
 constexpr std::string_view kBookmarkMark = "hf1:";
-// What a member tells of itself, in the same words as in PostgreSQL's protocol.
+// What an endpoint tells of itself, in the same words as in PostgreSQL's protocol.
 constexpr std::string_view kRoleEntry = "mode";
 constexpr std::string_view kPositionEntry = "wal_time";
 constexpr std::string_view kReportEntry = "stats";
@@ -212,7 +212,7 @@
   return true;
 }
 
-// An entry of tx_metadata. What is not known belongs to the members.
+// An entry of tx_metadata. What is not known belongs to the endpoints.
 bool readMetadataEntry(Reader& reader, std::string_view key, Extra& out, std::string_view& problem) {
   struct Name {
     std::string_view key;
@@ -241,7 +241,7 @@
   if (repeat) {
     if (!value || value->type != Type::Boolean)
       problem = "'repeat' in the metadata is neither true nor false";
-    if (value) out.repeat = value->boolean;
+    if (value) out.isClientRetry = value->boolean;
     return problem.empty();
   }
   if (!value || value->type != Type::Integer || value->integer < 0) {
--- a/src/protocol/bolt_message.h
+++ b/src/protocol/bolt_message.h
@@ -98,11 +98,12 @@
 inline constexpr std::string_view kUnauthorized = "Neo.ClientError.Security.Unauthorized";
 }  // namespace status
 
-// A bookmark of this driver: what it covers, and the member's own behind it. Texts: "hf1:GROUP:MILLIS:OWN".
+// A bookmark of this gateway: what it covers, and the endpoint's own behind it. Texts:
+// "hf1:GROUP:MILLIS:OWN".
 struct Bookmark {
   std::uint32_t group = 0;
   std::int64_t positionMs = 0;  // Unix
-  std::string_view own;         // the member's, empty where it gave none
+  std::string_view own;         // the endpoint's, empty where it gave none
 };
 std::optional<Bookmark> parseBookmark(std::string_view text);
 std::string toText(const Bookmark& bookmark);
@@ -122,7 +123,7 @@
   std::string_view session;
   std::optional<std::uint32_t> cluster;
   std::optional<std::int64_t> deadlineMs;
-  bool repeat = false;
+  bool isClientRetry = false;
 };
 // So many bookmarks may come with one request.
 inline constexpr std::size_t kMostBookmarks = 64;
--- a/src/protocol/bolt_protocol.h
+++ b/src/protocol/bolt_protocol.h
@@ -20,7 +20,9 @@
   std::unique_ptr<ClientSide> towardsClient() const override {
     return std::make_unique<BoltServer>(listening_);
   }
-  std::unique_ptr<MemberSide> towardsMember() const override { return std::make_unique<BoltClient>(login_); }
+  std::unique_ptr<EndpointSide> towardsEndpoint() const override {
+    return std::make_unique<BoltClient>(login_);
+  }
   void boundTo(const std::string& address) override {
     if (listening_.advertised.empty()) listening_.advertised = address;
   }
--- a/src/protocol/bolt_server.cpp
+++ b/src/protocol/bolt_server.cpp
@@ -12,7 +12,7 @@
 using packstream::Type;
 using Step = ClientSide::Step;
 
-// A routing table holds as long as that, seconds: it always names this driver, and so hardly changes.
+// A routing table holds as long as that, seconds: it always names this gateway, and so hardly changes.
 constexpr std::int64_t kRouteSeconds = 300;
 // A position further ahead of the clock than a day is none. Nearer ones are told on as they are: our clock
 // may be behind, and a bookmark that is older than its commit would let another instance serve a read without
@@ -120,7 +120,7 @@
 Step BoltServer::step(std::string_view bytes, std::size_t from, Buffer& out) {
   if (state_ == State::Handshake) return handshake(bytes.substr(from), out);
   if (interrupted(bytes, from)) {
-    // What the member was asked has no reply to come; what stands before the RESET gets its own in turn.
+    // What the endpoint was asked has no reply to come; what stands before the RESET gets its own in turn.
     ignoreOwed(out);
     over();
     state_ = State::Interrupted;
@@ -196,7 +196,7 @@
       return false;
     }
   }
-  // As on PostgreSQL's side, any user is welcome; who may do what is the members' matter.
+  // As on PostgreSQL's side, any user is welcome; who may do what is the endpoints' matter.
   return scheme == "none" || scheme == "basic";
 }
 
@@ -221,7 +221,7 @@
   return handled(size);
 }
 
-// The table names this driver for all: it knows better than any client which member is which.
+// The table names this gateway for all: it knows better than any client which endpoint is which.
 void BoltServer::route(Buffer& out) const {
   std::string body;
   packstream::addStructureHead(body, static_cast<std::uint8_t>(Tag::Success), 1);
@@ -287,7 +287,7 @@
 Step BoltServer::begin(Unit unit, std::size_t size) {
   unit_ = unit;
   owed_ = 1;
-  closing_ = awaiting_ = failedByMember_ = false;
+  closing_ = awaiting_ = failedByEndpoint_ = false;
   committing_ = unit == Unit::Statement;
   streaming_ = unit == Unit::Statement;
   return stepOf(Step::Kind::Request, size);
@@ -354,7 +354,7 @@
   if (id_.empty()) id_ = "bolt-" + std::to_string(number_) + "-" + std::to_string(requests_);
   asked.id = id_;
   asked.keyed = !extra->key.empty();
-  asked.repeat = extra->repeat;
+  asked.isClientRetry = extra->isClientRetry;
   asked.session = extra->session;
   asked.timeoutMs = extra->timeoutMs;
   if (extra->deadlineMs) {
@@ -382,16 +382,16 @@
   return asked;
 }
 
-// The summary of a request that may have committed gets this driver's bookmark in place of the member's.
+// The summary of a request that may have committed gets this gateway's bookmark in place of the endpoint's.
 void BoltServer::writeFinal(std::string_view message, std::int64_t nowMs, const Answer& answer, Buffer& out) {
   bolt::ChunkScan scan;
-  const bolt::Cut cut = bolt::cut(message, kMemberAnswerLimit, scan);
+  const bolt::Cut cut = bolt::cut(message, kEndpointAnswerLimit, scan);
   const std::string_view payload = bolt::payloadOf(message, cut, scratch_);
   const auto summary = bolt::readSummary(payload);
   const bool success = static_cast<Tag>(payload[1]) == Tag::Success;
-  failedByMember_ = failedByMember_ || !success;
-  // Where a commit's position is not told it is no later than now. A read shows no more than what its member
-  // had, and covers what it was bound to.
+  failedByEndpoint_ = failedByEndpoint_ || !success;
+  // Where a commit's position is not told it is no later than now. A read shows no more than what its
+  // endpoint had, and covers what it was bound to.
   std::int64_t position =
       std::min(answer.positionMs.value_or(writes_ ? nowMs + 1 : 0), nowMs + kAheadAtMostMs);
   // A bookmark that is not ours stands for what may have been written by now.
@@ -435,7 +435,7 @@
 void BoltServer::served(Buffer& out) {
   ignoreOwed(out);
   over();
-  if (failedByMember_) state_ = State::Failed;
+  if (failedByEndpoint_) state_ = State::Failed;
 }
 
 // The first message without a reply is told; what was sent behind it is ignored, up to a RESET.
@@ -452,7 +452,7 @@
   state_ = State::Failed;
 }
 
-void BoltServer::refused(std::int64_t retryAfterMs, Buffer& out) {
+void BoltServer::rejected(std::int64_t retryAfterMs, Buffer& out) {
   endWith(bolt::status::kNoThreads, "not now", retryAfterMs, out);
 }
 
--- a/src/protocol/bolt_server.h
+++ b/src/protocol/bolt_server.h
@@ -33,7 +33,7 @@
   std::optional<Asked> read(std::string_view request, std::string_view& problem) override;
   void pass(const Answer& answer, std::string_view bytes, std::int64_t nowMs, Buffer& out) override;
   void served(Buffer& out) override;
-  void refused(std::int64_t retryAfterMs, Buffer& out) override;
+  void rejected(std::int64_t retryAfterMs, Buffer& out) override;
   void failed(Buffer& out) override;
   void rejected(std::string_view message, Buffer& out) override;
   void fatalError(Reason reason, std::string_view message, Buffer& out) override;
@@ -82,11 +82,11 @@
   Unit unit_ = Unit::None;
   std::size_t owed_ = 0;     // its messages without a reply
   bool closing_ = false;     // its last message has come
-  bool awaiting_ = false;    // whether that was its last the member's reply will tell
+  bool awaiting_ = false;    // whether that was its last the endpoint's reply will tell
   bool committing_ = false;  // it may end with a commit
   bool streaming_ = false;   // it has a result to be pulled, as far as the client can know
   bool writes_ = false;
-  bool failedByMember_ = false;
+  bool failedByEndpoint_ = false;
   std::uint32_t group_ = 0;
   std::int64_t afterMs_ = 0;  // the newest position that its bookmarks bind it to
   std::string id_;            // where the client gave none
--- a/src/protocol/member_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "protocol/member_list.h"
+#include "protocol/endpoint_list.h"
 
 #include <cmath>
 #include <limits>
@@ -47,7 +47,7 @@
 };
 
 // "ports": {"bolt": 7687}; lists that know of one protocol have none.
-void readPorts(Reader& reader, const Json& entry, ListedMember& out) {
+void readPorts(Reader& reader, const Json& entry, ListedEndpoint& out) {
   const Json* ports = reader.field(entry, "ports", false);
   if (ports == nullptr) return;
   if (!ports->is_object()) return reader.fail("ports", "is no object");
@@ -59,8 +59,8 @@
   }
 }
 
-ListedMember readMember(Reader& reader, const Json& entry) {
-  ListedMember out;
+ListedEndpoint readEndpoint(Reader& reader, const Json& entry) {
+  ListedEndpoint out;
   if (!entry.is_object()) {
     reader.fail("members", "holds what is no object");
     return out;
@@ -69,14 +69,14 @@
   std::string phase;
   reader.text(entry, "phase", phase, true);
   if (phase == "Terminating") {
-    out.phase = ListedMember::Phase::Terminating;
+    out.phase = ListedEndpoint::Phase::Terminating;
   } else if (phase == "Gone") {
-    out.phase = ListedMember::Phase::Gone;
+    out.phase = ListedEndpoint::Phase::Gone;
   } else if (phase != "Ready") {
     reader.fail("phase", "is not known");
   }
   // One that is gone needs no more than its name.
-  const bool needed = out.phase != ListedMember::Phase::Gone;
+  const bool needed = out.phase != ListedEndpoint::Phase::Gone;
   reader.text(entry, "host_port", out.hostPort, needed);
   reader.text(entry, "locality", out.locality, false);
   std::int64_t cell = 0;
@@ -100,30 +100,31 @@
 
 }  // namespace
 
-void apply(const MemberList& news, MemberList& whole) {
+void apply(const EndpointList& news, EndpointList& whole) {
   if (news.complete) {
-    whole.members = news.members;
+    whole.endpoints = news.endpoints;
   } else {
-    std::unordered_map<std::string_view, const ListedMember*> changed;
-    for (const ListedMember& member : news.members) changed[member.id] = &member;
-    for (ListedMember& member : whole.members) {
-      const auto found = changed.find(member.id);
+    std::unordered_map<std::string_view, const ListedEndpoint*> changed;
+    for (const ListedEndpoint& endpoint : news.endpoints) changed[endpoint.id] = &endpoint;
+    for (ListedEndpoint& endpoint : whole.endpoints) {
+      const auto found = changed.find(endpoint.id);
       if (found == changed.end()) continue;
-      member = *found->second;
+      endpoint = *found->second;
       changed.erase(found);
     }
-    for (const ListedMember& member : news.members) {
-      const auto isNew = changed.find(member.id);
-      if (isNew == changed.end() || isNew->second != &member) continue;
-      whole.members.push_back(member);
+    for (const ListedEndpoint& endpoint : news.endpoints) {
+      const auto isNew = changed.find(endpoint.id);
+      if (isNew == changed.end() || isNew->second != &endpoint) continue;
+      whole.endpoints.push_back(endpoint);
     }
   }
-  std::erase_if(whole.members, [](const ListedMember& m) { return m.phase == ListedMember::Phase::Gone; });
+  std::erase_if(whole.endpoints,
+                [](const ListedEndpoint& m) { return m.phase == ListedEndpoint::Phase::Gone; });
   whole.revision = news.revision;
   whole.complete = true;
 }
 
-std::optional<MemberList> parseMemberList(std::string_view json, std::string& problem) {
+std::optional<EndpointList> parseEndpointList(std::string_view json, std::string& problem) {
   problem.clear();
   try {
     const Json document = Json::parse(json, nullptr, false);
@@ -132,16 +133,16 @@
       return std::nullopt;
     }
     Reader reader(problem);
-    MemberList out;
+    EndpointList out;
     reader.whole(document, "revision", out.revision, true);
     const Json* complete = reader.field(document, "complete", true);
     if (complete != nullptr && !complete->is_boolean()) reader.fail("complete", "is neither true nor false");
     if (complete != nullptr && complete->is_boolean()) out.complete = complete->get<bool>();
-    const Json* members = reader.field(document, "members", true);
-    if (members != nullptr && !members->is_array()) reader.fail("members", "is no array");
+    const Json* endpoints = reader.field(document, "members", true);
+    if (endpoints != nullptr && !endpoints->is_array()) reader.fail("members", "is no array");
     if (!reader.good()) return std::nullopt;
-    out.members.reserve(members->size());
-    for (const Json& entry : *members) out.members.push_back(readMember(reader, entry));
+    out.endpoints.reserve(endpoints->size());
+    for (const Json& entry : *endpoints) out.endpoints.push_back(readEndpoint(reader, entry));
     if (!reader.good()) return std::nullopt;
     return out;
   } catch (const std::exception& error) {
--- a/src/protocol/member_list.h
+++ b/src/protocol/endpoint_list.h
@@ -1,4 +1,4 @@
-// Discovery's documents: the list of members, whole or as changes.
+// Discovery's documents: the list of endpoints, whole or as changes.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace heathflow::protocol {
 
-struct ListedMember {
+struct ListedEndpoint {
   enum class Phase { Ready, Terminating, Gone };
   std::string id;
   std::string hostPort;
@@ -23,16 +23,16 @@
   std::vector<std::pair<std::string, std::uint16_t>> ports;  // of other protocols, by name
 };
 
-struct MemberList {
+struct EndpointList {
   std::int64_t revision = 0;
   bool complete = false;
-  std::vector<ListedMember> members;
+  std::vector<ListedEndpoint> endpoints;
 };
 
 // Takes a list, whole or of changes, into one that is whole; who is gone leaves it.
-void apply(const MemberList& news, MemberList& whole);
+void apply(const EndpointList& news, EndpointList& whole);
 
 // Nothing, and why in 'problem', where the document can't be read as a whole.
-std::optional<MemberList> parseMemberList(std::string_view json, std::string& problem);
+std::optional<EndpointList> parseEndpointList(std::string_view json, std::string& problem);
 
 }  // namespace heathflow::protocol
--- a/src/protocol/load_report.h
+++ b/src/protocol/load_report.h
@@ -1,4 +1,4 @@
-// A member's report on itself, as text: "inflight=7,util=0.61".
+// An endpoint's report on itself, as text: "inflight=7,util=0.61".
 #pragma once
 
 #include <cstdint>
--- a/src/protocol/pg_client.cpp
+++ b/src/protocol/pg_client.cpp
@@ -42,7 +42,7 @@
   answer_ = PgAnswer{};
 }
 
-// A row of one column. NULL is no value that a member made.
+// A row of one column. NULL is no value that an endpoint made.
 bool PgClient::readRow(const Cut& cut) {
   if (cut.body.size() < 6 || readU16(cut.body, 0) != 1) return false;
   const std::uint32_t size = readU32(cut.body, 2);
@@ -142,7 +142,7 @@
   while (seen_ < bytes.size()) {
     // Bytes that nobody asked for are never taken for an answer to what is asked next.
     if (phase_ == Phase::Idle || phase_ == Phase::Dead) return broken();
-    const Cut cut = cutMessage(bytes.substr(seen_), kMemberMessageLimit);
+    const Cut cut = cutMessage(bytes.substr(seen_), kEndpointMessageLimit);
     if (cut.kind == Cut::Kind::Malformed) return broken();
     if (cut.kind == Cut::Kind::Partial) return Event::NeedMore;
     const Event event = take(cut, bytes);
--- a/src/protocol/pg_client.h
+++ b/src/protocol/pg_client.h
@@ -1,4 +1,4 @@
-// The client side of the protocol, towards members: a state machine that is fed bytes.
+// The client side of the protocol, towards endpoints: a state machine that is fed bytes.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,7 @@
 namespace heathflow::protocol {
 
 // A value holds at most 64 KiB (PROTOCOL); the rest is what stands around it.
-inline constexpr std::size_t kMemberMessageLimit = 80 * 1024;
+inline constexpr std::size_t kEndpointMessageLimit = 80 * 1024;
 
 // What came back for one query. Slices lie in the bytes that were fed.
 struct PgAnswer {
@@ -22,7 +22,7 @@
   Slice value;  // of the row
   Slice code;   // of the error
   bool fatal = false;
-  std::optional<bool> primary;             // the member's role, where it told it
+  std::optional<bool> primary;             // the endpoint's role, where it told it
   std::optional<std::int64_t> positionMs;  // as it was told: Unix milliseconds
   Slice report;                            // the load report, empty when there was none
 };
@@ -34,7 +34,7 @@
     Ready,     // the connection is up
     Rejected,  // the connection was turned down; the answer holds the error
     Answered,  // the answer is whole
-    Broken,    // the member does not keep to the protocol
+    Broken,    // the endpoint does not keep to the protocol
   };
 
   // Writes the startup message. False when the buffer has no room.
--- a/src/protocol/pg_protocol.cpp
+++ b/src/protocol/pg_protocol.cpp
@@ -7,7 +7,7 @@
 namespace heathflow::protocol {
 namespace {
 
-constexpr std::string_view kProbeStatement = "SHOW stats";
+constexpr std::string_view kHealthCheckStatement = "SHOW stats";
 
 std::string_view statementOf(std::string_view message) {
   return message.substr(kHeaderSize, message.size() - kHeaderSize - 1);
@@ -68,14 +68,14 @@
     asked.timeout = {kHeaderSize + comment->timeout.at, comment->timeout.size};
   }
   asked.afterMs = comment->afterMs;
-  asked.repeat = comment->repeat;
+  asked.isClientRetry = comment->isClientRetry;
   asked.keyed = comment->keyed;
   asked.write = comment->write;
   asked.session = comment->handle;
   return asked;
 }
 
-// The member's own messages, byte for byte.
+// The endpoint's own messages, byte for byte.
 void PgClientSide::pass(const Answer& answer, std::string_view bytes, std::int64_t, Buffer& out) {
   for (const Slice& piece : answer.pieces) out.append(piece.of(bytes));
 }
@@ -88,7 +88,7 @@
   served(out);
 }
 
-void PgClientSide::refused(std::int64_t retryAfterMs, Buffer& out) {
+void PgClientSide::rejected(std::int64_t retryAfterMs, Buffer& out) {
   const std::string advice = retryAfterMs > 0 ? std::to_string(retryAfterMs) : std::string();
   error(sqlstate::kTooManyConnections, "not now", out, advice);
 }
@@ -106,7 +106,7 @@
   writeError(out, true, codeFor(reason), message);
 }
 
-bool PgMemberSide::ask(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) {
+bool PgEndpointSide::ask(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) {
   const std::size_t before = out.size();
   answer_ = Answer{};
   const std::string_view statement = statementOf(request);
@@ -122,16 +122,16 @@
   return true;
 }
 
-bool PgMemberSide::askProbe(Buffer& out) {
+bool PgEndpointSide::askHealthCheck(Buffer& out) {
   const std::size_t before = out.size();
   answer_ = Answer{};
-  if (!writeQuery(out, kProbeStatement, {}, {})) return false;
+  if (!writeQuery(out, kHealthCheckStatement, {}, {})) return false;
   asked_ = out.size() - before;
   client_.queried();
   return true;
 }
 
-MemberSide::Event PgMemberSide::feed(std::string_view bytes, bool, Buffer&) {
+EndpointSide::Event PgEndpointSide::feed(std::string_view bytes, bool, Buffer&) {
   const PgClient::Event event = client_.feed(bytes);
   switch (event) {
     case PgClient::Event::NeedMore:
@@ -151,7 +151,7 @@
   return Event::Broken;
 }
 
-void PgMemberSide::translate(std::string_view bytes) {
+void PgEndpointSide::translate(std::string_view bytes) {
   const PgAnswer& told = client_.answer();
   answer_.pieces = {told.rowDescription, told.dataRow, told.commandComplete};
   answer_.value = told.value;
--- a/src/protocol/pg_protocol.h
+++ b/src/protocol/pg_protocol.h
@@ -15,7 +15,7 @@
   std::optional<Asked> read(std::string_view request, std::string_view& problem) override;
   void pass(const Answer& answer, std::string_view bytes, std::int64_t nowMs, Buffer& out) override;
   void served(Buffer& out) override;
-  void refused(std::int64_t retryAfterMs, Buffer& out) override;
+  void rejected(std::int64_t retryAfterMs, Buffer& out) override;
   void failed(Buffer& out) override;
   void rejected(std::string_view message, Buffer& out) override;
   void fatalError(Reason reason, std::string_view message, Buffer& out) override;
@@ -26,12 +26,12 @@
   PgServer server_;
 };
 
-class PgMemberSide final : public MemberSide {
+class PgEndpointSide final : public EndpointSide {
  public:
   bool start(Buffer& out) override { return client_.start(out); }
   bool ask(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) override;
   bool more(std::string_view, Buffer&) override { return false; }
-  bool askProbe(Buffer& out) override;
+  bool askHealthCheck(Buffer& out) override;
   Event feed(std::string_view bytes, bool full, Buffer& out) override;
   std::size_t seen() const override { return client_.seen(); }
   void dropped() override { client_.dropped(); }
@@ -56,7 +56,9 @@
  public:
   std::string_view name() const override { return "postgresql"; }
   std::unique_ptr<ClientSide> towardsClient() const override { return std::make_unique<PgClientSide>(); }
-  std::unique_ptr<MemberSide> towardsMember() const override { return std::make_unique<PgMemberSide>(); }
+  std::unique_ptr<EndpointSide> towardsEndpoint() const override {
+    return std::make_unique<PgEndpointSide>();
+  }
 };
 
 }  // namespace heathflow::protocol
--- a/src/protocol/request_comment.cpp
+++ b/src/protocol/request_comment.cpp
@@ -27,7 +27,7 @@
 
 bool hexDigit(char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F'); }
 
-// Guards members, which have no answer for any other statement: 'rest' is one of the two forms and no more.
+// Guards endpoints, which have no answer for any other statement: 'rest' is one of the two forms and no more.
 bool dissect(std::string_view rest, Pieces& out) {
   out.write = take(rest, kWrite);
   if (!out.write && !take(rest, kRead)) return false;
@@ -111,7 +111,7 @@
           good = readNumber(value, out.afterMs);
           break;
         case kRepeat:
-          out.repeat = value == "1";
+          out.isClientRetry = value == "1";
           break;
         case kKey:
           out.keyed = true;
--- a/src/protocol/request_comment.h
+++ b/src/protocol/request_comment.h
@@ -16,7 +16,7 @@
   std::optional<std::int64_t> timeoutMs;  // for how long the client waits
   Slice timeout;                          // where that stands in the statement
   std::optional<std::int64_t> afterMs;    // the session's last write, Unix milliseconds
-  bool repeat = false;
+  bool isClientRetry = false;
   bool keyed = false;       // it names an idempotency key
   bool write = false;       // the statement is the INSERT
   std::string_view handle;  // of the row
--- a/src/routing/outcome.cpp
+++ b/src/routing/outcome.cpp
@@ -32,40 +32,41 @@
 
 }  // namespace
 
-const char* nameOf(Outcome outcome) { return kOutcomeNames.at(static_cast<std::size_t>(outcome)); }
+const char* nameOf(AttemptOutcome outcome) { return kOutcomeNames.at(static_cast<std::size_t>(outcome)); }
 const char* nameOf(CloseReason reason) { return kCloseNames.at(static_cast<std::size_t>(reason)); }
 
-bool mayHaveRun(Outcome outcome) {
-  return outcome != Outcome::Full && outcome != Outcome::ConnectFailed && outcome != Outcome::NeverSent &&
-         outcome != Outcome::Miss;
+bool mayHaveRun(AttemptOutcome outcome) {
+  return outcome != AttemptOutcome::Overloaded && outcome != AttemptOutcome::ConnectFailed &&
+         outcome != AttemptOutcome::NotSent && outcome != AttemptOutcome::PreconditionFailed;
 }
 
-Outcome outcomeOf(const ExchangeEnd& end) {
-  if (end.cause == ExchangeEnd::Cause::Unwanted) return Outcome::NeverSent;
+AttemptOutcome outcomeOf(const ExchangeEnd& end) {
+  if (end.cause == ExchangeEnd::Cause::Unwanted) return AttemptOutcome::NotSent;
   // Whatever ends it before its last byte is written, it has not run.
-  if (end.stage == Stage::Connecting || end.stage == Stage::PartlyWritten) return Outcome::ConnectFailed;
-  if (end.cause == ExchangeEnd::Cause::Malformed) return Outcome::Malformed;
-  if (end.cause != ExchangeEnd::Cause::Answered) return Outcome::Reset;
+  if (end.stage == Stage::Connecting || end.stage == Stage::PartlyWritten)
+    return AttemptOutcome::ConnectFailed;
+  if (end.cause == ExchangeEnd::Cause::Malformed) return AttemptOutcome::Malformed;
+  if (end.cause != ExchangeEnd::Cause::Answered) return AttemptOutcome::ConnectionReset;
   switch (end.answer->kind) {
     case Kind::Value:
-      return Outcome::Ok;
+      return AttemptOutcome::Ok;
     case Kind::Full:
-      return Outcome::Full;
+      return AttemptOutcome::Overloaded;
     case Kind::Miss:
-      return Outcome::Miss;
+      return AttemptOutcome::PreconditionFailed;
     case Kind::None:
     case Kind::Empty:   // no value, though it may have run
     case Kind::NotNow:  // says nothing of what has run
     case Kind::Error:
       break;
   }
-  return Outcome::Error;
+  return AttemptOutcome::Error;
 }
 
-Report readReport(const settings::InstanceSettings& settings, std::string_view text, Micros now,
-                  wallclock::MemberTime& clocks) {
+LoadReport readReport(const settings::InstanceSettings& settings, std::string_view text, Micros now,
+                      wallclock::EndpointTime& clocks) {
   const settings::ReportLayout& layout = settings.report;
-  Report report;
+  LoadReport report;
   if (const auto role = numberAt(layout, layout.role, text);
       role && role->micros >= 0 && role->micros <= kOne) {
     report.role = role->micros * 2 >= kOne ? Role::Primary : Role::Replica;
@@ -78,13 +79,13 @@
     if (!report.position) return {};
   }
   if (const auto held = numberAt(layout, layout.held, text)) {
-    report.held = static_cast<double>(held->micros) / 1e6;
+    report.inFlight = static_cast<double>(held->micros) / 1e6;
   }
   return report;
 }
 
 void readNews(const settings::InstanceSettings& settings, const ExchangeEnd& end, Micros now,
-              wallclock::MemberTime& clocks, AttemptEnded& event) {
+              wallclock::EndpointTime& clocks, AttemptEnded& event) {
   if (end.cause != ExchangeEnd::Cause::Answered) return;
   const protocol::Answer& answer = *end.answer;
   if (answer.primary) event.role = *answer.primary ? Role::Primary : Role::Replica;
@@ -93,19 +94,19 @@
   event.report = readReport(settings, answer.report.of(end.bytes), now, clocks);
 }
 
-ProbeEnded probeEndOf(const settings::InstanceSettings& settings, const ExchangeEnd& end, Micros now,
-                      wallclock::MemberTime& clocks) {
-  ProbeEnded event;
+HealthCheckEnded healthCheckEndOf(const settings::InstanceSettings& settings, const ExchangeEnd& end,
+                                  Micros now, wallclock::EndpointTime& clocks) {
+  HealthCheckEnded event;
   // It lives, and has told nothing.
-  event.turnedAway =
+  event.rejected =
       end.dropped || (end.cause == ExchangeEnd::Cause::Malformed && end.stage != Stage::Connecting);
   if (end.answer == nullptr) return event;
   if (end.answer->kind == Kind::Value) {
     event.ok = true;
     event.report = readReport(settings, end.answer->value.of(end.bytes), now, clocks);
   } else {
-    event.unwilling = end.answer->kind == Kind::NotNow;
-    event.turnedAway = event.unwilling || end.answer->kind == Kind::Full;
+    event.refusesNewWork = end.answer->kind == Kind::NotNow;
+    event.rejected = event.refusesNewWork || end.answer->kind == Kind::Full;
   }
   return event;
 }
--- a/src/routing/outcome.h
+++ b/src/routing/outcome.h
@@ -1,30 +1,30 @@
-// What the end of an exchange with a member means to the decision module: the table of PROTOCOL.
+// What the end of an exchange with an endpoint means to the routing policy: the table of PROTOCOL.
 #pragma once
 
 #include <string_view>
 
-#include "logic.h"
-#include "routing/member_connection.h"
-#include "routing/observer.h"
+#include "policy/routing_policy.h"
 #include "settings/settings.h"
+#include "stats/observer.h"
+#include "upstream/endpoint_connection.h"
 #include "wallclock/positions.h"
 
 namespace heathflow::routing {
 
-const char* nameOf(Outcome outcome);
+const char* nameOf(AttemptOutcome outcome);
 const char* nameOf(CloseReason reason);
 // Whether an attempt that ended so may have had its effect, or may yet.
-bool mayHaveRun(Outcome outcome);
-Outcome outcomeOf(const ExchangeEnd& end);
+bool mayHaveRun(AttemptOutcome outcome);
+AttemptOutcome outcomeOf(const ExchangeEnd& end);
 
 // The role, position and report that came with an answer.
 void readNews(const settings::InstanceSettings& settings, const ExchangeEnd& end, Micros now,
-              wallclock::MemberTime& clocks, AttemptEnded& event);
+              wallclock::EndpointTime& clocks, AttemptEnded& event);
 // A load report as text, rounded so that it never claims too much; empty where it can't be read.
-Report readReport(const settings::InstanceSettings& settings, std::string_view text, Micros now,
-                  wallclock::MemberTime& clocks);
-// A probe's answer.
-ProbeEnded probeEndOf(const settings::InstanceSettings& settings, const ExchangeEnd& end, Micros now,
-                      wallclock::MemberTime& clocks);
+LoadReport readReport(const settings::InstanceSettings& settings, std::string_view text, Micros now,
+                      wallclock::EndpointTime& clocks);
+// A health check's answer.
+HealthCheckEnded healthCheckEndOf(const settings::InstanceSettings& settings, const ExchangeEnd& end,
+                                  Micros now, wallclock::EndpointTime& clocks);
 
 }  // namespace heathflow::routing
