--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <utility>
 
-#include "overloaded.h"
+#include "common/overloaded.h"
 #include "routing/outcome.h"
 
 namespace heathflow::routing {
@@ -42,17 +42,17 @@
 };
 
 struct Router::AttemptState final : Exchange {
-  AttemptState(Router& owner, RequestState& of, std::uint32_t number, MemberId to)
+  AttemptState(Router& owner, RequestState& of, std::uint32_t number, EndpointId to)
       : router(owner),
         request(of),
         index(number),
-        member(to),
+        endpoint(to),
         startedAt(owner.loop_.now()),
         limit(owner.loop_, [this] { router.attemptOverdue(*this); }) {}
 
   // The request goes out as it came, but for the time that is left. Where it had to wait for its connection
-  // the module is asked once more.
-  bool write(protocol::MemberSide& side, transport::Buffer& out) override {
+  // the routing policy is asked once more.
+  bool write(protocol::EndpointSide& side, transport::Buffer& out) override {
     // What came first in this turn goes first: the client's leaving, or the end of the attempt's time.
     if (request.requester == nullptr || until <= router.loop_.now()) return false;
     if (router.loop_.now() > startedAt) {
@@ -61,7 +61,7 @@
       if (recalled || request.requester == nullptr) return false;
     }
     const Micros left = std::max<Micros>(1, (until - router.loop_.now()) / kMicrosPerMilli);
-    if (!router.guard_.maySend(router.loop_.now(), {request.id, index, member, left * kMicrosPerMilli}))
+    if (!router.checker_.maySend(router.loop_.now(), {request.id, index, endpoint, left * kMicrosPerMilli}))
       return false;
     ++router.observer_.counters.attemptsWritten;
     return side.ask(request.requester->wire(), request.timeout, left, out);
@@ -80,71 +80,74 @@
   Router& router;
   RequestState& request;
   std::uint32_t index;
-  MemberId member;
+  EndpointId endpoint;
   Micros startedAt;
   Micros until = 0;
   bool asPrimary = false;
-  Micros waitedSince = 0;  // for its client, with nothing owed by the member; 0: it does not
+  Micros waitedSince = 0;  // for its client, with nothing owed by the endpoint; 0: it does not
   Micros waited = 0;       // and before that
-  MemberConnection* connection = nullptr;
+  EndpointConnection* connection = nullptr;
   bool ended = false;
-  Outcome outcome = Outcome::Cancelled;  // once it has ended
-  bool asking = false;                   // whether it may still be written
-  bool recalled = false;                 // it may not
+  AttemptOutcome outcome = AttemptOutcome::Cancelled;  // once it has ended
+  bool asking = false;                                 // whether it may still be written
+  bool recalled = false;                               // it may not
   transport::Timer limit;
 };
 
-struct Router::ProbeState final : Exchange {
-  ProbeState(Router& owner, MemberId to)
+struct Router::HealthCheckState final : Exchange {
+  HealthCheckState(Router& owner, EndpointId to)
       : router(owner),
-        member(to),
+        endpoint(to),
         startedAt(owner.loop_.now()),
-        limit(owner.loop_, [this] { router.probeOverdue(*this); }) {}
+        limit(owner.loop_, [this] { router.healthCheckOverdue(*this); }) {}
 
-  sparing::Purpose purpose() const override { return sparing::Purpose::Probe; }
-  bool write(protocol::MemberSide& side, transport::Buffer& out) override { return side.askProbe(out); }
+  stats::Purpose purpose() const override { return stats::Purpose::HealthCheck; }
+  bool write(protocol::EndpointSide& side, transport::Buffer& out) override {
+    return side.askHealthCheck(out);
+  }
   void onExchangeEnd(const ExchangeEnd& end) override {
-    // A connection that breaks says nothing of its member: once more, on a new one.
+    // A connection that breaks says nothing of its endpoint: once more, on a new one.
     if (end.dropped && !std::exchange(repeated, true))
-      return router.startProbe(*this, MemberPool::Over::NewOne);
-    ProbeEnded event = probeEndOf(router.settings_, end, router.loop_.now(), router.memberTime_);
-    if (event.ok) event.stood = connection->stood();
-    router.probeEnded(*this, event);
+      return router.startHealthCheck(*this, ConnectionPool::Over::NewOne);
+    HealthCheckEnded event =
+        healthCheckEndOf(router.settings_, end, router.loop_.now(), router.endpointTime_);
+    if (event.ok) event.connectionAge = connection->connectionAge();
+    router.healthCheckEnded(*this, event);
   }
 
   Router& router;
-  MemberId member;
+  EndpointId endpoint;
   Micros startedAt;
-  MemberConnection* connection = nullptr;
+  EndpointConnection* connection = nullptr;
   bool repeated = false;
   transport::Timer limit;
 };
 
 Router::Router(transport::EventLoop& loop, settings::InstanceSettings settings, std::uint64_t seed,
-               MemberPool& pool, Observer& observer)
+               ConnectionPool& pool, Observer& observer)
     : loop_(loop),
       settings_(std::move(settings)),
       pool_(pool),
       observer_(observer),
-      ringTimer_(loop, [this] { ringDue(); }),
-      guard_(settings_.logic, std::max(settings_.drainGrace, kDrainGraceLeast),
-             [this](invariants::Invariant invariant, RequestId request) {
-               invariantBroken(invariant, request);
-             }),
-      logic_(settings_.logic, seed, loop.now(), actions_) {}
+      nextTimer_(loop, [this] { fireDueTimers(); }),
+      checker_(settings_.logic, std::max(settings_.drainGrace, kDrainGraceLeast),
+               [this](invariants::Invariant invariant, RequestId request) {
+                 invariantBroken(invariant, request);
+               }),
+      policy_(settings_.logic, seed, loop.now(), actions_) {}
 
 Router::~Router() = default;
 
-void Router::membersChanged(MembersChanged event) {
-  guard_.listTaken(loop_.now(), event);
-  if (event.scope != MembersChanged::Scope::Failed) {
+void Router::endpointsChanged(EndpointsChanged event) {
+  checker_.listTaken(loop_.now(), event);
+  if (event.scope != EndpointsChanged::Scope::Failed) {
     listExpired_ = false;
     listTakenAt_ = loop_.now();
   }
   post(std::move(event));
 }
 
-void Router::listExpired(ListExpired event) {
+void Router::listExpired(EndpointListExpired event) {
   listExpired_ = true;
   post(event);
 }
@@ -173,10 +176,10 @@
   observer_.trace(Topic::Requests, state.name + ": " + text, about);
 }
 
-void Router::traceEnd(RequestId id, const char* how, Hindrance why) const {
+void Router::traceEnd(RequestId id, const char* how, RejectReason why) const {
   const auto found = requests_.find(id);
   if (!observer_.tracing || found == requests_.end() || found->second->requester == nullptr) return;
-  trace(*found->second, std::string(how) + " for " + std::string(sparing::nameOf(why)));
+  trace(*found->second, std::string(how) + " for " + std::string(stats::nameOf(why)));
 }
 
 void Router::post(Event event) {
@@ -196,38 +199,38 @@
     if (events_.empty()) break;
     const Event event = std::move(events_.front());
     events_.pop_front();
-    logic_.handle(loop_.now(), event, actions_);
+    policy_.handle(loop_.now(), event, actions_);
   }
 }
 
 void Router::perform(const Action& action) {
   std::visit(Overloaded{
-                 [&](const Attempt& a) { attempt(a); },
-                 [&](const Cancel& a) { cancel(a); },
-                 [&](const Refuse& a) {
-                   traceEnd(a.request, "refused", a.why);
-                   Requester* requester = settle(a.request, observer_.counters.requestsRefused);
+                 [&](const SendAttempt& a) { attempt(a); },
+                 [&](const CancelAttempt& a) { cancel(a); },
+                 [&](const RejectRequest& a) {
+                   traceEnd(a.request, "refused", a.reason);
+                   Requester* requester = settle(a.request, observer_.counters.requestsRejected);
                    if (requester == nullptr) return;
-                   observer_.ledger.givenUp(a.why);
-                   guard_.answered(a.request, invariants::Guard::Final::Refused);
-                   requester->refused(a.retryAfter);
+                   observer_.upstreamStats.givenUp(a.reason);
+                   checker_.answered(a.request, invariants::InvariantChecker::Final::Rejected);
+                   requester->rejected(a.retryAfter);
                  },
-                 [&](const Fail& a) {
-                   traceEnd(a.request, "failed", a.why);
+                 [&](const FailRequest& a) {
+                   traceEnd(a.request, "failed", a.reason);
                    Requester* requester = settle(a.request, observer_.counters.requestsFailed);
                    if (requester == nullptr) return;
-                   observer_.ledger.givenUp(a.why);
-                   guard_.answered(a.request, invariants::Guard::Final::Failed);
+                   observer_.upstreamStats.givenUp(a.reason);
+                   checker_.answered(a.request, invariants::InvariantChecker::Final::Failed);
                    requester->failed();
                  },
-                 [&](const Probe& a) { probe(a); },
-                 [&](const Disconnect& a) { pool_.closeIdle(a.member); },
-                 [&](const Subscribe&) {
+                 [&](const StartHealthCheck& a) { healthCheck(a); },
+                 [&](const CloseIdleConnections& a) { pool_.closeIdle(a.endpoint); },
+                 [&](const SubscribeToEndpoints&) {
                    if (subscribe_) subscribe_();
                  },
                  [&](const SetTimer& a) {
-                   rings_.push({loop_.now() + a.after, ++ringOrder_, a.token});
-                   if (rings_.top().order == ringOrder_) ringTimer_.arm(rings_.top().at);
+                   timers_.push({loop_.now() + a.after, ++timerOrder_, a.token});
+                   if (timers_.top().order == timerOrder_) nextTimer_.arm(timers_.top().at);
                  },
              },
              action);
@@ -243,13 +246,13 @@
   return requester;
 }
 
-void Router::ringDue() {
-  while (!rings_.empty() && rings_.top().at <= loop_.now()) {
-    const std::uint64_t token = rings_.top().token;
-    rings_.pop();
+void Router::fireDueTimers() {
+  while (!timers_.empty() && timers_.top().at <= loop_.now()) {
+    const std::uint64_t token = timers_.top().token;
+    timers_.pop();
     post(TimerFired{token});
   }
-  if (!rings_.empty()) ringTimer_.arm(rings_.top().at);
+  if (!timers_.empty()) nextTimer_.arm(timers_.top().at);
 }
 
 void Router::submit(Requester& requester, Request request, std::size_t protocol, protocol::Slice timeout,
@@ -266,7 +269,7 @@
     trace(*state, "taken, class " + settings_.classNames[request.classIndex] + ", " +
                       std::to_string((request.deadline - loop_.now()) / kMicrosPerMilli) + " ms left");
   }
-  guard_.taken(request);
+  checker_.taken(request);
   requests_.emplace(request.id, std::move(state));
   ++observer_.counters.requestsTaken;
   post(RequestArrived{request});
@@ -295,7 +298,7 @@
 void Router::resume(RequestId request) {
   const auto found = requests_.find(request);
   if (found == requests_.end() || found->second->bound == nullptr) return;
-  MemberConnection* connection = found->second->bound->connection;
+  EndpointConnection* connection = found->second->bound->connection;
   if (connection != nullptr) connection->resume();
 }
 
@@ -307,19 +310,19 @@
   if (!state.requester->hasRoom(answer.size())) return false;
   if (state.bound == nullptr) {
     state.bound = &attempt;
-    post(AttemptBound{state.id, attempt.index});
+    post(ResponsePartForwarded{state.id, attempt.index});
     if (state.requester == nullptr) return true;
   }
   if (!attempt.connection->owes()) attempt.waitedSince = loop_.now();
-  if (!state.requester->passOn(answer, bytes) && !attempt.ended) giveUp(attempt, Outcome::Cancelled);
+  if (!state.requester->passOn(answer, bytes) && !attempt.ended) giveUp(attempt, AttemptOutcome::Cancelled);
   return true;
 }
 
 void Router::left(RequestId request) {
   const auto found = requests_.find(request);
   if (observer_.tracing && found != requests_.end()) trace(*found->second, "its client left");
-  guard_.left(request);
-  if (settle(request, observer_.counters.requestsLeft) != nullptr) post(ClientLeft{request});
+  checker_.left(request);
+  if (settle(request, observer_.counters.requestsLeft) != nullptr) post(ClientDisconnected{request});
 }
 
 // The request has its one answer, or nobody waits for it.
@@ -331,61 +334,62 @@
 void Router::eraseIfDone(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || found->second->requester != nullptr || found->second->pending != 0) return;
-  guard_.forget(id);
+  checker_.forget(id);
   loop_.retire(std::move(found->second));
   requests_.erase(found);
 }
 
-void Router::attempt(const Attempt& action) {
+void Router::attempt(const SendAttempt& action) {
   const auto found = requests_.find(action.request);
   if (found == requests_.end()) return;
   RequestState& state = *found->second;
   state.attempts.push_back(std::make_unique<AttemptState>(
-      *this, state, static_cast<std::uint32_t>(state.attempts.size()), action.member));
+      *this, state, static_cast<std::uint32_t>(state.attempts.size()), action.endpoint));
   AttemptState& attempt = *state.attempts.back();
   ++state.pending;
   ++observer_.counters.attemptsMade;
   if (state.attempts.size() > 1) {
-    const Outcome before = state.attempts[state.attempts.size() - 2]->outcome;
+    const AttemptOutcome before = state.attempts[state.attempts.size() - 2]->outcome;
     ++observer_.counters.retriedAfter[static_cast<std::size_t>(before)];
   }
   if (listExpired_) ++observer_.counters.attemptsOnExpiredList;
   if (observer_.tracing)
-    trace(state, "attempt " + std::to_string(attempt.index) + " at " + pool_.whereOf(action.member) +
+    trace(state, "attempt " + std::to_string(attempt.index) + " at " + pool_.whereOf(action.endpoint) +
                      ", by " + listState());
-  observer_.ledger.sent(action.member);
+  observer_.upstreamStats.sent(action.endpoint);
   attempt.asPrimary = action.asPrimary;
   attempt.until = action.abandonAt == 0 ? state.deadline : std::min(action.abandonAt, state.deadline);
   if (state.requester == nullptr || attempt.until <= loop_.now()) {
-    return attemptEnded(attempt, Outcome::NeverSent, nullptr);
+    return attemptEnded(attempt, AttemptOutcome::NotSent, nullptr);
   }
   attempt.limit.arm(attempt.until);
-  switch (pool_.start(action.member, state.protocol, attempt, attempt.connection)) {
-    case MemberPool::Started::Yes:
+  switch (pool_.start(action.endpoint, state.protocol, attempt, attempt.connection)) {
+    case ConnectionPool::Started::Yes:
       return;
-    case MemberPool::Started::NoRoom:
+    case ConnectionPool::Started::NoRoom:
       observer_.note(Topic::Limits, "an attempt was not sent: no descriptor is left for it");
-      return attemptEnded(attempt, Outcome::NeverSent, nullptr);
-    case MemberPool::Started::Unreachable:
-      return attemptEnded(attempt, Outcome::ConnectFailed, nullptr);
+      return attemptEnded(attempt, AttemptOutcome::NotSent, nullptr);
+    case ConnectionPool::Started::Unreachable:
+      return attemptEnded(attempt, AttemptOutcome::ConnectFailed, nullptr);
   }
 }
 
-// The module, or the client's time, has given it up. The connection closes before anything else goes out.
+// The routing policy, or the client's time, has given it up. The connection closes before anything else goes
+// out.
 void Router::attemptOverdue(AttemptState& attempt) {
   const bool withClient = attempt.waitedSince != 0 || attempt.connection->paused();
-  giveUp(attempt, withClient ? Outcome::Withdrawn : Outcome::TimedOut);
+  giveUp(attempt, withClient ? AttemptOutcome::Abandoned : AttemptOutcome::TimedOut);
 }
 
-void Router::giveUp(AttemptState& attempt, Outcome outcome) {
+void Router::giveUp(AttemptState& attempt, AttemptOutcome outcome) {
   const bool written = attempt.connection->writtenWhole();
-  const bool undone = attempt.connection->undoneIfBroken();
+  const bool rolledBack = attempt.connection->undoneIfBroken();
   attempt.connection->abandon();
   // What was never written whole has never run.
-  attemptEnded(attempt, written ? outcome : Outcome::NeverSent, nullptr, undone);
+  attemptEnded(attempt, written ? outcome : AttemptOutcome::NotSent, nullptr, rolledBack);
 }
 
-void Router::cancel(const Cancel& action) {
+void Router::cancel(const CancelAttempt& action) {
   const auto found = requests_.find(action.request);
   if (found == requests_.end() || action.attempt >= found->second->attempts.size()) return;
   AttemptState& attempt = *found->second->attempts[action.attempt];
@@ -395,10 +399,11 @@
     attempt.recalled = true;
     return;
   }
-  giveUp(attempt, Outcome::Cancelled);
+  giveUp(attempt, AttemptOutcome::Cancelled);
 }
 
-void Router::attemptEnded(AttemptState& attempt, Outcome outcome, const ExchangeEnd* end, bool undone) {
+void Router::attemptEnded(AttemptState& attempt, AttemptOutcome outcome, const ExchangeEnd* end,
+                          bool rolledBack) {
   if (attempt.ended) return;
   attempt.ended = true;
   attempt.limit.disarm();
@@ -406,10 +411,10 @@
   RequestState& state = attempt.request;
   const RequestId id = state.id;
   AttemptEnded event;
-  if (end != nullptr) readNews(settings_, *end, loop_.now(), memberTime_, event);
+  if (end != nullptr) readNews(settings_, *end, loop_.now(), endpointTime_, event);
   // What a client has seen a part of can't be taken back.
   const bool fell = attempt.asPrimary && event.role == Role::Replica && state.bound != &attempt;
-  if (outcome == Outcome::Ok && fell) outcome = Outcome::Stale;
+  if (outcome == AttemptOutcome::Ok && fell) outcome = AttemptOutcome::LostLeadership;
   ++observer_.counters.attemptsEnded[static_cast<std::size_t>(outcome)];
   attempt.outcome = outcome;
   if (observer_.tracing)
@@ -417,79 +422,82 @@
                      std::to_string((loop_.now() - attempt.startedAt) / kMicrosPerMilli) + " ms");
   event.request = id;
   event.attempt = attempt.index;
-  event.member = attempt.member;
+  event.endpoint = attempt.endpoint;
   event.outcome = outcome;
   if (attempt.waitedSince != 0) attempt.waited += loop_.now() - attempt.waitedSince;
   event.elapsed = loop_.now() - attempt.startedAt - attempt.waited;
-  if (outcome == Outcome::Ok)
+  if (outcome == AttemptOutcome::Ok)
     observer_.counters.answersTook += static_cast<std::uint64_t>(std::max<Micros>(0, event.elapsed));
-  event.undone = undone || (end != nullptr && end->undone);
-  guard_.ended(id, attempt.index, mayHaveRun(outcome) && !event.undone);
-  // A member that has no room for a connection says so.
-  event.mayBeFull = end != nullptr && end->cause == ExchangeEnd::Cause::TurnedDown;
+  event.rolledBack = rolledBack || (end != nullptr && end->rolledBack);
+  checker_.ended(id, attempt.index, mayHaveRun(outcome) && !event.rolledBack);
+  // An endpoint that has no room for a connection says so.
+  event.mayLackConnections = end != nullptr && end->cause == ExchangeEnd::Cause::TurnedDown;
   --state.pending;
   // Once another attempt's answer is under way this one's is nobody's.
   const bool stray = state.bound != nullptr && state.bound != &attempt;
   Requester* requester = stray ? nullptr : state.requester;
-  if (outcome == Outcome::Ok && requester != nullptr) {
+  if (outcome == AttemptOutcome::Ok && requester != nullptr) {
     ++observer_.counters.requestsServed;
-    guard_.answered(id, invariants::Guard::Final::Served);
+    checker_.answered(id, invariants::InvariantChecker::Final::Served);
     finish(state);
   }
-  event.finished = !stray && (requester == nullptr || outcome == Outcome::Ok);
-  // The module hears of it first: what the client asks next is decided with this known.
+  event.requestFinished = !stray && (requester == nullptr || outcome == AttemptOutcome::Ok);
+  // The routing policy hears of it first: what the client asks next is decided with this known.
   post(event);
-  if (outcome == Outcome::Ok && requester != nullptr) requester->served(*end->answer, end->bytes);
+  if (outcome == AttemptOutcome::Ok && requester != nullptr) requester->served(*end->answer, end->bytes);
   eraseIfDone(id);
 }
 
-void Router::probe(const Probe& action) {
-  const MemberId member = action.member;
-  if (probes_.contains(member)) return;
-  ++observer_.counters.probesMade;
-  observer_.ledger.probed(member, action.reason);
-  ProbeState& state = *probes_.emplace(member, std::make_unique<ProbeState>(*this, member)).first->second;
-  // A probe has no limit of its own in the settings: it gets that of a connection.
+void Router::healthCheck(const StartHealthCheck& action) {
+  const EndpointId endpoint = action.endpoint;
+  if (healthChecks_.contains(endpoint)) return;
+  ++observer_.counters.healthChecksMade;
+  observer_.upstreamStats.healthChecked(endpoint, action.reason);
+  HealthCheckState& state =
+      *healthChecks_.emplace(endpoint, std::make_unique<HealthCheckState>(*this, endpoint)).first->second;
+  // A health check has no limit of its own in the settings: it gets that of a connection.
   state.limit.arm(loop_.now() + settings_.logic.connectTimeout);
-  startProbe(state, action.onOldest ? MemberPool::Over::OldestIdle : MemberPool::Over::NewestIdle);
+  startHealthCheck(
+      state, action.onOldestConnection ? ConnectionPool::Over::OldestIdle : ConnectionPool::Over::NewestIdle);
 }
 
-void Router::startProbe(ProbeState& probe, MemberPool::Over over) {
-  switch (pool_.start(probe.member, pool_.protocolFor(probe.member), probe, probe.connection, over)) {
-    case MemberPool::Started::Yes:
+void Router::startHealthCheck(HealthCheckState& healthCheck, ConnectionPool::Over over) {
+  switch (pool_.start(healthCheck.endpoint, pool_.protocolFor(healthCheck.endpoint), healthCheck,
+                      healthCheck.connection, over)) {
+    case ConnectionPool::Started::Yes:
       return;
-    case MemberPool::Started::NoRoom: {
-      // Our own want of descriptors says nothing against the member.
-      ProbeEnded notNow;
-      notNow.turnedAway = true;
-      return probeEnded(probe, notNow);
+    case ConnectionPool::Started::NoRoom: {
+      // Our own want of descriptors says nothing against the endpoint.
+      HealthCheckEnded notNow;
+      notNow.rejected = true;
+      return healthCheckEnded(healthCheck, notNow);
     }
-    case MemberPool::Started::Unreachable:
-      return probeEnded(probe, {});
+    case ConnectionPool::Started::Unreachable:
+      return healthCheckEnded(healthCheck, {});
   }
 }
 
-void Router::probeOverdue(ProbeState& probe) {
+void Router::healthCheckOverdue(HealthCheckState& healthCheck) {
   // Guards against a machine that vanished: its connections stay open and silent, or are reset once it is
-  // back. Where even a probe gets no byte, those that were idle before it are no more alive.
-  const bool silent = probe.connection->silent();
-  probe.connection->abandon();
-  if (silent) pool_.closeIdle(probe.member, probe.startedAt);
-  probeEnded(probe, {});
+  // back. Where even a health check gets no byte, those that were idle before it are no more alive.
+  const bool silent = healthCheck.connection->silent();
+  healthCheck.connection->abandon();
+  if (silent) pool_.closeIdle(healthCheck.endpoint, healthCheck.startedAt);
+  healthCheckEnded(healthCheck, {});
 }
 
-void Router::probeEnded(ProbeState& probe, ProbeEnded event) {
-  const auto found = probes_.find(probe.member);
-  if (found == probes_.end() || found->second.get() != &probe) return;
-  probe.limit.disarm();
-  event.member = probe.member;
-  event.elapsed = loop_.now() - probe.startedAt;
-  ++(event.ok           ? observer_.counters.probesAnswered
-     : event.turnedAway ? observer_.counters.probesTurnedAway
-                        : observer_.counters.probesFailed);
-  observer_.ledger.probeEnded(event.member, event.ok);
+void Router::healthCheckEnded(HealthCheckState& healthCheck, HealthCheckEnded event) {
+  const auto found = healthChecks_.find(healthCheck.endpoint);
+  if (found == healthChecks_.end() || found->second.get() != &healthCheck) return;
+  healthCheck.limit.disarm();
+  event.endpoint = healthCheck.endpoint;
+  event.elapsed = loop_.now() - healthCheck.startedAt;
+  ++(event.ok         ? observer_.counters.healthChecksAnswered
+     : event.rejected ? observer_.counters.healthChecksTurnedAway
+                      : observer_.counters.healthChecksFailed);
+  observer_.upstreamStats.healthCheckEnded(event.endpoint, event.ok);
   loop_.retire(std::move(found->second));
-  probes_.erase(found);
+  healthChecks_.erase(found);
   post(event);
 }
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,4 +1,4 @@
-// Glue around the decision module: tells it what happens and does what it says. It decides nothing.
+// Glue around the routing policy: tells it what happens and does what it says. It decides nothing.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +10,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "invariants/guard.h"
-#include "logic.h"
+#include "invariants/invariant_checker.h"
+#include "policy/routing_policy.h"
 #include "protocol/wire.h"
-#include "routing/member_pool.h"
-#include "routing/observer.h"
 #include "settings/settings.h"
+#include "stats/observer.h"
+#include "upstream/connection_pool.h"
 #include "wallclock/positions.h"
 
 namespace heathflow::routing {
@@ -30,29 +30,29 @@
   virtual std::string_view name() const = 0;
   // Whether so many bytes of its answer can be taken at present. Where not, Router::resume() says when.
   virtual bool hasRoom(std::size_t size) const = 0;
-  // A part of the answer: from here on no other member's answer will do. False: there is no memory for it.
+  // A part of the answer: from here on no other endpoint's answer will do. False: there is no memory for it.
   virtual bool passOn(const protocol::Answer& answer, std::string_view bytes) = 0;
   // More of the request can be taken again.
   virtual void onRoom() = 0;
   virtual void served(const protocol::Answer& answer, std::string_view bytes) = 0;
-  virtual void refused(Micros retryAfter) = 0;
+  virtual void rejected(Micros retryAfter) = 0;
   virtual void failed() = 0;
 };
 
 class Router {
  public:
   Router(transport::EventLoop& loop, settings::InstanceSettings settings, std::uint64_t seed,
-         MemberPool& pool, Observer& observer);
+         ConnectionPool& pool, Observer& observer);
   ~Router();
 
-  // Where the module's wish for news of members goes.
+  // Where the routing policy's wish for news of endpoints goes.
   void onSubscribe(std::function<void()> subscribe) { subscribe_ = std::move(subscribe); }
-  // Runs what the module wanted at its start.
+  // Runs what the routing policy wanted at its start.
   void start() { run(); }
 
-  void membersChanged(MembersChanged event);
-  void listExpired(ListExpired event);
-  // 'protocol': of the members' side, by the pool's index. 'timeout': where the request tells for how long
+  void endpointsChanged(EndpointsChanged event);
+  void listExpired(EndpointListExpired event);
+  // 'protocol': of the endpoints' side, by the pool's index. 'timeout': where the request tells for how long
   // the client waits; it is rewritten for each attempt. The id is set before anything else happens, for the
   // answer may come within the call.
   void submit(Requester& requester, Request request, std::size_t protocol, protocol::Slice timeout,
@@ -65,66 +65,69 @@
   void resume(RequestId request);
   void left(RequestId request);
   // The process ends: what has no answer by then gets one.
-  void stopping(Micros by) { post(Stopping{by}); }
+  void stopping(Micros by) { post(ShutdownStarted{by}); }
 
   const settings::InstanceSettings& settings() const { return settings_; }
-  // What members' clocks are known to be.
-  const wallclock::MemberTime& memberTime() const { return memberTime_; }
+  // What endpoints' clocks are known to be.
+  const wallclock::EndpointTime& endpointTime() const { return endpointTime_; }
   // What checks this process against the rules.
-  invariants::Guard& guard() { return guard_; }
+  invariants::InvariantChecker& checker() { return checker_; }
 
  private:
   struct AttemptState;
   struct RequestState;
-  struct ProbeState;
-  struct Ring {
+  struct HealthCheckState;
+  struct ScheduledTimer {
     Micros at;
     std::uint64_t order;
     std::uint64_t token;
-    bool operator>(const Ring& other) const { return at != other.at ? at > other.at : order > other.order; }
+    bool operator>(const ScheduledTimer& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
   };
 
   void post(Event event);
   void run();
   void perform(const Action& action);
-  void attempt(const Attempt& action);
-  void cancel(const Cancel& action);
-  void probe(const Probe& action);
-  void startProbe(ProbeState& probe, MemberPool::Over over);
+  void attempt(const SendAttempt& action);
+  void cancel(const CancelAttempt& action);
+  void healthCheck(const StartHealthCheck& action);
+  void startHealthCheck(HealthCheckState& healthCheck, ConnectionPool::Over over);
   void finish(RequestState& state);
   bool passOn(AttemptState& attempt, const protocol::Answer& answer, std::string_view bytes);
-  void attemptEnded(AttemptState& attempt, Outcome outcome, const ExchangeEnd* end, bool undone = false);
+  void attemptEnded(AttemptState& attempt, AttemptOutcome outcome, const ExchangeEnd* end,
+                    bool rolledBack = false);
   void attemptOverdue(AttemptState& attempt);
-  void giveUp(AttemptState& attempt, Outcome outcome);
-  void probeOverdue(ProbeState& probe);
-  void probeEnded(ProbeState& probe, ProbeEnded event);
+  void giveUp(AttemptState& attempt, AttemptOutcome outcome);
+  void healthCheckOverdue(HealthCheckState& healthCheck);
+  void healthCheckEnded(HealthCheckState& healthCheck, HealthCheckEnded event);
   Requester* settle(RequestId id, std::uint64_t& counter);
   void eraseIfDone(RequestId id);
-  void ringDue();
+  void fireDueTimers();
   std::string listState() const;
   void invariantBroken(invariants::Invariant invariant, RequestId request);
   void trace(const RequestState& state, const std::string& text) const;
-  void traceEnd(RequestId id, const char* how, Hindrance why) const;
+  void traceEnd(RequestId id, const char* how, RejectReason why) const;
 
   transport::EventLoop& loop_;
   settings::InstanceSettings settings_;
-  MemberPool& pool_;
+  ConnectionPool& pool_;
   Observer& observer_;
   std::function<void()> subscribe_;
   std::unordered_map<RequestId, std::unique_ptr<RequestState>> requests_;
-  std::unordered_map<MemberId, std::unique_ptr<ProbeState>> probes_;
-  std::priority_queue<Ring, std::vector<Ring>, std::greater<>> rings_;
-  transport::Timer ringTimer_;
+  std::unordered_map<EndpointId, std::unique_ptr<HealthCheckState>> healthChecks_;
+  std::priority_queue<ScheduledTimer, std::vector<ScheduledTimer>, std::greater<>> timers_;
+  transport::Timer nextTimer_;
   std::deque<Event> events_;
   std::vector<Action> actions_;
   RequestId lastId_ = 0;
-  std::uint64_t ringOrder_ = 0;
+  std::uint64_t timerOrder_ = 0;
   bool running_ = false;
   bool listExpired_ = false;
   Micros listTakenAt_ = 0;
-  invariants::Guard guard_;
-  wallclock::MemberTime memberTime_;
-  Logic logic_;
+  invariants::InvariantChecker checker_;
+  wallclock::EndpointTime endpointTime_;
+  RoutingPolicy policy_;
 };
 
 }  // namespace heathflow::routing
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -51,48 +51,48 @@
 
 // Words that are not known take the most cautious meaning: the last line of each of these.
 Consistency consistencyOf(const std::string& word) {
-  if (word == "fresh") return Consistency::Fresh;
+  if (word == "fresh") return Consistency::Strong;
   if (word == "session") return Consistency::Session;
-  if (word == "bounded") return Consistency::Bounded;
-  if (word == "any") return Consistency::Any;
+  if (word == "bounded") return Consistency::BoundedStaleness;
+  if (word == "any") return Consistency::Eventual;
   return Consistency::Write;
 }
 
-Effect effectOf(const std::string& word) {
-  if (word == "retryable") return Effect::Safe;
-  if (word == "dedup") return Effect::Keyed;
-  return Effect::Unsafe;
+Idempotency effectOf(const std::string& word) {
+  if (word == "retryable") return Idempotency::Idempotent;
+  if (word == "dedup") return Idempotency::WithKey;
+  return Idempotency::None;
 }
 
 KeyScope scopeOf(const std::string& word) {
-  if (word == "all") return KeyScope::Everywhere;
+  if (word == "all") return KeyScope::Global;
   if (word == "cell") return KeyScope::Group;
   if (word == "zone") return KeyScope::Zone;
-  return KeyScope::Member;
+  return KeyScope::Endpoint;
 }
 
-Guard guardOf(const std::string& word) {
-  if (word == "refuse") return Guard::Refuse;
-  if (word == "wait") return Guard::Wait;
-  return Guard::Silent;
+StaleReadBehavior staleReadBehaviorOf(const std::string& word) {
+  if (word == "refuse") return StaleReadBehavior::Rejects;
+  if (word == "wait") return StaleReadBehavior::Waits;
+  return StaleReadBehavior::ServesStale;
 }
 
-TokenMode tokenModeOf(const std::string& word) {
-  if (word == "carried") return TokenMode::Carried;
-  if (word == "remembered") return TokenMode::Remembered;
-  return TokenMode::Unknown;
+SessionTokenSource tokenModeOf(const std::string& word) {
+  if (word == "carried") return SessionTokenSource::Client;
+  if (word == "remembered") return SessionTokenSource::Gateway;
+  return SessionTokenSource::None;
 }
 
-ClassSettings readClass(const Json& entry) {
-  ClassSettings out;
-  out.aim = read<Micros>(entry, "Aim");
-  out.aimStretch = readOr<double>(entry, "AimStretch", 0.0);
+RequestClassSettings readClass(const Json& entry) {
+  RequestClassSettings out;
+  out.latencyObjective = read<Micros>(entry, "Aim");
+  out.objectivePerEstimatedWork = readOr<double>(entry, "AimStretch", 0.0);
   out.deadline = read<Micros>(entry, "Deadline");
-  out.worth = readOr<double>(entry, "Value", 1.0);
-  out.lateShare = readOr<double>(entry, "LateShare", 0.0);
-  out.effect = effectOf(read<std::string>(entry, "Effect"));
-  out.scope = scopeOf(readOr<std::string>(entry, "Group", ""));
-  out.window = readOr<Micros>(entry, "Window", 0);
+  out.priorityWeight = readOr<double>(entry, "Value", 1.0);
+  out.lateValueShare = readOr<double>(entry, "LateShare", 0.0);
+  out.idempotency = effectOf(read<std::string>(entry, "Effect"));
+  out.keyScope = scopeOf(readOr<std::string>(entry, "Group", ""));
+  out.keyWindow = readOr<Micros>(entry, "Window", 0);
   return out;
 }
 
@@ -111,21 +111,22 @@
 // Guards against another deployment's values where a key is missing: what is taken in its place follows from
 // the other settings or is the most cautious there is, and it is said.
 void noteMissing(InstanceSettings& out) {
-  Settings& logic = out.logic;
+  PolicySettings& logic = out.logic;
   const auto note = [&](const std::string& what) { out.notes.push_back("settings: " + what); };
   if (logic.connectTimeout <= 0) {
-    for (const ClassSettings& entry : logic.classes)
+    for (const RequestClassSettings& entry : logic.classes)
       logic.connectTimeout = std::max(logic.connectTimeout, entry.deadline);
     note("no 'ConnectTimeout': a connection may take as long as the longest deadline");
   }
   if (out.idleTime <= 0) note("no 'ConnIdle': idle connections to members are kept");
-  if (logic.mustAsk && logic.askWithin <= 0) note("no 'AskWithin': the list is asked for every second");
+  if (logic.discoveryIsPolled && logic.maxPollInterval <= 0)
+    note("no 'AskWithin': the list is asked for every second");
   for (std::size_t i = 0; i < logic.classes.size(); ++i) {
-    const ClassSettings& entry = logic.classes[i];
+    const RequestClassSettings& entry = logic.classes[i];
     const std::string name = "class '" + out.classNames[i] + "': ";
-    if (entry.consistency == Consistency::Bounded && entry.maxAge <= 0)
+    if (entry.consistency == Consistency::BoundedStaleness && entry.maxStaleness <= 0)
       note(name + "no 'MaxAge': its reads go to primaries");
-    if (entry.effect == Effect::Keyed && entry.window <= 0)
+    if (entry.idempotency == Idempotency::WithKey && entry.keyWindow <= 0)
       note(name + "no 'Window': it is never repeated once it may have run");
   }
 }
@@ -138,7 +139,7 @@
   if (!json.is_object()) throw SettingsError("settings: the text is not a JSON object");
 
   InstanceSettings out;
-  Settings& logic = out.logic;
+  PolicySettings& logic = out.logic;
   const Json& classes = need(json, "Classes");
   if (!classes.is_array()) wrong("Classes", "of the wrong type");
   for (const Json& entry : classes) {
@@ -151,44 +152,44 @@
   const auto ages = readOr<std::vector<Micros>>(family, "MaxAge", {});
   for (std::size_t i = 0; i < logic.classes.size(); ++i) {
     logic.classes[i].consistency = i < words.size() ? consistencyOf(words[i]) : Consistency::Write;
-    logic.classes[i].maxAge = i < ages.size() ? ages[i] : 0;
+    logic.classes[i].maxStaleness = i < ages.size() ? ages[i] : 0;
   }
-  logic.guard = guardOf(readOr<std::string>(family, "Guards", ""));
-  logic.catchUpWait = readOr<Micros>(family, "CatchUpWait", 0);
-  logic.tokens = tokenModeOf(readOr<std::string>(family, "TokenMode", ""));
+  logic.staleReads = staleReadBehaviorOf(readOr<std::string>(family, "Guards", ""));
+  logic.catchUpTimeout = readOr<Micros>(family, "CatchUpWait", 0);
+  logic.sessionTokens = tokenModeOf(readOr<std::string>(family, "TokenMode", ""));
   out.positionZero = read<Micros, Sign::Any>(family, "PositionZero");
-  logic.answersTellPosition = readOr<bool>(family, "Positions", false);
+  logic.responsesReportPosition = readOr<bool>(family, "Positions", false);
   logic.zone = readOr<std::uint32_t>(json, "Az", 0);
   if (json.contains("Charges"))
-    logic.crossingCosts = readOr<double>(json.at("Charges"), "CrossZone", 0.0) > 0;
-  logic.drivers = std::max(1u, readOr<unsigned>(json, "Balancers", 1u));
-  logic.tick = readOr<Micros>(json, "Tick", 0);
-  logic.mustAsk = readOr<std::string>(json, "Discovery", "") != "push";
+    logic.crossZoneTrafficHasCost = readOr<double>(json.at("Charges"), "CrossZone", 0.0) > 0;
+  logic.gatewayCount = std::max(1u, readOr<unsigned>(json, "Balancers", 1u));
+  logic.timerResolution = readOr<Micros>(json, "Tick", 0);
+  logic.discoveryIsPolled = readOr<std::string>(json, "Discovery", "") != "push";
 
   const Json& limits = need(json, "Limits");
-  logic.mayProbe = readOr<bool>(limits, "Probing", false);
-  logic.mayCancel = readOr<bool>(limits, "Cancel", false);
-  logic.parallelTries = readOr<bool>(limits, "ParallelTries", false);
-  logic.mayAdviseRetry = readOr<bool>(limits, "RetryAfter", false);
+  logic.healthChecksAllowed = readOr<bool>(limits, "Probing", false);
+  logic.cancellationAllowed = readOr<bool>(limits, "Cancel", false);
+  logic.hedgingAllowed = readOr<bool>(limits, "ParallelTries", false);
+  logic.retryAfterAllowed = readOr<bool>(limits, "RetryAfter", false);
   logic.maxRetryAfter = readOr<Micros>(limits, "MaxRetryAfter", 0);
   logic.maxAttempts = read<unsigned>(limits, "MaxAttempts");
   logic.connectTimeout = readOr<Micros>(limits, "ConnectTimeout", 0);
   out.idleTime = readOr<Micros>(limits, "ConnIdle", 0);
 
   const Json& contract = need(json, "Contract");
-  logic.askWithin = readOr<Micros>(contract, "AskWithin", 0);
-  logic.goneIsAdvice = readOr<bool>(contract, "GoneIsAdvice", false);
+  logic.maxPollInterval = readOr<Micros>(contract, "AskWithin", 0);
+  logic.removalIsAdvisory = readOr<bool>(contract, "GoneIsAdvice", false);
   out.drainGrace = readOr<Micros>(contract, "DrainGrace", 0);
-  logic.answerSlack = readOr<Micros>(contract, "AnswerSlack", 0);
-  logic.coldFrom = readOr<double>(contract, "ColdFrom", 1.0);
-  logic.warmUp = readOr<Micros>(contract, "WarmUp", 0);
-  logic.fallWindow = readOr<Micros>(contract, "Fall", 0);
-  logic.fallMultiple = readOr<double>(contract, "FallMultiple", 1.0);
+  logic.responseSlack = readOr<Micros>(contract, "AnswerSlack", 0);
+  logic.slowStartInitialShare = readOr<double>(contract, "ColdFrom", 1.0);
+  logic.slowStartDuration = readOr<Micros>(contract, "WarmUp", 0);
+  logic.overloadWindow = readOr<Micros>(contract, "Fall", 0);
+  logic.overloadMultiple = readOr<double>(contract, "FallMultiple", 1.0);
 
   if (json.contains("Report")) {
     out.report = readLayout(json.at("Report"));
-    logic.probesTellPosition = out.report.position >= 0;
-    logic.probesTellRole = out.report.role >= 0;
+    logic.healthChecksReportPosition = out.report.position >= 0;
+    logic.healthChecksReportRole = out.report.role >= 0;
   }
   noteMissing(out);
   return out;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-#include "logic.h"
+#include "policy/routing_policy.h"
 
 namespace heathflow::settings {
 
@@ -23,12 +23,12 @@
 };
 
 struct InstanceSettings {
-  Settings logic;
+  PolicySettings logic;
   ReportLayout report;
   Micros positionZero = 0;
   std::vector<std::string> classNames;
-  Micros idleTime = 0;    // after which members close an idle connection; 0: never
-  Micros drainGrace = 0;  // for how long a member may be sent to after it was told to drain
+  Micros idleTime = 0;    // after which endpoints close an idle connection; 0: never
+  Micros drainGrace = 0;  // for how long an endpoint may be sent to after it was told to drain
   // What the text does not say, and what is taken in its place: a sentence each.
   std::vector<std::string> notes;
 };
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint32_t kVersionLeast = 1;
 // Guards memory against a file that can't be meant.
 constexpr std::size_t kFileLimit = 16 << 20;
-constexpr std::size_t kMembersMost = 100'000;
+constexpr std::size_t kEndpointsMost = 100'000;
 constexpr int kReadTries = 3;
 
 using Port = std::tuple<std::string, std::uint16_t>;
@@ -42,20 +42,26 @@
   return out;
 }
 
-Entry entryOf(const protocol::ListedMember& member) {
-  std::vector<Port> ports(member.ports.begin(), member.ports.end());
-  return {
-      member.id,   member.hostPort,  member.locality, member.cell, static_cast<std::uint8_t>(member.phase),
-      member.size, member.upSinceMs, member.primary,  ports};
+Entry entryOf(const protocol::ListedEndpoint& endpoint) {
+  std::vector<Port> ports(endpoint.ports.begin(), endpoint.ports.end());
+  return {endpoint.id,
+          endpoint.hostPort,
+          endpoint.locality,
+          endpoint.cell,
+          static_cast<std::uint8_t>(endpoint.phase),
+          endpoint.size,
+          endpoint.upSinceMs,
+          endpoint.primary,
+          ports};
 }
 
-bool readEntry(const Entry& entry, protocol::ListedMember& out) {
+bool readEntry(const Entry& entry, protocol::ListedEndpoint& out) {
   std::uint8_t phase = 0;
   std::vector<Port> ports;
   std::tie(out.id, out.hostPort, out.locality, out.cell, phase, out.size, out.upSinceMs, out.primary, ports) =
       entry;
-  if (phase > static_cast<std::uint8_t>(protocol::ListedMember::Phase::Gone)) return false;
-  out.phase = static_cast<protocol::ListedMember::Phase>(phase);
+  if (phase > static_cast<std::uint8_t>(protocol::ListedEndpoint::Phase::Gone)) return false;
+  out.phase = static_cast<protocol::ListedEndpoint::Phase>(phase);
   for (const auto& [protocol, port] : ports) out.ports.emplace_back(protocol, port);
   return true;
 }
@@ -64,12 +70,13 @@
 
 std::string encode(const Snapshot& snapshot) {
   std::vector<Entry> entries;
-  for (const protocol::ListedMember& member : snapshot.list.members) entries.push_back(entryOf(member));
+  for (const protocol::ListedEndpoint& endpoint : snapshot.list.endpoints)
+    entries.push_back(entryOf(endpoint));
   msgpack::sbuffer content;
   msgpack::pack(content,
                 Content{ContentWithoutSource{snapshot.name, snapshot.writtenAt, snapshot.listTrueAt,
                                              snapshot.list.revision, entries, snapshot.callCost.value_or(-1),
-                                             snapshot.youngDeaths, snapshot.usual},
+                                             snapshot.youngDeaths, snapshot.initialLatency},
                         snapshot.source});
   std::string out(kMark);
   out += number(kVersion, 4) + number(XXH3_64bits(content.data(), content.size()), 8);
@@ -99,7 +106,7 @@
   }
   try {
     // Read with limits, for a checksum shows accidents and not intent.
-    const msgpack::unpack_limit limits(kMembersMost, 64, kFileLimit, kFileLimit, 0, 16);
+    const msgpack::unpack_limit limits(kEndpointsMost, 64, kFileLimit, kFileLimit, 0, 16);
     const msgpack::object_handle handle =
         msgpack::unpack(content.data(), content.size(), nullptr, nullptr, limits);
     Snapshot out;
@@ -112,15 +119,15 @@
     std::vector<Entry> entries;
     std::int64_t cost = -1;
     std::uint32_t young = 0;
-    std::tie(out.name, out.writtenAt, out.listTrueAt, out.list.revision, entries, cost, young, out.usual) =
-        read;
+    std::tie(out.name, out.writtenAt, out.listTrueAt, out.list.revision, entries, cost, young,
+             out.initialLatency) = read;
     out.list.complete = true;
     if (cost > 0) out.callCost = cost;
     out.youngDeaths = young;
     for (const Entry& entry : entries) {
-      protocol::ListedMember member;
-      if (!readEntry(entry, member)) throw msgpack::type_error();
-      out.list.members.push_back(std::move(member));
+      protocol::ListedEndpoint endpoint;
+      if (!readEntry(entry, endpoint)) throw msgpack::type_error();
+      out.list.endpoints.push_back(std::move(endpoint));
     }
     if (out.name == name) return out;
     problem = "it is that of '" + out.name + "'";
@@ -130,16 +137,16 @@
   return {};
 }
 
-std::optional<protocol::MemberList> believed(const Snapshot& snapshot, Micros now,
-                                             const startup::BeliefSettings& settings) {
+std::optional<protocol::EndpointList> believed(const Snapshot& snapshot, Micros now,
+                                               const discovery::BeliefSettings& settings) {
   if (snapshot.listTrueAt <= 0) return {};
-  const startup::Belief belief = startup::believe(now - snapshot.listTrueAt, settings);
-  if (!belief.members) return {};
-  protocol::MemberList out = snapshot.list;
-  for (protocol::ListedMember& member : out.members) {
-    member.primary = member.primary && belief.roles;
-    if (!belief.drains && member.phase == protocol::ListedMember::Phase::Terminating)
-      member.phase = protocol::ListedMember::Phase::Ready;
+  const discovery::Belief belief = discovery::believe(now - snapshot.listTrueAt, settings);
+  if (!belief.endpoints) return {};
+  protocol::EndpointList out = snapshot.list;
+  for (protocol::ListedEndpoint& endpoint : out.endpoints) {
+    endpoint.primary = endpoint.primary && belief.roles;
+    if (!belief.drains && endpoint.phase == protocol::ListedEndpoint::Phase::Terminating)
+      endpoint.phase = protocol::ListedEndpoint::Phase::Ready;
   }
   return out;
 }
--- a/src/standins/gateway_rig.h
+++ b/src/standins/gateway_rig.h
@@ -19,16 +19,16 @@
   long maxAgeMs = 3'000'000;
   std::size_t sockets = 256;
   std::size_t memoryMb = 192;
-  Speaks speaks = Speaks::Postgres;  // clients and members
-  bool both = false;                 // members speak Bolt as well, and so does a second listener
-  const char* tokens = "remembered";
+  Speaks speaks = Speaks::Postgres;  // clients and endpoints
+  bool both = false;                 // endpoints speak Bolt as well, and so does a second listener
+  const char* sessionTokens = "remembered";
   std::string viewConsistency = "bounded";  // of the class "view"
   std::string name = "n0";
   std::string seed = "8c1f30d27a5be964";
-  unsigned drivers = 1;  // that share the members
+  unsigned gateways = 1;  // that share the endpoints
   long warmUpMs = 10'000;
   long maxRetryAfterMs = 500;
-  long askWithinMs = 10'000;
+  long maxPollIntervalMs = 10'000;
   long knownRevision = 1;
   const char* discovery = "ask";
   const char* statusEffect = "retryable";  // of the class "status"
@@ -39,7 +39,7 @@
   const auto micros = [](long millis) { return std::to_string(millis * 1000); };
   const std::string times =
       "\"Aim\":" + micros(options.aimMs) + ",\"Deadline\":" + micros(options.deadlineMs);
-  return "{\"Balancers\":" + std::to_string(options.drivers) +
+  return "{\"Balancers\":" + std::to_string(options.gateways) +
          ",\"Classes\":["
          "{" +
          times +
@@ -54,7 +54,7 @@
          times +
          ",\"Effect\":\"fragile\",\"Group\":\"cell\",\"Name\":\"save\",\"Value\":3}],"
          "\"Contract\":{\"AnswerSlack\":20000,\"AskWithin\":" +
-         micros(options.askWithinMs) +
+         micros(options.maxPollIntervalMs) +
          ",\"ColdFrom\":0.2,\"DrainGrace\":250000,"
          "\"Fall\":2000000,"
          "\"FallMultiple\":2.5,\"WarmUp\":" +
@@ -65,7 +65,7 @@
          "\",\"any\",\"fresh\",\"write\"],\"Guards\":\"silent\","
          "\"MaxAge\":[" +
          micros(options.maxAgeMs) + ",0,0,0],\"PositionZero\":0,\"ShowsRole\":\"late\",\"TokenMode\":\"" +
-         options.tokens +
+         options.sessionTokens +
          "\"},"
          "\"Limits\":{\"Cancel\":true,\"ConnIdle\":" +
          micros(options.idleMs) + ",\"ConnectTimeout\":" + micros(options.connectTimeoutMs) +
@@ -112,7 +112,7 @@
   std::vector<std::string> lines;
 };
 
-// One group: the first member leads it.
+// One group: the first endpoint leads it.
 class GatewayRig {
  public:
   explicit GatewayRig(GatewayOptions options = {}, std::size_t size = 3)
@@ -122,13 +122,13 @@
         installation(installationOf(options)) {
     for (std::size_t i = 0; i < size; ++i) {
       const auto address = kLoopback + 1 + static_cast<std::uint32_t>(i);
-      members.push_back(std::make_unique<MemberStandIn>(loop, address, options.speaks));
-      members.back()->primary = i == 0;
+      endpoints.push_back(std::make_unique<EndpointStandIn>(loop, address, options.speaks));
+      endpoints.back()->primary = i == 0;
       if (!options.both) continue;
-      graph.push_back(std::make_unique<MemberStandIn>(loop, address, Speaks::Bolt));
+      graph.push_back(std::make_unique<EndpointStandIn>(loop, address, Speaks::Bolt));
       graph.back()->primary = i == 0;
     }
-    discovery.members = list();
+    discovery.endpoints = list();
     std::string problem;
     if (!program::parseConfig(configText(options, discovery.address(), list()), config, problem)) {
       throw std::runtime_error(problem);
@@ -141,16 +141,16 @@
   }
   std::string list() const {
     std::string out = "[";
-    for (std::size_t i = 0; i < members.size(); ++i) {
+    for (std::size_t i = 0; i < endpoints.size(); ++i) {
       out += (i == 0 ? "" : ",") + entryOf(i);
     }
     return out + "]";
   }
-  // A member's entry in the list.
+  // An endpoint's entry in the list.
   std::string entryOf(std::size_t i, const std::string& phase = "Ready") const {
     const std::string ports =
-        graph.empty() ? "" : ",\"ports\":{\"bolt\":" + std::to_string(graph[i]->endpoint().port) + "}";
-    return entry("m" + std::to_string(i), members[i]->address(), i == 0, phase, 0, ports);
+        graph.empty() ? "" : ",\"ports\":{\"bolt\":" + std::to_string(graph[i]->socketAddress().port) + "}";
+    return entry("m" + std::to_string(i), endpoints[i]->address(), i == 0, phase, 0, ports);
   }
   // One family. Where Bolt is spoken a listener for it stands beside the platform's.
   static installation::Installation installationOf(const GatewayOptions& options) {
@@ -177,38 +177,38 @@
     if (gateway->listen(problem) != 0) throw std::runtime_error(problem);
     gateway->start();
     if (!installation.listeners.empty()) graphEndpoint = Place(*gateway->boundTo(1), Speaks::Bolt);
-    endpoint = speaks == Speaks::Bolt ? graphEndpoint : Place(*gateway->boundTo());
+    socketAddress = speaks == Speaks::Bolt ? graphEndpoint : Place(*gateway->boundTo());
   }
   template <typename Condition>
   bool until(Condition&& condition) {
     return test::until(loop, std::forward<Condition>(condition));
   }
   const routing::Counters& counters() const { return notes.counters; }
-  std::uint64_t outcomes(Outcome outcome) const {
+  std::uint64_t outcomes(AttemptOutcome outcome) const {
     return counters().attemptsEnded[static_cast<std::size_t>(outcome)];
   }
-  // The statements that members have had, all together.
+  // The statements that endpoints have had, all together.
   std::vector<std::string> statements() const {
     std::vector<std::string> out;
-    for (const auto& member : members)
-      out.insert(out.end(), member->statements.begin(), member->statements.end());
+    for (const auto& endpoint : endpoints)
+      out.insert(out.end(), endpoint->statements.begin(), endpoint->statements.end());
     return out;
   }
-  // The same behaviour for all members.
-  void answerAll(const MemberStandIn::Answer& answer) {
-    for (auto& member : members) member->answer = answer;
+  // The same behaviour for all endpoints.
+  void answerAll(const EndpointStandIn::Answer& answer) {
+    for (auto& endpoint : endpoints) endpoint->answer = answer;
   }
 
   Speaks speaks;
   transport::EventLoop loop;
   Notes notes;
   DiscoveryStandIn discovery;
-  std::vector<std::unique_ptr<MemberStandIn>> members;
-  std::vector<std::unique_ptr<MemberStandIn>> graph;  // the same members over Bolt, where they speak both
+  std::vector<std::unique_ptr<EndpointStandIn>> endpoints;
+  std::vector<std::unique_ptr<EndpointStandIn>> graph;  // the same endpoints over Bolt, where they speak both
   program::Config config;
   installation::Installation installation;
   std::unique_ptr<program::Gateway> gateway;
-  Place endpoint;
+  Place socketAddress;
   Place graphEndpoint;
 };
 
--- a/src/standins/pg_bytes.h
+++ b/src/standins/pg_bytes.h
@@ -28,7 +28,7 @@
 inline std::string special(std::uint32_t code) { return u32(8) + u32(code); }
 inline std::string query(std::string_view statement) { return message('Q', text(statement)); }
 
-// From a member.
+// From an endpoint.
 inline std::string parameter(std::string_view name, std::string_view value) {
   return message('S', text(name) + text(value));
 }
--- a/src/standins/standins.cpp
+++ b/src/standins/standins.cpp
@@ -19,7 +19,7 @@
     {"22023", "Neo.ClientError.Request.Invalid"},
 }};
 
-constexpr std::string_view kProbe = "CALL heathflow.stats()";
+constexpr std::string_view kHealthCheck = "CALL heathflow.stats()";
 
 }  // namespace
 
@@ -72,39 +72,39 @@
   return out + " */";
 }
 
-bolt::Entries MemberStandIn::summary(std::int64_t positionMs) const {
+bolt::Entries EndpointStandIn::summary(std::int64_t positionMs) const {
   bolt::Entries out = {{"bookmark", bolt::text("own")},
                        {"mode", bolt::text(primary ? "read-write" : "read-only")}};
   if (positionMs != 0) out.emplace_back("wal_time", bolt::integer(positionMs));
   return out;
 }
 
-std::string MemberStandIn::value(std::string_view text, std::int64_t positionMs) const {
+std::string EndpointStandIn::value(std::string_view text, std::int64_t positionMs) const {
   if (speaks == Speaks::Bolt) return half(text) + bolt::success(summary(positionMs));
   return pg::row(text) + news(primary, positionMs) + pg::ready();
 }
 
-std::string MemberStandIn::report(const std::string& text) const {
+std::string EndpointStandIn::report(const std::string& text) const {
   return speaks == Speaks::Bolt ? half(text) + bolt::success() : pg::row(text) + pg::ready();
 }
 
-std::string MemberStandIn::error(const std::string& sqlstate) const {
+std::string EndpointStandIn::error(const std::string& sqlstate) const {
   if (speaks == Speaks::Bolt) return bolt::failure(boltCodeOf(sqlstate)) + bolt::ignored();
   return pg::error(sqlstate) + news(primary) + pg::ready();
 }
 
-std::string MemberStandIn::half(std::string_view text) const {
+std::string EndpointStandIn::half(std::string_view text) const {
   if (speaks == Speaks::Bolt) {
     return bolt::success({{"fields", bolt::list({bolt::text("blob")})}}) + bolt::record({bolt::text(text)});
   }
   return pg::rowDescription() + pg::dataRow(text);
 }
 
-std::string MemberStandIn::nonsense() const {
+std::string EndpointStandIn::nonsense() const {
   return speaks == Speaks::Bolt ? bolt::chunked("utter nonsense") : "utter nonsense";
 }
 
-std::vector<std::string> MemberStandIn::malformed() const {
+std::vector<std::string> EndpointStandIn::malformed() const {
   if (speaks == Speaks::Bolt) {
     return {nonsense(), bolt::record({bolt::text("first")}), half("v") + bolt::message(0x55, {}),
             half("v") + bolt::chunked("\xB1\x71\x91\xD0\xFF"
@@ -120,18 +120,18 @@
   return out;
 }
 
-void MemberStandIn::asked(Line& line, const std::string& statement) {
+void EndpointStandIn::asked(Line& line, const std::string& statement) {
   ++line.queries;
-  if (statement == "SHOW stats" || statement == kProbe) {
-    ++probes;
-    probe(line, statement);
+  if (statement == "SHOW stats" || statement == kHealthCheck) {
+    ++healthChecks;
+    healthCheck(line, statement);
   } else {
     if (keepsStatements) statements.push_back(statement);
     answer(line, statement);
   }
 }
 
-void MemberStandIn::onBolt(Line& line) {
+void EndpointStandIn::onBolt(Line& line) {
   if (!line.started) {
     if (line.got.size() < bolt::handshake().size()) return;
     line.got.erase(0, bolt::handshake().size());
@@ -145,17 +145,17 @@
       continue;
     }
     tags.push_back(message.tag);
-    const bool ofProbe = message.tag == bolt::kRun && message.fields[0].text == kProbe;
-    if (!ofProbe && line.statement != kProbe && script && script(line, message)) continue;
+    const bool ofHealthCheck = message.tag == bolt::kRun && message.fields[0].text == kHealthCheck;
+    if (!ofHealthCheck && line.statement != kHealthCheck && script && script(line, message)) continue;
     onBoltMessage(line, message);
   }
 }
 
-void MemberStandIn::onBoltMessage(Line& line, const bolt::Message& message) {
+void EndpointStandIn::onBoltMessage(Line& line, const bolt::Message& message) {
   switch (message.tag) {
     case bolt::kRun: {
       const std::string& query = message.fields[0].text;
-      line.statement = query == kProbe ? query : statementOf(query, message.fields[2]);
+      line.statement = query == kHealthCheck ? query : statementOf(query, message.fields[2]);
       if (line.transaction) {
         statements.push_back(query);
         line.say(bolt::success({{"fields", bolt::list({bolt::text("blob")})}}));
@@ -193,7 +193,7 @@
     : loop_(loop), speaks_(gateway.speaks), line_(loop, nullptr) {
   if (speaks_ == Speaks::Bolt) awaits_ = {Awaits::Version, Awaits::Login, Awaits::Login};
   int error = 0;
-  if (!line_.stream.connect(gateway.endpoint, error))
+  if (!line_.stream.connect(gateway.socketAddress, error))
     throw std::runtime_error("the gateway can't be reached");
   if (!until(loop_, [&] { return line_.stream.open() || line_.ended; }) || line_.ended) {
     throw std::runtime_error("the gateway does not take the connection");
@@ -280,7 +280,7 @@
   }
 }
 
-BoltClientStandIn::BoltClientStandIn(transport::EventLoop& loop, const transport::Endpoint& gateway,
+BoltClientStandIn::BoltClientStandIn(transport::EventLoop& loop, const transport::SocketAddress& gateway,
                                      unsigned minor, bool login)
     : loop_(loop), line_(loop, nullptr) {
   int error = 0;
@@ -345,14 +345,14 @@
   return count;
 }
 
-transport::UniqueFd listenAt(transport::Endpoint& place) {
+transport::UniqueFd listenAt(transport::SocketAddress& place) {
   transport::Opened opened = transport::listenOn(place, 128);
   if (!opened.fd) throw std::runtime_error("a stand-in can't listen");
   place = *transport::boundTo(opened.fd.get());
   return std::move(opened.fd);
 }
 
-transport::UniqueFd reserve(const transport::Endpoint& place) { return transport::bindTo(place).fd; }
+transport::UniqueFd reserve(const transport::SocketAddress& place) { return transport::bindTo(place).fd; }
 
 void resetAtClose(int fd) {
   const linger hard{1, 0};
@@ -360,7 +360,7 @@
 }
 
 PlainListener::PlainListener(transport::EventLoop& loop, std::uint32_t address)
-    : loop_(loop), endpoint_{address, 0}, listener_(listenAt(endpoint_)) {}
+    : loop_(loop), socketAddress_{address, 0}, listener_(listenAt(socketAddress_)) {}
 
 std::unique_ptr<PlainSocket> PlainListener::next() {
   std::unique_ptr<PlainSocket> out;
--- a/src/standins/standins.h
+++ b/src/standins/standins.h
@@ -1,5 +1,5 @@
-// Small stand-ins for members, discovery and clients, as PROTOCOL and Bolt's specification describe them, on
-// loopback and one loop. What a test says of a request and its answer is the same in both protocols:
+// Small stand-ins for endpoints, discovery and clients, as PROTOCOL and Bolt's specification describe them,
+// on loopback and one loop. What a test says of a request and its answer is the same in both protocols:
 // statements with their comment, and replies in PostgreSQL's words.
 #pragma once
 
@@ -26,9 +26,9 @@
 // Where something is reached, and what is spoken there.
 struct Place {
   Place() = default;
-  Place(const transport::Endpoint& at, Speaks how = Speaks::Postgres) : endpoint(at), speaks(how) {}
-  operator const transport::Endpoint&() const { return endpoint; }
-  transport::Endpoint endpoint;
+  Place(const transport::SocketAddress& at, Speaks how = Speaks::Postgres) : socketAddress(at), speaks(how) {}
+  operator const transport::SocketAddress&() const { return socketAddress; }
+  transport::SocketAddress socketAddress;
   Speaks speaks = Speaks::Postgres;
 };
 
@@ -40,14 +40,14 @@
 // What a client of that protocol sends first, and what it asks by.
 std::string openingOf(Speaks speaks);
 std::string askingOf(Speaks speaks, std::string_view statement);
-// And back, from what a member got.
+// And back, from what an endpoint got.
 std::string statementOf(const std::string& query, const bolt::Value& extra);
 
 // Listens there, at a port of the system's choice where none is named; says which.
-transport::UniqueFd listenAt(transport::Endpoint& place);
-// Keeps an address for one that will listen there again: until then connections are refused, and no other
+transport::UniqueFd listenAt(transport::SocketAddress& place);
+// Keeps an address for one that will listen there again: until then connections are rejected, and no other
 // socket of the machine gets its port.
-transport::UniqueFd reserve(const transport::Endpoint& place);
+transport::UniqueFd reserve(const transport::SocketAddress& place);
 
 // Whatever the peer has yet to read, closing the socket resets its connection.
 void resetAtClose(int fd);
@@ -113,17 +113,17 @@
   }
   ~Listening() override { shut(); }
 
-  const transport::Endpoint& endpoint() const { return endpoint_; }
-  std::string address() const { return toText(endpoint_); }
-  // The process is gone: connections reset, new ones refused.
+  const transport::SocketAddress& socketAddress() const { return socketAddress_; }
+  std::string address() const { return toText(socketAddress_); }
+  // The process is gone: connections reset, new ones rejected.
   void shut() {
     if (!listener_) return;
     loop_.unwatch(listener_.get(), *this);
     listener_.reset();
-    reserved_ = reserve(endpoint_);
+    reserved_ = reserve(socketAddress_);
     for (auto& line : lines) line->hangUp();
   }
-  void reopen() { open(endpoint_); }
+  void reopen() { open(socketAddress_); }
   std::size_t openLines() const {
     std::size_t count = 0;
     for (const auto& line : lines) count += !line->ended && !line->stream.closed() ? 1 : 0;
@@ -139,9 +139,9 @@
   transport::EventLoop& loop_;
 
  private:
-  void open(const transport::Endpoint& endpoint) {
-    endpoint_ = endpoint;
-    listener_ = listenAt(endpoint_);
+  void open(const transport::SocketAddress& socketAddress) {
+    socketAddress_ = socketAddress;
+    listener_ = listenAt(socketAddress_);
     reserved_.reset();
     loop_.watch(listener_.get(), *this);
   }
@@ -157,16 +157,17 @@
 
   transport::UniqueFd listener_;
   transport::UniqueFd reserved_;  // its address, while it does not listen
-  transport::Endpoint endpoint_;
+  transport::SocketAddress socketAddress_;
 };
 
-// A member. Unless told otherwise it welcomes at once, answers probes, and gives each statement a value.
-class MemberStandIn final : public Listening {
+// An endpoint. Unless told otherwise it welcomes at once, answers health checks, and gives each statement a
+// value.
+class EndpointStandIn final : public Listening {
  public:
   using Listening::Listening;
   using Answer = std::function<void(Line& line, const std::string& statement)>;
 
-  MemberStandIn(transport::EventLoop& loop, std::uint32_t address, Speaks how)
+  EndpointStandIn(transport::EventLoop& loop, std::uint32_t address, Speaks how)
       : Listening(loop, address), speaks(how) {}
 
   static std::string news(bool primary, std::int64_t positionMs = 0) {
@@ -197,7 +198,7 @@
   // Takes a new connection in place of the usual welcome, where it is set.
   std::function<void(Line& line)> door;
   Answer answer = [this](Line& line, const std::string&) { line.say(value("from " + address())); };
-  Answer probe = [this](Line& line, const std::string&) {
+  Answer healthCheck = [this](Line& line, const std::string&) {
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                          std::chrono::system_clock::now().time_since_epoch())
                          .count() -
@@ -207,10 +208,10 @@
   };
   // Of Bolt: sees every message first; true where it has dealt with it.
   std::function<bool(Line& line, const bolt::Message& message)> script;
-  std::vector<std::string> statements;  // without probes
+  std::vector<std::string> statements;  // without health checks
   bool keepsStatements = true;
   std::vector<unsigned char> tags;  // of all messages of Bolt behind the login
-  std::size_t probes = 0;
+  std::size_t healthChecks = 0;
 
  private:
   std::string report(const std::string& text) const;
@@ -243,7 +244,7 @@
  public:
   using Listening::Listening;
 
-  std::string members = "[]";
+  std::string endpoints = "[]";
   std::string news = "[]";  // what a call that does not wait is told
   std::int64_t revision = 1;
   std::vector<std::string> calls;
@@ -282,7 +283,7 @@
       } else if (fails) {
         line.say(response("", 503));
       } else if (call.find("since=") == std::string::npos) {
-        line.say(response(document(true, members)));
+        line.say(response(document(true, endpoints)));
       } else if (call.find("timeout_ms=1 ") != std::string::npos || !holds) {
         line.say(response(document(false, news)));
       } else {
@@ -367,7 +368,7 @@
 // A client of Bolt that says what it is told to, message by message.
 class BoltClientStandIn {
  public:
-  BoltClientStandIn(transport::EventLoop& loop, const transport::Endpoint& gateway, unsigned minor = 4,
+  BoltClientStandIn(transport::EventLoop& loop, const transport::SocketAddress& gateway, unsigned minor = 4,
                     bool login = true);
 
   void say(std::string_view bytes) { line_.say(bytes); }
@@ -400,7 +401,7 @@
 // when asked to, and acts between two turns of the loop.
 class PlainSocket {
  public:
-  PlainSocket(transport::EventLoop& loop, const transport::Endpoint& gateway)
+  PlainSocket(transport::EventLoop& loop, const transport::SocketAddress& gateway)
       : PlainSocket(loop, transport::startConnect(gateway)) {}
   PlainSocket(transport::EventLoop& loop, transport::Opened opened)
       : loop_(loop), opened_(std::move(opened)) {}
@@ -466,14 +467,14 @@
 class PlainListener {
  public:
   explicit PlainListener(transport::EventLoop& loop, std::uint32_t address = kLoopback);
-  const transport::Endpoint& endpoint() const { return endpoint_; }
-  std::string address() const { return toText(endpoint_); }
+  const transport::SocketAddress& socketAddress() const { return socketAddress_; }
+  std::string address() const { return toText(socketAddress_); }
   // Waits for the next connection; null where none comes.
   std::unique_ptr<PlainSocket> next();
 
  private:
   transport::EventLoop& loop_;
-  transport::Endpoint endpoint_;
+  transport::SocketAddress socketAddress_;
   transport::UniqueFd listener_;
 };
 
--- /dev/null
+++ b/src/stats/call_failure.cpp
@@ -0,0 +1,15 @@
+#include "stats/call_failure.h"
+
+#include <array>
+
+namespace heathflow::stats {
+namespace {
+
+constexpr std::array<const char*, kCallFailures> kFailureNames = {"turned_away", "broken", "silent",
+                                                                  "unreachable", "unreadable"};
+
+}  // namespace
+
+const char* nameOf(CallFailure failure) { return kFailureNames.at(static_cast<std::size_t>(failure)); }
+
+}  // namespace heathflow::stats
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -1,6 +1,6 @@
-// Which drivers serve a group of members, so that not every driver talks to every member. Decisions only: the
-// names of those that are there are given, equal names give equal answers everywhere, and nobody is asked. No
-// program links it yet; scale runs measure it.
+// Which gateways serve a group of endpoints, so that not every gateway talks to every endpoint. Decisions
+// only: the names of those that are there are given, equal names give equal answers everywhere, and nobody is
+// asked. No program links it yet; scale runs measure it.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +11,16 @@
 
 using Names = std::vector<std::string>;
 
-// The 'count' drivers with the highest hash of their own and the group's name, by their places in 'drivers',
-// highest first; all of them where there are fewer (rendezvous hashing, Thaler and Ravishankar, "Using
-// Name-Based Mappings to Increase Hit Rates", 1998). One that goes leaves its place to the next of each of
-// its groups and moves nobody else's.
-std::vector<std::size_t> rendezvous(const std::string& group, const Names& drivers, std::size_t count);
+// The 'count' gateways with the highest hash of their own and the group's name, by their places in
+// 'gateways', highest first; all of them where there are fewer (rendezvous hashing, Thaler and Ravishankar,
+// "Using Name-Based Mappings to Increase Hit Rates", 1998). One that goes leaves its place to the next of
+// each of its groups and moves nobody else's.
+std::vector<std::size_t> rendezvous(const std::string& group, const Names& gateways, std::size_t count);
 
-// The same number of drivers by the group's own number: drivers are shuffled anew for each round of groups
+// The same number of gateways by the group's own number: gateways are shuffled anew for each round of groups
 // that takes all of them, and dealt out in order (deterministic subsetting, "Site Reliability Engineering",
-// 2016, chapter 20). Every driver has as many groups as any other, give or take one round; but when one goes,
-// the shuffles of all rounds change.
-std::vector<std::size_t> dealt(std::size_t group, std::size_t drivers, std::size_t count);
+// 2016, chapter 20). Every gateway has as many groups as any other, give or take one round; but when one
+// goes, the shuffles of all rounds change.
+std::vector<std::size_t> dealt(std::size_t group, std::size_t gateways, std::size_t count);
 
 }  // namespace heathflow::subset
--- a/src/tools/rig_main.cpp
+++ b/src/tools/emulator_main.cpp
@@ -1,4 +1,4 @@
-// heathflow-rig: plays a scenario with real drivers on loopback and judges it from outside.
+// heathflow-rig: plays a scenario with real gateways on loopback and judges it from outside.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/resource.h>
@@ -15,12 +15,12 @@
 #include <optional>
 #include <string>
 
+#include "emulator/scale.h"
+#include "emulator/scale_plan.h"
+#include "emulator/scenario.h"
+#include "emulator/site.h"
+#include "emulator/soak.h"
 #include "program/signals.h"
-#include "rig/scale.h"
-#include "rig/scale_plan.h"
-#include "rig/scenario.h"
-#include "rig/site.h"
-#include "rig/soak.h"
 
 namespace {
 
@@ -71,22 +71,22 @@
   return runGnuplot(script);
 }
 
-void row(std::size_t number, const rig::Second& second) {
+void row(std::size_t number, const emulator::Second& second) {
   if (number % 20 == 0)
     std::printf("%4s %8s %8s %8s %8s %9s %9s %7s %6s\n", "s", "drivers", "served", "refused", "failed",
                 "p50 ms", "p99 ms", "connect", "calls");
-  std::printf("%4zu %8u %8llu %8llu %8llu %9.1f %9.1f %7llu %6llu", number + 1, second.driversUp,
-              static_cast<unsigned long long>(second.served), static_cast<unsigned long long>(second.refused),
-              static_cast<unsigned long long>(second.failed), static_cast<double>(second.p50) / 1000,
-              static_cast<double>(second.p99) / 1000,
-              static_cast<unsigned long long>(second.connectionsAtMembers),
-              static_cast<unsigned long long>(second.callsOfList));
+  std::printf(
+      "%4zu %8u %8llu %8llu %8llu %9.1f %9.1f %7llu %6llu", number + 1, second.gatewaysUp,
+      static_cast<unsigned long long>(second.served), static_cast<unsigned long long>(second.rejected),
+      static_cast<unsigned long long>(second.failed), static_cast<double>(second.p50) / 1000,
+      static_cast<double>(second.p99) / 1000, static_cast<unsigned long long>(second.connectionsAtEndpoints),
+      static_cast<unsigned long long>(second.callsOfList));
   for (const std::string& note : second.notes) std::printf("  %s;", note.c_str());
   std::printf("\n");
   std::fflush(stdout);
 }
 
-// Hundreds of drivers with their clients need more descriptors than a shell gives.
+// Hundreds of gateways with their clients need more descriptors than a shell gives.
 void raiseDescriptors() {
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -95,32 +95,32 @@
 }
 
 // A scenario, or all that is wrong with it on standard error.
-std::optional<rig::Scenario> load(const std::string& file) {
+std::optional<emulator::Scenario> load(const std::string& file) {
   std::vector<xml::Problem> problems;
-  auto scenario = rig::loadScenario(file, problems);
+  auto scenario = emulator::loadScenario(file, problems);
   for (const auto& problem : problems) std::fprintf(stderr, "%s\n", toText(problem).c_str());
   return scenario;
 }
 
-int run(const std::string& file, const rig::Programs& programs, const std::string& out, bool quiet,
+int run(const std::string& file, const emulator::Programs& programs, const std::string& out, bool quiet,
         bool numbers) {
   const auto scenario = load(file);
-  if (!scenario || !isProgram(programs.driver)) return kUnusable;
+  if (!scenario || !isProgram(programs.gateway)) return kUnusable;
   if (!programs.traces.empty()) std::filesystem::create_directories(programs.traces);
   raiseDescriptors();
   transport::EventLoop loop;
   bool ended = false;
   program::Signals signals(loop, [&](int signal) { ended = ended || signal == SIGINT || signal == SIGTERM; });
-  rig::Outcomes outcomes;
+  emulator::Outcomes outcomes;
   {
-    rig::Site site(loop, *scenario, programs);
-    outcomes = site.play([&](std::size_t number, const rig::Second& second) {
+    emulator::Site site(loop, *scenario, programs);
+    outcomes = site.play([&](std::size_t number, const emulator::Second& second) {
       if (!quiet && !numbers) row(number, second);
       return !ended;
     });
   }
   if (numbers) {
-    std::printf("%s\n", outcomes.row(scenario->drivers).c_str());
+    std::printf("%s\n", outcomes.row(scenario->gateways).c_str());
     return ended ? kEnded : outcomes.rulesKept() ? kGood : kBroken;
   }
   std::printf("%s\n%s", outcomes.scenario.c_str(), outcomes.table().c_str());
@@ -142,17 +142,18 @@
 }
 
 // Beyond this the rig is too late to judge by times.
-constexpr rig::Micros kLateMost = 50'000;
+constexpr emulator::Micros kLateMost = 50'000;
 
 enum class Verdict { Kept, Broken, NotJudged };
 
 // Where the rig was late what it judges by times alone is not counted; crashes, second effects and the
-// drivers' own invariants are.
-Verdict verdictOf(const rig::Outcomes& outcomes) {
+// gateways' own invariants are.
+Verdict verdictOf(const emulator::Outcomes& outcomes) {
   if (outcomes.rulesKept()) return Verdict::Kept;
-  const bool whateverTheTimes = !outcomes.crashes.empty() ||
-                                outcomes.broken[static_cast<std::size_t>(rig::Rule::NoSecondEffect)] > 0 ||
-                                outcomes.broken[static_cast<std::size_t>(rig::Rule::InvariantsKept)] > 0;
+  const bool whateverTheTimes =
+      !outcomes.crashes.empty() ||
+      outcomes.broken[static_cast<std::size_t>(emulator::Rule::NoSecondEffect)] > 0 ||
+      outcomes.broken[static_cast<std::size_t>(emulator::Rule::InvariantsKept)] > 0;
   return outcomes.late <= kLateMost || whateverTheTimes ? Verdict::Broken : Verdict::NotJudged;
 }
 
@@ -174,25 +175,25 @@
 };
 
 // One scenario of the soak: a line of its own, and where a rule broke all that is needed to follow it.
-Verdict soakOnce(std::uint64_t seed, const rig::SoakOptions& options, rig::Programs programs,
+Verdict soakOnce(std::uint64_t seed, const emulator::SoakOptions& options, emulator::Programs programs,
                  const std::string& out) {
-  const rig::Scenario scenario = rig::soakScenario(seed, options);
+  const emulator::Scenario scenario = emulator::soakScenario(seed, options);
   programs.traces = out + "/" + scenario.name;
   std::filesystem::create_directories(programs.traces);
-  std::ofstream(programs.traces + "/scenario.xml") << rig::textOf(scenario);
-  rig::Outcomes outcomes;
+  std::ofstream(programs.traces + "/scenario.xml") << emulator::textOf(scenario);
+  emulator::Outcomes outcomes;
   {
     transport::EventLoop loop;
-    rig::Site site(loop, scenario, programs);
+    emulator::Site site(loop, scenario, programs);
     outcomes = site.play();
   }
   const Verdict verdict = verdictOf(outcomes);
   std::printf(
       "%llu: %u drivers, %zu troubles; %llu asked, %llu served, %llu refused, %llu failed; %s; late %lld "
       "ms\n",
-      static_cast<unsigned long long>(seed), scenario.drivers, scenario.happenings.size(),
+      static_cast<unsigned long long>(seed), scenario.gateways, scenario.happenings.size(),
       static_cast<unsigned long long>(outcomes.asked), static_cast<unsigned long long>(outcomes.served),
-      static_cast<unsigned long long>(outcomes.refused), static_cast<unsigned long long>(outcomes.failed),
+      static_cast<unsigned long long>(outcomes.rejected), static_cast<unsigned long long>(outcomes.failed),
       textOf(verdict), static_cast<long long>(outcomes.late / 1000));
   std::ofstream(programs.traces + "/result.txt") << outcomes.table();
   if (verdict == Verdict::Kept) {
@@ -204,9 +205,9 @@
   return verdict;
 }
 
-int soak(const SoakRange& range, const rig::SoakOptions& options, const rig::Programs& programs,
+int soak(const SoakRange& range, const emulator::SoakOptions& options, const emulator::Programs& programs,
          const std::string& out) {
-  if (!isProgram(programs.driver)) return kUnusable;
+  if (!isProgram(programs.gateway)) return kUnusable;
   raiseDescriptors();
   std::uint64_t broken = 0;
   std::uint64_t notJudged = 0;
@@ -225,13 +226,13 @@
 int check(const std::string& file) {
   const auto scenario = load(file);
   if (!scenario) return kUnusable;
-  std::printf("%s: good, %u drivers, %u members, %zu faults\n", scenario->name.c_str(), scenario->drivers,
+  std::printf("%s: good, %u drivers, %u members, %zu faults\n", scenario->name.c_str(), scenario->gateways,
               scenario->groups * (scenario->replicas + 1), scenario->happenings.size());
   return kGood;
 }
 
 // A chart of each series on scales by powers of ten; false without gnuplot.
-bool drawScale(const rig::ScaleResults& results, const std::string& base) {
+bool drawScale(const emulator::ScaleResults& results, const std::string& base) {
   const std::string script = base + ".plot";
   std::ofstream plot(script);
   const std::size_t rows = (results.series().size() + kChartsInRow - 1) / kChartsInRow;
@@ -239,10 +240,10 @@
        << " dynamic background rgb 'white'\nset output '" << base << ".svg'\nset multiplot layout " << rows
        << "," << kChartsInRow << "\nset grid\nset logscale xy\nunset key\n";
   std::size_t index = 0;
-  for (const rig::Series& series : results.series()) {
+  for (const emulator::Series& series : results.series()) {
     const std::size_t number = index++;
     const bool drawable = std::any_of(series.points.begin(), series.points.end(),
-                                      [](const rig::Point& point) { return point.value > 0; });
+                                      [](const emulator::Point& point) { return point.value > 0; });
     if (!drawable) continue;
     plot << "set title '" << series.key() << "' noenhanced\nplot '" << base << ".dat' index " << number
          << " using 1:2 with linespoints lw 2\n";
@@ -260,28 +261,28 @@
 
 int scale(const std::string& file, const std::string& program, const std::string& out) {
   std::vector<xml::Problem> problems;
-  const auto plan = rig::loadScalePlan(file, problems);
+  const auto plan = emulator::loadScalePlan(file, problems);
   for (const auto& problem : problems) std::fprintf(stderr, "%s\n", toText(problem).c_str());
   if (!plan) return kUnusable;
   raiseDescriptors();
-  const std::size_t needed = rig::descriptorsFor(*plan);
-  if (needed > rig::descriptorsLeft()) {
+  const std::size_t needed = emulator::descriptorsFor(*plan);
+  if (needed > emulator::descriptorsLeft()) {
     std::fprintf(stderr,
                  "%zu descriptors are needed and %zu are left: a higher limit (ulimit -n) is expected\n",
-                 needed, rig::descriptorsLeft());
+                 needed, emulator::descriptorsLeft());
     return kUnusable;
   }
   transport::EventLoop loop;
   bool ended = false;
   program::Signals signals(loop, [&](int signal) { ended = ended || signal == SIGINT || signal == SIGTERM; });
-  const rig::RunNote note{plan->name, today(), rig::machineName()};
-  rig::ScaleRun run(loop, *plan, program,
-                    {[&] { return !ended; },
-                     [](const std::string& step) {
-                       std::printf("%s\n", step.c_str());
-                       std::fflush(stdout);
-                     }});
-  const rig::ScaleOutcome outcome = run.play();
+  const emulator::RunNote note{plan->name, today(), emulator::machineName()};
+  emulator::ScaleRun run(loop, *plan, program,
+                         {[&] { return !ended; },
+                          [](const std::string& step) {
+                            std::printf("%s\n", step.c_str());
+                            std::fflush(stdout);
+                          }});
+  const emulator::ScaleOutcome outcome = run.play();
   std::printf("\n%s, %s, on %s\n\n%s", note.name.c_str(), note.date.c_str(), note.machine.c_str(),
               outcome.results.table().c_str());
   for (const std::string& problem : outcome.problems) std::printf("NOT REACHED: %s\n", problem.c_str());
@@ -315,13 +316,13 @@
   runs->add_option("--out", out, "A folder for results (JSON, columns, SVG)");
   runs->add_flag("--quiet", quiet, "No row for each second");
   runs->add_flag("--numbers", numbers, "One line of numbers for scripts, and nothing else");
-  rig::Programs programs;
+  emulator::Programs programs;
   programs.faults = (std::filesystem::path(argv[0]).parent_path() / "libheathflow_faults.so").string();
   runs->add_option("--faults", programs.faults, "The library of failing calls")->capture_default_str();
   runs->add_option("--traces", programs.traces,
                    "A folder for each driver's log, with each step of each request");
   SoakRange range;
-  rig::SoakOptions soakOptions;
+  emulator::SoakOptions soakOptions;
   std::string soakOut = "found/soak";
   CLI::App* soaks =
       app.add_subcommand("soak", "Play scenarios at random; 1: a rule was broken in one of them");
@@ -330,7 +331,7 @@
   soaks->add_option("--seconds", soakOptions.seconds, "Of each")
       ->check(CLI::Range(10, 120))
       ->capture_default_str();
-  soaks->add_option("--drivers", soakOptions.driversMost, "At the most")
+  soaks->add_option("--drivers", soakOptions.gatewaysMost, "At the most")
       ->check(CLI::Range(10, 60))
       ->capture_default_str();
   soaks->add_flag("!--calls-go-well", soakOptions.failingCalls,
@@ -352,7 +353,7 @@
   }
   try {
     if (scales->parsed()) return scale(file, program, out);
-    programs.driver = program;
+    programs.gateway = program;
     if (soaks->parsed()) return soak(range, soakOptions, programs, soakOut);
     return runs->parsed() ? run(file, programs, out, quiet, numbers) : check(file);
   } catch (const std::exception& error) {
--- a/src/tools/fleet_sim.cpp
+++ b/src/tools/fleet_sim.cpp
@@ -18,7 +18,7 @@
   using Kind = Happening::Kind;
   return {{"calm", {}},
           {"primaries lost for 10 s", {{Kind::PrimariesDie, 6 * kSecond, 0.8, 10 * kSecond}}},
-          {"three in ten members back cold", {{Kind::MembersReturn, 6 * kSecond, 0.3, 5 * kSecond}}},
+          {"three in ten members back cold", {{Kind::EndpointsReturn, 6 * kSecond, 0.3, 5 * kSecond}}},
           {"seven in ten routers restart", {{Kind::RoutersRestart, 6 * kSecond, 0.7, 0}}},
           {"replicas stand still for 6 s", {{Kind::ReplicasLag, 6 * kSecond, 0.4, 6 * kSecond}}},
           {"a member bad for a third", {{Kind::BadForSome, 6 * kSecond, 0.33, 6 * kSecond}}}};
@@ -51,13 +51,15 @@
       worstRoom = std::max(worstRoom, per(window.givenUpWithRoom, window.requests));
     }
     std::printf("| %s | %s | %.3f | %.3f | %.3f | %llu | %.2f | %.2f | %.2f | %.2f | %lld |\n", name.c_str(),
-                label.c_str(), per(inTime, result.requests), per(result.probes, result.requests),
+                label.c_str(), per(inTime, result.requests), per(result.healthChecks, result.requests),
                 per(result.connections, result.requests),
                 static_cast<unsigned long long>(result.connectionsPeak), 100 * per(givenUp, result.requests),
                 100 * worstRoom, result.coldPeak,
-                100 * per(result.probesBy[static_cast<std::size_t>(ProbeReason::Role)], result.requests),
+                100 * per(result.healthChecksBy[static_cast<std::size_t>(HealthCheckReason::PrimaryUnknown)],
+                          result.requests),
                 static_cast<long long>(result.foundAfter / 1000));
-    broken += result.twice + result.stale + (result.coldPeak > fleet::settingsOf(plan).fallMultiple ? 1 : 0);
+    broken +=
+        result.twice + result.stale + (result.coldPeak > fleet::settingsOf(plan).overloadMultiple ? 1 : 0);
   }
   if (broken != 0) std::printf("rules broken: %zu\n", broken);
   return broken == 0 ? 0 : 1;
--- a/src/tools/startup_sim.cpp
+++ b/src/tools/startup_sim.cpp
@@ -1,5 +1,5 @@
-// Weighs ways of calling the list service at a start of all drivers at once, in virtual time: what each costs
-// the service, and when the last driver has its list.
+// Weighs ways of calling the list service at a start of all gateways at once, in virtual time: what each
+// costs the service, and when the last gateway has its list.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -9,16 +9,16 @@
 #include <string>
 #include <vector>
 
-#include "chance.h"
-#include "rig/list_model.h"
-#include "startup/caller.h"
+#include "common/uniform.h"
+#include "discovery/caller.h"
+#include "emulator/list_model.h"
 
 namespace {
 
 using namespace heathflow;
-using rig::ListModel;
-using startup::CallFailure;
-using startup::Micros;
+using discovery::CallFailure;
+using discovery::Micros;
+using emulator::ListModel;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kSecond = 1000 * kMs;
@@ -27,14 +27,14 @@
 constexpr Micros kComeUp = 300 * kMs;
 constexpr Micros kEnd = 600 * kSecond;
 
-// One driver's way: when it calls first, and when again.
+// One gateway's way: when it calls first, and when again.
 struct Way {
   std::function<Micros()> first;
   std::function<Micros(Micros now, CallFailure how)> again;
 };
-using MakeWay = std::function<Way(unsigned number, unsigned drivers, Micros upAt, std::mt19937_64& random)>;
+using MakeWay = std::function<Way(unsigned number, unsigned gateways, Micros upAt, std::mt19937_64& random)>;
 
-double draw(std::mt19937_64& random) { return evenly(random()); }
+double draw(std::mt19937_64& random) { return uniformUnit(random()); }
 
 // At random within 200 ms.
 std::function<Micros()> soon(Micros upAt, std::mt19937_64& random) {
@@ -43,14 +43,14 @@
 
 // The program's own, with the cost of a call known from an earlier life, or not.
 MakeWay byName(std::optional<Micros> cost) {
-  return [cost](unsigned number, unsigned drivers, Micros upAt, std::mt19937_64& random) {
-    startup::CallerSettings settings;
+  return [cost](unsigned number, unsigned gateways, Micros upAt, std::mt19937_64& random) {
+    discovery::CallerSettings settings;
     settings.name = "n" + std::to_string(number);
-    settings.drivers = drivers;
-    settings.askWithin = kAskWithin;
+    settings.gateways = gateways;
+    settings.maxPollInterval = kAskWithin;
     settings.cost = cost;
     settings.seed = random();
-    const auto caller = std::make_shared<startup::Caller>(settings, upAt);
+    const auto caller = std::make_shared<discovery::Caller>(settings, upAt);
     return Way{[caller] { return caller->first(); },
                [caller](Micros now, CallFailure how) { return caller->failed(now, how); }};
   };
@@ -104,19 +104,19 @@
   std::uint64_t calls = 0;
   std::uint64_t failed = 0;
   std::size_t most = 0;
-  unsigned late = 0;  // drivers whose list came after the term on changes
+  unsigned late = 0;  // gateways whose list came after the term on changes
 };
 
-Row play(const MakeWay& make, unsigned drivers, Micros cost, std::uint64_t seed) {
+Row play(const MakeWay& make, unsigned gateways, Micros cost, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   ListModel model({cost, 0, kSecond, {}});
   model.set({});
   std::vector<Way> ways;
   std::priority_queue<std::pair<Micros, unsigned>, std::vector<std::pair<Micros, unsigned>>, std::greater<>>
       due;
-  for (unsigned i = 0; i < drivers; ++i) {
+  for (unsigned i = 0; i < gateways; ++i) {
     const auto upAt = static_cast<Micros>(draw(random) * static_cast<double>(kComeUp));
-    ways.push_back(make(i, drivers, upAt, random));
+    ways.push_back(make(i, gateways, upAt, random));
     due.emplace(ways.back().first(), i);
   }
   Row out;
@@ -126,7 +126,7 @@
     const auto answer = model.call(now, -1, false);
     if (answer->kind == ListModel::Answer::Kind::Served) {
       out.last = std::max(out.last, answer->at);
-      if (answer->at > startup::kToldWithin) ++out.late;
+      if (answer->at > discovery::kToldWithin) ++out.late;
     } else {
       due.emplace(ways[number].again(now, CallFailure::TurnedAway), number);
     }
@@ -152,7 +152,7 @@
       "| way | drivers | ms a list | last list, s | over the floor | calls a driver | failed | most in 100 "
       "ms | later than 6 s |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-  for (const unsigned drivers : sizes) {
+  for (const unsigned gateways : sizes) {
     for (const unsigned costMs : costs) {
       const Micros cost = costMs * kMs;
       const std::vector<std::pair<const char*, MakeWay>> ways = {
@@ -160,12 +160,12 @@
           {"decorrelated jitter", decorrelated()},     {"the version before", before()},
           {"by name, cost guessed", byName({})},       {"by name, cost known", byName(cost)}};
       for (const auto& [name, way] : ways) {
-        const Row row = play(way, drivers, cost, seed);
-        const double floor = static_cast<double>(drivers) * static_cast<double>(cost);
-        std::printf("| %s | %u | %lld | %.2f | %.2f | %.2f | %.1f%% | %zu | %u |\n", name, drivers,
+        const Row row = play(way, gateways, cost, seed);
+        const double floor = static_cast<double>(gateways) * static_cast<double>(cost);
+        std::printf("| %s | %u | %lld | %.2f | %.2f | %.2f | %.1f%% | %zu | %u |\n", name, gateways,
                     static_cast<long long>(cost / kMs), static_cast<double>(row.last) / 1e6,
                     static_cast<double>(row.last) / floor,
-                    static_cast<double>(row.calls) / static_cast<double>(drivers),
+                    static_cast<double>(row.calls) / static_cast<double>(gateways),
                     100 * static_cast<double>(row.failed) /
                         static_cast<double>(std::max<std::uint64_t>(1, row.calls)),
                     row.most, row.late);
--- a/src/tools/wire_bench.cpp
+++ b/src/tools/wire_bench.cpp
@@ -1,4 +1,4 @@
-// Measures drivers between a stand-in member and a closed-loop load, side by side in rounds: requests a
+// Measures gateways between a stand-in endpoint and a closed-loop load, side by side in rounds: requests a
 // second, added latency, memory of idle and busy connections, and what is resident after the start.
 // bench/bolt.sh calls it and keeps its table.
 #include <sched.h>
@@ -50,12 +50,12 @@
   return bytes.size() < size ? 0 : size;
 }
 
-// A member that answers with bytes made beforehand, and looks at no more of a message than it has to.
-class QuickMember final : public Listening {
+// An endpoint that answers with bytes made beforehand, and looks at no more of a message than it has to.
+class QuickEndpoint final : public Listening {
  public:
-  QuickMember(transport::EventLoop& loop, std::uint32_t address, Speaks how)
+  QuickEndpoint(transport::EventLoop& loop, std::uint32_t address, Speaks how)
       : Listening(loop, address), speaks_(how) {
-    MemberStandIn words(loop, address, how);
+    EndpointStandIn words(loop, address, how);
     words.primary = true;
     answer_ = words.value("a value of some forty bytes, as terms are");
     report_ =
@@ -106,7 +106,7 @@
   if (::sysconf(_SC_NPROCESSORS_ONLN) > 3) ::sched_setaffinity(0, sizeof cores, &cores);
 }
 
-// The member and discovery, in a process of their own.
+// The endpoint and discovery, in a process of their own.
 struct Backend {
   Backend() {
     int ends[2] = {-1, -1};
@@ -131,25 +131,25 @@
   }
   [[noreturn]] static void run(int tell) {
     transport::EventLoop loop;
-    QuickMember rowsServer(loop, kLoopback, Speaks::Postgres);
-    QuickMember graphServer(loop, kLoopback, Speaks::Bolt);
+    QuickEndpoint rowsServer(loop, kLoopback, Speaks::Postgres);
+    QuickEndpoint graphServer(loop, kLoopback, Speaks::Bolt);
     DiscoveryStandIn discoveryServer(loop);
-    discoveryServer.members = list(rowsServer.endpoint(), graphServer.endpoint());
-    const std::uint16_t ports[3] = {rowsServer.endpoint().port, graphServer.endpoint().port,
-                                    discoveryServer.endpoint().port};
+    discoveryServer.endpoints = list(rowsServer.socketAddress(), graphServer.socketAddress());
+    const std::uint16_t ports[3] = {rowsServer.socketAddress().port, graphServer.socketAddress().port,
+                                    discoveryServer.socketAddress().port};
     if (::write(tell, ports, sizeof ports) != sizeof ports) ::_exit(1);
     for (;;) loop.turn();
   }
-  static std::string list(const transport::Endpoint& rows, const transport::Endpoint& graph) {
+  static std::string list(const transport::SocketAddress& rows, const transport::SocketAddress& graph) {
     return "[" +
            entry("m0", toText(rows), true, "Ready", 0,
                  ",\"ports\":{\"bolt\":" + std::to_string(graph.port) + "}") +
            "]";
   }
   pid_t pid = -1;
-  transport::Endpoint rows;
-  transport::Endpoint graph;
-  transport::Endpoint discovery;
+  transport::SocketAddress rows;
+  transport::SocketAddress graph;
+  transport::SocketAddress discovery;
 };
 
 constexpr const char* kSettings = R"(<heathflow xmlns="urn:heathflow:settings:1" version="1">
@@ -159,10 +159,10 @@
     <protocol name="postgresql" listed="true"/><protocol name="bolt"/></family></families>
 </heathflow>)";
 
-// A driver as a process.
-class Driver {
+// A gateway as a process.
+class Gateway {
  public:
-  Driver(const std::string& program, const Backend& backend, bool withBolt) : settings_(kSettings) {
+  Gateway(const std::string& program, const Backend& backend, bool withBolt) : settings_(kSettings) {
     GatewayOptions options;
     options.sockets = 1024;
     const TemporaryFile config(
@@ -185,7 +185,7 @@
     if (withBolt) graph = place(ends[0], "speaks bolt at ");
     log_ = transport::UniqueFd(ends[0]);
   }
-  ~Driver() {
+  ~Gateway() {
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, nullptr, 0);
   }
@@ -239,16 +239,16 @@
     return (user + system) * 1e6 / static_cast<double>(::sysconf(_SC_CLK_TCK));
   }
 
-  transport::Endpoint rows;
-  transport::Endpoint graph;
+  transport::SocketAddress rows;
+  transport::SocketAddress graph;
 
  private:
-  transport::Endpoint place(int fd, const std::string& mark) {
+  transport::SocketAddress place(int fd, const std::string& mark) {
     for (;;) {
       const std::size_t at = text_.find(mark);
       const std::size_t end = at == std::string::npos ? at : text_.find('\n', at);
       if (end != std::string::npos) {
-        return transport::parseEndpoint(text_.substr(at + mark.size(), end - at - mark.size())).value();
+        return transport::parseSocketAddress(text_.substr(at + mark.size(), end - at - mark.size())).value();
       }
       char bytes[512];
       const ssize_t got = ::read(fd, bytes, sizeof bytes);
@@ -266,13 +266,13 @@
   double perSecond = 0;
   double p50 = 0;  // microseconds
   double p99 = 0;
-  double processor = 0;  // of the driver, microseconds a request
+  double processor = 0;  // of the gateway, microseconds a request
 };
 
 // Connections that each ask again as soon as they are answered.
 class Load {
  public:
-  Load(transport::EventLoop& loop, const transport::Endpoint& to, Speaks speaks, std::size_t connections,
+  Load(transport::EventLoop& loop, const transport::SocketAddress& to, Speaks speaks, std::size_t connections,
        bool hold = false)
       : loop_(loop), speaks_(speaks) {
     const std::string whole = "SELECT blob FROM rows WHERE handle = '" + std::string(hold ? kHold : "key") +
@@ -302,18 +302,18 @@
     for (auto& client : clients_) client->ask();
   }
   std::size_t answered() const { return latencies_.size(); }
-  Figures run(double seconds, const Driver* driver) {
+  Figures run(double seconds, const Gateway* gateway) {
     askAll();
     spin(seconds / 5);  // until all is warm
     latencies_.clear();
-    const double before = driver == nullptr ? 0 : driver->processor();
+    const double before = gateway == nullptr ? 0 : gateway->processor();
     const auto start = Clock::now();
     spin(seconds);
     const double span = std::chrono::duration<double>(Clock::now() - start).count();
     Figures out;
     const auto count = static_cast<double>(latencies_.size());
     out.perSecond = count / span;
-    if (driver != nullptr) out.processor = (driver->processor() - before) / count;
+    if (gateway != nullptr) out.processor = (gateway->processor() - before) / count;
     std::sort(latencies_.begin(), latencies_.end());
     if (latencies_.empty()) throw std::runtime_error("nothing was answered");
     out.p50 = latencies_[latencies_.size() / 2];
@@ -388,7 +388,7 @@
 
 struct Subject {
   std::string name;
-  std::string program;  // empty: the member itself
+  std::string program;  // empty: the endpoint itself
   Speaks speaks;
   bool withBolt;
   std::vector<Figures> busy;
@@ -424,13 +424,13 @@
 std::pair<long, long> memoryOf(const std::string& program, const Backend& backend, Speaks speaks,
                                bool withBolt) {
   const auto grown = [&](bool hold) {
-    const Driver driver(program, backend, withBolt);
+    const Gateway gateway(program, backend, withBolt);
     transport::EventLoop loop;
-    const long before = driver.resident();
-    Load load(loop, speaks == Speaks::Bolt ? driver.graph : driver.rows, speaks, 200, hold);
+    const long before = gateway.resident();
+    Load load(loop, speaks == Speaks::Bolt ? gateway.graph : gateway.rows, speaks, 200, hold);
     if (hold) load.askAll();
     for (int i = 0; i < 200; ++i) loop.turn(2000);
-    return driver.resident() - before;
+    return gateway.resident() - before;
   };
   return {grown(false), grown(true)};
 }
@@ -453,26 +453,26 @@
     if (round % 2 == 1) std::reverse(order.begin(), order.end());
     for (Subject* subject : order) {
       for (const bool single : {false, true}) {
-        std::unique_ptr<Driver> driver;
+        std::unique_ptr<Gateway> gateway;
         if (!subject->program.empty())
-          driver = std::make_unique<Driver>(subject->program, backend, subject->withBolt);
+          gateway = std::make_unique<Gateway>(subject->program, backend, subject->withBolt);
         const bool graph = subject->speaks == Speaks::Bolt;
-        const transport::Endpoint to = driver == nullptr ? (graph ? backend.graph : backend.rows)
-                                                         : (graph ? driver->graph : driver->rows);
+        const transport::SocketAddress to = gateway == nullptr ? (graph ? backend.graph : backend.rows)
+                                                               : (graph ? gateway->graph : gateway->rows);
         transport::EventLoop loop;
         Load load(loop, to, subject->speaks, single ? 1 : 64);
         (single ? subject->single : subject->busy)
-            .push_back(load.run(single ? seconds / 2 : seconds, driver.get()));
+            .push_back(load.run(single ? seconds / 2 : seconds, gateway.get()));
       }
     }
     std::fprintf(stderr, "round %d of %d\n", round + 1, rounds);
   }
   // With one connection there is one request a turn: no luck of how many are found ready together.
   const auto costOf = [&](const std::string& program) {
-    const Driver driver(program, backend, false);
+    const Gateway gateway(program, backend, false);
     transport::EventLoop loop;
-    Load load(loop, driver.rows, Speaks::Postgres, 1);
-    return load.run(seconds, &driver).processor;
+    Load load(loop, gateway.rows, Speaks::Postgres, 1);
+    return load.run(seconds, &gateway).processor;
   };
   std::vector<double> costBefore;
   std::vector<double> costNow;
@@ -491,14 +491,14 @@
   const auto bolt = memoryOf(after, backend, Speaks::Bolt, true);
   std::printf("| 200 idle connections | %ld | %ld | %ld |\n| 200 busy connections | %ld | %ld | %ld |\n\n",
               old.first, now.first, bolt.first, old.second, now.second, bolt.second);
-  const Driver first(before, backend, false);
-  const Driver second(after, backend, false);
-  const Driver third(after, backend, true);
+  const Gateway first(before, backend, false);
+  const Gateway second(after, backend, false);
+  const Gateway third(after, backend, true);
   std::printf("| resident after the start, kB | all | not shared |\n|---|---|---|\n");
-  for (const auto& [name, driver] : {std::pair<const char*, const Driver*>{"before", &first},
-                                     {"now, as on the platform", &second},
-                                     {"now, with settings and Bolt", &third}}) {
-    std::printf("| %s | %ld | %ld |\n", name, driver->resident(), driver->resident("RssAnon:"));
+  for (const auto& [name, gateway] : {std::pair<const char*, const Gateway*>{"before", &first},
+                                      {"now, as on the platform", &second},
+                                      {"now, with settings and Bolt", &third}}) {
+    std::printf("| %s | %ld | %ld |\n", name, gateway->resident(), gateway->resident("RssAnon:"));
   }
   const auto had = first.mapped();
   std::printf(
--- a/src/transport/buffer.cpp
+++ b/src/transport/buffer.cpp
@@ -22,7 +22,7 @@
     std::memmove(data_.get(), data_.get() + begin_, held);
   } else {
     const std::size_t next = std::min(limit_, std::max({kFirst, wanted, 2 * capacity_}));
-    // Guards the process: what is not to be had now is refused here, where its user can say so.
+    // Guards the process: what is not to be had now is rejected here, where its user can say so.
     if (budget_ != nullptr && next > kFirst && !budget_->take(next)) return false;
     if (budget_ != nullptr && capacity_ > kFirst) budget_->giveBack(capacity_);
     auto grown = std::make_unique_for_overwrite<char[]>(next);
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -13,11 +13,11 @@
 namespace heathflow::transport {
 namespace {
 
-sockaddr_in addressOf(const Endpoint& endpoint) {
+sockaddr_in addressOf(const SocketAddress& socketAddress) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
-  out.sin_addr.s_addr = htonl(endpoint.address);
-  out.sin_port = htons(endpoint.port);
+  out.sin_addr.s_addr = htonl(socketAddress.address);
+  out.sin_port = htons(socketAddress.port);
   return out;
 }
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-std::optional<Endpoint> parseEndpoint(std::string_view text) {
+std::optional<SocketAddress> parseSocketAddress(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string_view::npos) return std::nullopt;
   in_addr address{};
@@ -39,14 +39,14 @@
   std::uint16_t port = 0;
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
   if (error != std::errc() || end != digits.data() + digits.size()) return std::nullopt;
-  return Endpoint{ntohl(address.s_addr), port};
+  return SocketAddress{ntohl(address.s_addr), port};
 }
 
-std::string toText(const Endpoint& endpoint) {
-  const in_addr address{htonl(endpoint.address)};
+std::string toText(const SocketAddress& socketAddress) {
+  const in_addr address{htonl(socketAddress.address)};
   char text[INET_ADDRSTRLEN] = {};
   ::inet_ntop(AF_INET, &address, text, sizeof text);
-  return std::string(text) + ":" + std::to_string(endpoint.port);
+  return std::string(text) + ":" + std::to_string(socketAddress.port);
 }
 
 bool ownLack(int error) {
@@ -54,18 +54,18 @@
   return std::find(kLacks.begin(), kLacks.end(), error) != kLacks.end();
 }
 
-Opened bindTo(const Endpoint& endpoint) {
+Opened bindTo(const SocketAddress& socketAddress) {
   UniqueFd fd = openSocket();
   if (!fd) return {UniqueFd(), errno};
   setFlag(fd.get(), SOL_SOCKET, SO_REUSEADDR);
-  const sockaddr_in address = addressOf(endpoint);
+  const sockaddr_in address = addressOf(socketAddress);
   if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
     return {UniqueFd(), errno};
   return {std::move(fd), 0};
 }
 
-Opened listenOn(const Endpoint& endpoint, int backlog) {
-  Opened out = bindTo(endpoint);
+Opened listenOn(const SocketAddress& socketAddress, int backlog) {
+  Opened out = bindTo(socketAddress);
   if (out.fd && ::listen(out.fd.get(), backlog) != 0) return {UniqueFd(), errno};
   return out;
 }
@@ -82,11 +82,11 @@
   }
 }
 
-Opened startConnect(const Endpoint& endpoint) {
+Opened startConnect(const SocketAddress& socketAddress) {
   UniqueFd fd = openSocket();
   if (!fd) return {UniqueFd(), errno};
   setFlag(fd.get(), IPPROTO_TCP, TCP_NODELAY);
-  const sockaddr_in address = addressOf(endpoint);
+  const sockaddr_in address = addressOf(socketAddress);
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 &&
       errno != EINPROGRESS && errno != EINTR) {
     return {UniqueFd(), errno};
@@ -101,11 +101,11 @@
   return error;
 }
 
-std::optional<Endpoint> boundTo(int fd) {
+std::optional<SocketAddress> boundTo(int fd) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   if (::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) return std::nullopt;
-  return Endpoint{ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
+  return SocketAddress{ntohl(address.sin_addr.s_addr), ntohs(address.sin_port)};
 }
 
 namespace {
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -11,15 +11,15 @@
 
 namespace heathflow::transport {
 
-struct Endpoint {
+struct SocketAddress {
   std::uint32_t address = 0;  // in host order
   std::uint16_t port = 0;
-  bool operator==(const Endpoint&) const = default;
+  bool operator==(const SocketAddress&) const = default;
 };
 
 // "127.0.0.1:5432"; there are no names to resolve.
-std::optional<Endpoint> parseEndpoint(std::string_view text);
-std::string toText(const Endpoint& endpoint);
+std::optional<SocketAddress> parseSocketAddress(std::string_view text);
+std::string toText(const SocketAddress& socketAddress);
 
 // A descriptor, or the error number that stood in the way.
 struct Opened {
@@ -29,17 +29,17 @@
 // Whether an error speaks of what this process or machine lacks, descriptors, memory or ports, and not of the
 // other end.
 bool ownLack(int error);
-// Bound and not listening: connections are refused. A restart may bind again at once.
-Opened bindTo(const Endpoint& endpoint);
-Opened listenOn(const Endpoint& endpoint, int backlog);
+// Bound and not listening: connections are rejected. A restart may bind again at once.
+Opened bindTo(const SocketAddress& socketAddress);
+Opened listenOn(const SocketAddress& socketAddress, int backlog);
 // One that went away while it was in the queue comes as ECONNABORTED or EPROTO, and says nothing of those
 // behind it.
 Opened acceptFrom(int listener);
 // The connection comes up, or fails, later.
-Opened startConnect(const Endpoint& endpoint);
+Opened startConnect(const SocketAddress& socketAddress);
 int pendingError(int fd);
 // The address a socket is bound to.
-std::optional<Endpoint> boundTo(int fd);
+std::optional<SocketAddress> boundTo(int fd);
 
 struct Transfer {
   enum class Kind { Done, WouldBlock, Closed, Failed } kind = Kind::Done;
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -31,9 +31,9 @@
   return true;
 }
 
-bool Stream::connect(const Endpoint& endpoint, int& error) {
+bool Stream::connect(const SocketAddress& socketAddress, int& error) {
   for (int tries = 0; tries < kConnectTries; ++tries) {
-    Opened opened = startConnect(endpoint);
+    Opened opened = startConnect(socketAddress);
     error = opened.error;
     if (opened.fd && adopt(std::move(opened.fd))) {
       connecting_ = true;
--- a/src/transport/stream.h
+++ b/src/transport/stream.h
@@ -38,7 +38,7 @@
   bool adopt(UniqueFd&& fd);
   // Starts one. The owner hears of it later, of failures too. False, and the error number, where it could not
   // even be begun, a moment's lack aside.
-  bool connect(const Endpoint& endpoint, int& error);
+  bool connect(const SocketAddress& socketAddress, int& error);
 
   Buffer& input() { return input_; }
   const Buffer& input() const { return input_; }
--- a/src/routing/descriptor_budget.h
+++ b/src/upstream/descriptor_budget.h
@@ -1,10 +1,10 @@
-// How many sockets may be open to clients and members, so that the rest of the process keeps its own.
+// How many sockets may be open to clients and endpoints, so that the rest of the process keeps its own.
 #pragma once
 
 #include <algorithm>
 #include <cstddef>
 
-#include "routing/observer.h"
+#include "stats/observer.h"
 
 namespace heathflow::routing {
 
@@ -19,23 +19,23 @@
       : limit_(std::max(limit, 2 * (kReserved + kTurnedAwayAtOnce)) - kReserved - kTurnedAwayAtOnce),
         counters_(counters) {}
 
-  // Clients get half of all descriptors: each of their requests needs a connection to a member as well.
+  // Clients get half of all descriptors: each of their requests needs a connection to an endpoint as well.
   bool clientFits() const { return clients_ < limit_ / 2; }
   // Whether one more may still be taken in to be told that there is no place for it.
-  bool clientMayBeRefused() const { return clients_ < limit_ / 2 + kTurnedAwayAtOnce; }
+  bool clientMayBeRejected() const { return clients_ < limit_ / 2 + kTurnedAwayAtOnce; }
   // They hold so much of the third that fronts count on that new ones might soon find no place. Those that
   // only linger give theirs as soon as it is wanted.
   bool clientsCrowd() const { return clients_ - lingering_ > limit_ / 4; }
-  bool memberFits() const { return std::min(clients_, limit_ / 2) + members_ < limit_; }
+  bool endpointFits() const { return std::min(clients_, limit_ / 2) + endpoints_ < limit_; }
 
-  void clientOpened() { changed(++clients_ + members_); }
+  void clientOpened() { changed(++clients_ + endpoints_); }
   void clientLingers() { ++lingering_; }
   void clientClosed(bool lingered) {
     if (lingered) --lingering_;
-    changed(--clients_ + members_);
+    changed(--clients_ + endpoints_);
   }
-  void memberOpened() { changed(clients_ + ++members_); }
-  void memberClosed() { changed(clients_ + --members_); }
+  void endpointOpened() { changed(clients_ + ++endpoints_); }
+  void endpointClosed() { changed(clients_ + --endpoints_); }
 
  private:
   void changed(std::size_t now) {
@@ -46,7 +46,7 @@
   std::size_t limit_;
   std::size_t clients_ = 0;
   std::size_t lingering_ = 0;  // of these
-  std::size_t members_ = 0;
+  std::size_t endpoints_ = 0;
   Counters& counters_;
 };
 
--- a/src/routing/member_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -1,4 +1,4 @@
-#include "routing/member_connection.h"
+#include "upstream/endpoint_connection.h"
 
 #include <utility>
 
@@ -8,43 +8,44 @@
 // One answer; a request as long as a client may send it, with a little for its changed time. A request and
 // its attempt hold no more than both at once, which keeps all of them together within the memory of the
 // process.
-constexpr transport::Stream::Limits kLimits = {protocol::kMemberAnswerLimit,
+constexpr transport::Stream::Limits kLimits = {protocol::kEndpointAnswerLimit,
                                                protocol::kClientMessageLimit + 1024};
 
 }  // namespace
 
-MemberConnection::MemberConnection(transport::EventLoop& loop, MemberConnectionOwner& owner, MemberId member,
-                                   std::size_t protocol, std::unique_ptr<protocol::MemberSide> side)
+EndpointConnection::EndpointConnection(transport::EventLoop& loop, EndpointConnectionOwner& owner,
+                                       EndpointId endpoint, std::size_t protocol,
+                                       std::unique_ptr<protocol::EndpointSide> side)
     : loop_(loop),
       owner_(owner),
-      member_(member),
+      endpoint_(endpoint),
       protocol_(protocol),
       stream_(loop, *this, kLimits),
       startLimit_(loop, [this] { onEnd(transport::StreamEnd::NotConnected); }),
       side_(std::move(side)) {}
 
-bool MemberConnection::connect(const transport::Endpoint& endpoint, Micros limit, int& error) {
-  endpoint_ = endpoint;
+bool EndpointConnection::connect(const transport::SocketAddress& socketAddress, Micros limit, int& error) {
+  socketAddress_ = socketAddress;
   limit_ = limit;
-  if (!stream_.connect(endpoint, error)) return false;
+  if (!stream_.connect(socketAddress, error)) return false;
   startLimit_.arm(loop_.now() + limit);
   return true;
 }
 
-void MemberConnection::begin(Exchange& exchange) {
+void EndpointConnection::begin(Exchange& exchange) {
   exchange_ = &exchange;
   asked_ = paused_ = waiting_ = full_ = false;
   appended_ = 0;
   if (up_) write();
 }
 
-bool MemberConnection::takesMore(std::size_t size) {
+bool EndpointConnection::takesMore(std::size_t size) {
   transport::Buffer& out = stream_.output();
   waiting_ = asked_ && !out.empty() && !out.reserve(out.size() + size);
   return !waiting_;
 }
 
-void MemberConnection::more(std::string_view message) {
+void EndpointConnection::more(std::string_view message) {
   if (!asked_) return;  // it goes out with the request
   const std::size_t before = stream_.output().size();
   // Guards the request against a part of it that is missing: without memory for it the connection ends.
@@ -53,41 +54,41 @@
   stream_.flush();
 }
 
-void MemberConnection::resume() {
+void EndpointConnection::resume() {
   if (!std::exchange(paused_, false) || stream_.closed()) return;
   take();
 }
 
-void MemberConnection::abandon() {
+void EndpointConnection::abandon() {
   exchange_ = nullptr;
   close();
 }
 
-void MemberConnection::close() {
+void EndpointConnection::close() {
   startLimit_.disarm();
   stream_.close();
   owner_.onDone(*this, false);
 }
 
-Stage MemberConnection::stage() const {
+Stage EndpointConnection::stage() const {
   if (!asked_) return Stage::Connecting;
   if (written() < std::min(side_->runsFrom(), appended_)) return Stage::PartlyWritten;
   return side_->answering() ? Stage::Answering : Stage::Written;
 }
 
-bool MemberConnection::undoneIfBroken() const { return asked_ && written() < side_->effectFrom(); }
+bool EndpointConnection::undoneIfBroken() const { return asked_ && written() < side_->effectFrom(); }
 
-void MemberConnection::onOpen() {
+void EndpointConnection::onOpen() {
   opened_ = true;
   side_->start(stream_.output());
   stream_.flush();
 }
 
-void MemberConnection::onDrained() {
+void EndpointConnection::onDrained() {
   if (exchange_ != nullptr && std::exchange(waiting_, false)) exchange_->onRoom();
 }
 
-void MemberConnection::write() {
+void EndpointConnection::write() {
   const std::size_t before = stream_.output().size();
   if (!exchange_->write(*side_, stream_.output())) return finish(ExchangeEnd::Cause::Unwanted, nullptr);
   asked_ = true;
@@ -95,13 +96,13 @@
   stream_.flush();
 }
 
-void MemberConnection::onInput() {
+void EndpointConnection::onInput() {
   full_ = stream_.stalled();
   if (!paused_) take();
 }
 
-void MemberConnection::take() {
-  using Event = protocol::MemberSide::Event;
+void EndpointConnection::take() {
+  using Event = protocol::EndpointSide::Event;
   for (;;) {
     const std::string_view bytes = stream_.input().view();
     const std::size_t before = stream_.output().size();
@@ -153,10 +154,10 @@
 }
 
 // The exchange is over. The connection is kept where it can carry another.
-void MemberConnection::finish(ExchangeEnd::Cause cause, const protocol::Answer* answer, bool dropped) {
+void EndpointConnection::finish(ExchangeEnd::Cause cause, const protocol::Answer* answer, bool dropped) {
   Exchange* exchange = std::exchange(exchange_, nullptr);
   const Stage reached = stage();
-  const bool undone = answer != nullptr ? answer->undone : undoneIfBroken();
+  const bool rolledBack = answer != nullptr ? answer->rolledBack : undoneIfBroken();
   const bool whole = cause == ExchangeEnd::Cause::Answered || cause == ExchangeEnd::Cause::Unwanted;
   const bool sound =
       whole && !stream_.closed() && side_->seen() == stream_.input().size() && stream_.output().empty();
@@ -171,7 +172,7 @@
     stream_.close();
   }
   if (exchange != nullptr) {
-    exchange->onExchangeEnd({cause, reached, answer, stream_.input().view(), dropped, undone});
+    exchange->onExchangeEnd({cause, reached, answer, stream_.input().view(), dropped, rolledBack});
   }
   if (!keep && !mending) return owner_.onDone(*this, exchange == nullptr && up_);
   stream_.input().consume(side_->seen());
@@ -182,7 +183,7 @@
   stream_.flush();
 }
 
-void MemberConnection::onEnd(transport::StreamEnd how) {
+void EndpointConnection::onEnd(transport::StreamEnd how) {
   // What was whole before the end counts as whole.
   if (side_->wholeAtEnd()) return finish(ExchangeEnd::Cause::Answered, &side_->answer());
   finish(ExchangeEnd::Cause::Broken, nullptr, opened_ && how != transport::StreamEnd::NotConnected);
--- a/src/routing/member_connection.h
+++ b/src/upstream/endpoint_connection.h
@@ -1,19 +1,19 @@
-// One connection to a member, in whatever protocol. It carries one request at a time and nothing of it before
-// it is up.
+// One connection to an endpoint, in whatever protocol. It carries one request at a time and nothing of it
+// before it is up.
 #pragma once
 
 #include <algorithm>
 #include <memory>
 #include <string_view>
 
-#include "logic.h"
+#include "policy/routing_policy.h"
 #include "protocol/wire.h"
-#include "sparing/ledger.h"
+#include "stats/upstream_stats.h"
 #include "transport/stream.h"
 
 namespace heathflow::routing {
 
-class MemberConnection;
+class EndpointConnection;
 
 // How far an exchange had come when it ended.
 enum class Stage { Connecting, PartlyWritten, Written, Answering };
@@ -21,25 +21,25 @@
 struct ExchangeEnd {
   enum class Cause {
     Answered,    // with a whole answer
-    TurnedDown,  // the connection was, by the member's word
+    TurnedDown,  // the connection was, by the endpoint's word
     Broken,      // the connection ended
-    Malformed,   // the member spoke, but what came makes no sense
+    Malformed,   // the endpoint spoke, but what came makes no sense
     Unwanted,    // nothing was to be written any more when it could have been
   } cause = Cause::Broken;
   Stage stage = Stage::Connecting;
   const protocol::Answer* answer = nullptr;  // where there is one
   std::string_view bytes;                    // that its slices lie in
-  bool dropped = false;                      // the member's machine had taken the connection, and broke it
-  bool undone = false;                       // whatever the request did has been taken back
+  bool dropped = false;                      // the endpoint's machine had taken the connection, and broke it
+  bool rolledBack = false;                   // whatever the request did has been taken back
 };
 
 // What a connection is used for: one request and its answer.
 class Exchange {
  public:
   virtual ~Exchange() = default;
-  virtual sparing::Purpose purpose() const { return sparing::Purpose::Request; }
+  virtual stats::Purpose purpose() const { return stats::Purpose::Request; }
   // The connection is up. False: nothing is to be written any more.
-  virtual bool write(protocol::MemberSide& side, transport::Buffer& out) = 0;
+  virtual bool write(protocol::EndpointSide& side, transport::Buffer& out) = 0;
   // A part of the answer is there. False: it can't be taken at present, and resume() is called when it can.
   virtual bool onPart(const protocol::Answer&, std::string_view) { return true; }
   // Whether so many bytes of the end of an answer can be taken at present.
@@ -50,24 +50,24 @@
   virtual void onExchangeEnd(const ExchangeEnd& end) = 0;
 };
 
-class MemberConnectionOwner {
+class EndpointConnectionOwner {
  public:
-  virtual ~MemberConnectionOwner() = default;
-  virtual void onIdle(MemberConnection& connection) = 0;
+  virtual ~EndpointConnectionOwner() = default;
+  virtual void onIdle(EndpointConnection& connection) = 0;
   // It is of no more use. 'unasked': it ended, or spoke, while nothing was asked of it.
-  virtual void onDone(MemberConnection& connection, bool unasked) = 0;
-  virtual void onProtocolError(MemberConnection& connection) = 0;
-  virtual void onConnectFailed(MemberConnection& connection) = 0;
+  virtual void onDone(EndpointConnection& connection, bool unasked) = 0;
+  virtual void onProtocolError(EndpointConnection& connection) = 0;
+  virtual void onConnectFailed(EndpointConnection& connection) = 0;
 };
 
-class MemberConnection final : private transport::StreamOwner {
+class EndpointConnection final : private transport::StreamOwner {
  public:
-  MemberConnection(transport::EventLoop& loop, MemberConnectionOwner& owner, MemberId member,
-                   std::size_t protocol, std::unique_ptr<protocol::MemberSide> side);
+  EndpointConnection(transport::EventLoop& loop, EndpointConnectionOwner& owner, EndpointId endpoint,
+                     std::size_t protocol, std::unique_ptr<protocol::EndpointSide> side);
 
   // Opens the connection; all of its start must be over within the limit. False: no socket was to be had or
   // the address can't be reached at all.
-  bool connect(const transport::Endpoint& endpoint, Micros limit, int& error);
+  bool connect(const transport::SocketAddress& socketAddress, Micros limit, int& error);
   // Takes on an exchange, now or as soon as the connection is up.
   void begin(Exchange& exchange);
   // Whether so many bytes more of the request can be taken; where not, the exchange is told when.
@@ -80,9 +80,9 @@
   void abandon();
   void close();
 
-  MemberId member() const { return member_; }
+  EndpointId endpoint() const { return endpoint_; }
   std::size_t protocol() const { return protocol_; }
-  const transport::Endpoint& endpoint() const { return endpoint_; }
+  const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   // Whether an idle one may be used: nothing has come in since.
   bool fresh() const { return side_->usable() && stream_.quiet(); }
   Stage stage() const;
@@ -95,8 +95,8 @@
   // The answer waits for the exchange to take more of it.
   bool paused() const { return paused_; }
   // How long ago it came up.
-  Micros stood() const { return up_ ? loop_.now() - upSince_ : 0; }
-  // Whether the member owes something of an answer, and not the client a part of the request.
+  Micros connectionAge() const { return up_ ? loop_.now() - upSince_ : 0; }
+  // Whether the endpoint owes something of an answer, and not the client a part of the request.
   bool owes() const { return !asked_ || side_->owes(); }
 
  private:
@@ -110,16 +110,16 @@
   void finish(ExchangeEnd::Cause cause, const protocol::Answer* answer, bool dropped = false);
 
   transport::EventLoop& loop_;
-  MemberConnectionOwner& owner_;
-  MemberId member_;
+  EndpointConnectionOwner& owner_;
+  EndpointId endpoint_;
   std::size_t protocol_;
-  transport::Endpoint endpoint_;
+  transport::SocketAddress socketAddress_;
   transport::Stream stream_;
   Micros limit_ = 0;  // of a start
   transport::Timer startLimit_;
-  std::unique_ptr<protocol::MemberSide> side_;
+  std::unique_ptr<protocol::EndpointSide> side_;
   Exchange* exchange_ = nullptr;
-  bool opened_ = false;  // the member's machine has taken it
+  bool opened_ = false;  // the endpoint's machine has taken it
   bool up_ = false;
   Micros upSince_ = 0;
   bool asked_ = false;        // the request has been handed to the stream
--- a/src/wallclock/launch_times.cpp
+++ b/src/wallclock/launch_times.cpp
@@ -12,26 +12,26 @@
 }
 
 // A start that was told, no later than now and no earlier than what was seen allows: one that began long
-// before a time at which the member was seen in an earlier life, or not there, can't be meant.
+// before a time at which the endpoint was seen in an earlier life, or not there, can't be meant.
 Micros LaunchTimes::bounded(Micros told, Micros seenAt) const {
-  const Micros launched = std::min(told, now_);
-  const bool possible = seenAt == kNotYet || launched >= seenAt - kLateAtMost;
-  return possible ? launched : seenAt;
+  const Micros startedAt = std::min(told, now_);
+  const bool possible = seenAt == kNotYet || startedAt >= seenAt - kLateAtMost;
+  return possible ? startedAt : seenAt;
 }
 
-Micros LaunchTimes::launchedAt(const std::string& member, Micros told) {
-  const auto [entry, isNew] = records_.try_emplace(member);
+Micros LaunchTimes::launchedAt(const std::string& endpoint, Micros told) {
+  const auto [entry, isNew] = records_.try_emplace(endpoint);
   Record& record = entry->second;
   if (isNew) {
     // Where an earlier list of the service did not name it, it started since, or that list was late.
-    record.launched = told == 0 ? 0 : bounded(told, confirmed_ ? confirmedBefore_ : kNotYet);
+    record.startedAt = told == 0 ? 0 : bounded(told, confirmed_ ? confirmedBefore_ : kNotYet);
   } else if (told != record.told && told != 0) {
     // Another life: it began after the one before it was seen, whichever way its clock was stepped.
-    record.launched = std::max(bounded(told, record.seenAt), record.launched + 1);
+    record.startedAt = std::max(bounded(told, record.seenAt), record.startedAt + 1);
   }
   record.told = told;
   if (confirmed_) record.seenAt = now_;
-  return record.launched;
+  return record.startedAt;
 }
 
 }  // namespace heathflow::wallclock
--- a/src/wallclock/positions.cpp
+++ b/src/wallclock/positions.cpp
@@ -16,13 +16,13 @@
 
 }  // namespace
 
-Micros MemberTime::ahead() const {
+Micros EndpointTime::ahead() const {
   if (!known_) return kAheadAtMost;
   const Micros shown = std::max(highest_, highestBefore_);
   return shown <= kRounding ? 0 : shown + kOnItsWay;
 }
 
-std::optional<Micros> MemberTime::heard(Micros position, Micros now, bool byPrimary) {
+std::optional<Micros> EndpointTime::heard(Micros position, Micros now, bool byPrimary) {
   if (position - now > kAheadAtMost) return std::nullopt;
   known_ = known_ || byPrimary;
   if (since_ == kNever || now - since_ >= kWhile) {
@@ -34,7 +34,7 @@
   return position - ahead();
 }
 
-Micros MemberTime::ofClient(Micros position, Micros now) const {
+Micros EndpointTime::ofClient(Micros position, Micros now) const {
   return std::min(position, now + kTokenAheadAtMost) - ahead();
 }
 
--- a/src/wirehost/codec.cpp
+++ b/src/wirehost/codec.cpp
@@ -9,7 +9,7 @@
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian and copied as it is");
 
 constexpr std::size_t kReplyHeaderSize = 8;
-constexpr std::size_t kMemberSize = 6;
+constexpr std::size_t kEndpointSize = 6;
 constexpr std::size_t kEntrySize = 27;
 
 class Cursor {
@@ -24,11 +24,11 @@
     at_ += sizeof(T);
     return value;
   }
-  WireMember member() {
-    need(kMemberSize);
-    WireMember value = 0;
-    std::memcpy(&value, bytes_.data() + at_, kMemberSize);
-    at_ += kMemberSize;
+  WireEndpoint endpoint() {
+    need(kEndpointSize);
+    WireEndpoint value = 0;
+    std::memcpy(&value, bytes_.data() + at_, kEndpointSize);
+    at_ += kEndpointSize;
     return value;
   }
   std::string_view view(std::size_t size) {
@@ -51,10 +51,10 @@
       row.kind = get<std::uint8_t>();
       row.cluster = get<std::uint16_t>();
       row.status = get<std::uint8_t>();
-      row.member = member();
-      row.launched = get<std::uint64_t>();
+      row.endpoint = endpoint();
+      row.startedAt = get<std::uint64_t>();
       row.nominal = get<float>();
-      row.leads = get<float>();
+      row.listedPrimary = get<float>();
       row.zone = get<std::uint8_t>();
     }
     return rows;
@@ -83,22 +83,17 @@
       return KillRecord{};
     case 4:
       return EstablishedRecord{in.get<std::uint32_t>(), in.get<std::uint32_t>(), in.get<std::uint16_t>(),
-                               in.member()};
+                               in.endpoint()};
     case 5:
-      return MembersRecord{in.get<std::uint32_t>(), in.get<std::uint8_t>(), in.get<std::uint32_t>()};
+      return EndpointsRecord{in.get<std::uint32_t>(), in.get<std::uint8_t>(), in.get<std::uint32_t>()};
     case 6:
       return ForRecord{in.get<std::uint32_t>()};
     case 7:
-      return AttemptEndRecord{in.get<std::uint32_t>(),
-                              in.get<std::uint16_t>(),
-                              in.member(),
-                              in.get<std::uint16_t>(),
-                              in.get<std::uint32_t>(),
-                              in.get<std::uint8_t>(),
-                              in.get<std::uint32_t>(),
-                              in.report()};
+      return AttemptEndRecord{
+          in.get<std::uint32_t>(), in.get<std::uint16_t>(), in.endpoint(),           in.get<std::uint16_t>(),
+          in.get<std::uint32_t>(), in.get<std::uint8_t>(),  in.get<std::uint32_t>(), in.report()};
     case 8:
-      return PingRecord{in.member(), in.get<std::uint16_t>(), in.get<std::uint32_t>(), in.report()};
+      return PingRecord{in.endpoint(), in.get<std::uint16_t>(), in.get<std::uint32_t>(), in.report()};
     case 9: {
       const auto seed = in.get<std::uint64_t>();
       const auto size = in.get<std::uint32_t>();
@@ -164,14 +159,14 @@
   put(instance);
 }
 
-void ReplyWriter::forward(std::uint32_t request, WireMember member, std::uint64_t abandonAt) {
+void ReplyWriter::forward(std::uint32_t request, WireEndpoint endpoint, std::uint64_t abandonAt) {
   begin(11);
   put(request);
-  putMember(member);
+  putEndpoint(endpoint);
   put(abandonAt);
 }
 
-void ReplyWriter::refuse(std::uint32_t request, std::uint32_t notBeforeFor) {
+void ReplyWriter::reject(std::uint32_t request, std::uint32_t notBeforeFor) {
   begin(13);
   put(request);
   put(notBeforeFor);
@@ -199,18 +194,18 @@
   put(static_cast<std::uint8_t>(on ? 1 : 0));
 }
 
-void ReplyWriter::putMember(WireMember member) {
-  bytes_.append(reinterpret_cast<const char*>(&member), kMemberSize);
+void ReplyWriter::putEndpoint(WireEndpoint endpoint) {
+  bytes_.append(reinterpret_cast<const char*>(&endpoint), kEndpointSize);
 }
 
-void ReplyWriter::inspect(WireMember member) {
+void ReplyWriter::inspect(WireEndpoint endpoint) {
   begin(1);
-  putMember(member);
+  putEndpoint(endpoint);
 }
 
-void ReplyWriter::release(WireMember member) {
+void ReplyWriter::release(WireEndpoint endpoint) {
   begin(4);
-  putMember(member);
+  putEndpoint(endpoint);
 }
 
 const std::string& ReplyWriter::finish() {
--- a/src/wirehost/codec.h
+++ b/src/wirehost/codec.h
@@ -14,16 +14,16 @@
   using std::runtime_error::runtime_error;
 };
 
-using WireMember = std::uint64_t;  // the four address bytes and the port, in wire order, as one value
+using WireEndpoint = std::uint64_t;  // the four address bytes and the port, in wire order, as one value
 
 struct Entry {
   std::uint8_t kind = 0;
   std::uint16_t cluster = 0;
   std::uint8_t status = 0;
-  WireMember member = 0;
-  std::uint64_t launched = 0;
+  WireEndpoint endpoint = 0;
+  std::uint64_t startedAt = 0;
   float nominal = 1;
-  float leads = 0;
+  float listedPrimary = 0;
   std::uint8_t zone = 0;
 };
 
@@ -38,7 +38,7 @@
   std::uint32_t buffer;
   std::vector<Entry> rows;
 };
-struct MembersRecord {
+struct EndpointsRecord {
   std::uint32_t buffer;
   std::uint8_t scope;
   std::uint32_t version;
@@ -47,7 +47,7 @@
   std::uint32_t request;
   float group;
   std::uint16_t classIndex;
-  std::uint32_t estimate;
+  std::uint32_t estimatedWork;
   float tokenAgeMs;
   std::uint16_t tenant;
   std::uint64_t session;
@@ -58,10 +58,10 @@
   std::uint32_t request;
   std::uint32_t elapsed;
   std::uint16_t attempt;
-  WireMember member;
+  WireEndpoint endpoint;
 };
 struct PingRecord {
-  WireMember member;
+  WireEndpoint endpoint;
   std::uint16_t status;
   std::uint32_t elapsed;
   std::vector<float> report;
@@ -69,7 +69,7 @@
 struct AttemptEndRecord {
   std::uint32_t request;
   std::uint16_t attempt;
-  WireMember member;
+  WireEndpoint endpoint;
   std::uint16_t status;
   std::uint32_t elapsed;
   std::uint8_t done;
@@ -87,7 +87,7 @@
   std::uint32_t request;
 };
 struct KillRecord {};
-using Record = std::variant<ForRecord, InitRecord, ListRecord, MembersRecord, CallRecord, EstablishedRecord,
+using Record = std::variant<ForRecord, InitRecord, ListRecord, EndpointsRecord, CallRecord, EstablishedRecord,
                             PingRecord, AttemptEndRecord, RingRecord, PeerRecord, LeftRecord, KillRecord>;
 
 inline constexpr std::size_t kBatchHeaderSize = 16;
@@ -121,20 +121,20 @@
   ReplyWriter() { clear(); }
   void clear();
   void at(std::uint32_t instance);
-  void forward(std::uint32_t request, WireMember member, std::uint64_t abandonAt);
-  void refuse(std::uint32_t request, std::uint32_t notBeforeFor);
+  void forward(std::uint32_t request, WireEndpoint endpoint, std::uint64_t abandonAt);
+  void reject(std::uint32_t request, std::uint32_t notBeforeFor);
   void error(std::uint32_t request);
   void callOff(std::uint32_t request, std::uint16_t attempt);
   void defer(std::uint64_t label, std::uint32_t after);
   void streamChanges(bool on);
-  void inspect(WireMember member);
-  void release(WireMember member);
+  void inspect(WireEndpoint endpoint);
+  void release(WireEndpoint endpoint);
   const std::string& finish();  // fills in the header
 
  private:
   template <typename T>
   void put(T value);
-  void putMember(WireMember member);
+  void putEndpoint(WireEndpoint endpoint);
   void begin(std::uint16_t code);
   std::string bytes_;
   std::uint32_t records_ = 0;
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <limits>
 
-#include "overloaded.h"
+#include "common/overloaded.h"
 
 namespace heathflow::wirehost {
 namespace {
@@ -20,44 +20,44 @@
 Micros timeOf(std::uint64_t reading) { return static_cast<Micros>(std::min(reading, kLatestTime)); }
 
 // A code that is not known may have run: it is taken as an error.
-Outcome outcomeOf(std::uint16_t status) {
+AttemptOutcome outcomeOf(std::uint16_t status) {
   switch (status) {
     case 1:
-      return Outcome::Ok;
+      return AttemptOutcome::Ok;
     case 3:
-      return Outcome::Full;
+      return AttemptOutcome::Overloaded;
     case 4:
-      return Outcome::TimedOut;
+      return AttemptOutcome::TimedOut;
     case 5:
-      return Outcome::ConnectFailed;
+      return AttemptOutcome::ConnectFailed;
     case 6:
-      return Outcome::Reset;
+      return AttemptOutcome::ConnectionReset;
     case 7:
-      return Outcome::Cancelled;
+      return AttemptOutcome::Cancelled;
     case 8:
-      return Outcome::NeverSent;
+      return AttemptOutcome::NotSent;
     case 9:
-      return Outcome::Miss;
+      return AttemptOutcome::PreconditionFailed;
     default:
-      return Outcome::Error;
+      return AttemptOutcome::Error;
   }
 }
 
-MemberState stateOf(std::uint8_t status) {
-  if (status == 1) return MemberState::Ready;
-  return status == 0 ? MemberState::Gone : MemberState::Draining;
+EndpointStatus stateOf(std::uint8_t status) {
+  if (status == 1) return EndpointStatus::Ready;
+  return status == 0 ? EndpointStatus::Removed : EndpointStatus::Draining;
 }
 
-Member memberOf(const Entry& entry) {
-  Member member;
-  member.id = entry.member;
-  member.group = entry.cluster;
-  member.state = stateOf(entry.status);
-  member.zone = entry.zone;
-  member.launched = timeOf(entry.launched);
-  member.size = entry.nominal;
-  member.leads = entry.leads >= 0.5F;
-  return member;
+Endpoint endpointOf(const Entry& entry) {
+  Endpoint endpoint;
+  endpoint.id = entry.endpoint;
+  endpoint.group = entry.cluster;
+  endpoint.status = stateOf(entry.status);
+  endpoint.zone = entry.zone;
+  endpoint.startedAt = timeOf(entry.startedAt);
+  endpoint.size = entry.nominal;
+  endpoint.listedPrimary = entry.listedPrimary >= 0.5F;
+  return endpoint;
 }
 
 std::optional<float> valueAt(const std::vector<float>& values, int index) {
@@ -69,15 +69,15 @@
 // A 32-bit float may have been rounded up on its way: the next smaller one never claims too much.
 double roundedDown(float value) { return std::nextafter(value, -std::numeric_limits<float>::infinity()); }
 
-Report reportOf(const InstanceSettings& settings, const std::vector<float>& values) {
-  Report report;
+LoadReport reportOf(const InstanceSettings& settings, const std::vector<float>& values) {
+  LoadReport report;
   if (const auto seconds = valueAt(values, settings.report.position); seconds && std::abs(*seconds) < 1e12F) {
     report.position = settings.positionZero + static_cast<Micros>(std::floor(roundedDown(*seconds) * 1e6));
   }
   if (const auto role = valueAt(values, settings.report.role)) {
     report.role = *role >= 0.5F ? Role::Primary : Role::Replica;
   }
-  if (const auto held = valueAt(values, settings.report.held)) report.held = *held;
+  if (const auto held = valueAt(values, settings.report.held)) report.inFlight = *held;
   return report;
 }
 
@@ -85,10 +85,10 @@
   AttemptEnded event;
   event.request = record.request;
   event.attempt = record.attempt;
-  event.member = record.member;
+  event.endpoint = record.endpoint;
   event.outcome = outcomeOf(record.status);
   event.elapsed = record.elapsed;
-  event.finished = record.done != 0;
+  event.requestFinished = record.done != 0;
   const std::uint32_t role = record.progress % kRoleBits;
   if (role == 1) event.role = Role::Primary;
   if (role == 2) event.role = Role::Replica;
@@ -104,12 +104,13 @@
   request.group = record.group >= 0 && record.group <= 65535 ? static_cast<GroupId>(record.group) : 65536;
   request.classIndex = record.classIndex;
   request.session = record.session;
-  if (settings.logic.tokens == TokenMode::Carried && record.tokenAgeMs > 0 && record.tokenAgeMs < 1e12F) {
-    request.sinceLastWrite =
+  if (settings.logic.sessionTokens == SessionTokenSource::Client && record.tokenAgeMs > 0 &&
+      record.tokenAgeMs < 1e12F) {
+    request.timeSinceLastWrite =
         static_cast<Micros>(std::max(0.0, std::floor(roundedDown(record.tokenAgeMs) * 1e3)));
   }
-  if ((record.attributes & 1U) != 0) request.estimate = record.estimate;
-  request.repeat = (record.attributes & 2U) != 0;
+  if ((record.attributes & 1U) != 0) request.estimatedWork = record.estimatedWork;
+  request.isClientRetry = (record.attributes & 2U) != 0;
   request.deadline = timeOf(record.deadline);
   return RequestArrived{request};
 }
@@ -135,27 +136,28 @@
         std::clamp<Micros>(value, 0, std::numeric_limits<std::uint32_t>::max()));
   };
   for (const Action& action : actions_) {
-    std::visit(
-        Overloaded{
-            [&](const Attempt& a) {
-              writer_.forward(a.request, a.member, static_cast<std::uint64_t>(a.abandonAt));
-            },
-            [&](const Cancel& a) { writer_.callOff(a.request, static_cast<std::uint16_t>(a.attempt)); },
-            [&](const Refuse& a) { writer_.refuse(a.request, limited(a.retryAfter)); },
-            [&](const Fail& a) { writer_.error(a.request); },
-            [&](const Probe& a) { writer_.inspect(a.member); },
-            [&](const Disconnect& a) { writer_.release(a.member); },
-            [&](const Subscribe&) { writer_.streamChanges(true); },
-            [&](const SetTimer& a) { writer_.defer(a.token, limited(a.after)); },
-        },
-        action);
+    std::visit(Overloaded{
+                   [&](const SendAttempt& a) {
+                     writer_.forward(a.request, a.endpoint, static_cast<std::uint64_t>(a.abandonAt));
+                   },
+                   [&](const CancelAttempt& a) {
+                     writer_.callOff(a.request, static_cast<std::uint16_t>(a.attempt));
+                   },
+                   [&](const RejectRequest& a) { writer_.reject(a.request, limited(a.retryAfter)); },
+                   [&](const FailRequest& a) { writer_.error(a.request); },
+                   [&](const StartHealthCheck& a) { writer_.inspect(a.endpoint); },
+                   [&](const CloseIdleConnections& a) { writer_.release(a.endpoint); },
+                   [&](const SubscribeToEndpoints&) { writer_.streamChanges(true); },
+                   [&](const SetTimer& a) { writer_.defer(a.token, limited(a.after)); },
+               },
+               action);
   }
   actions_.clear();
 }
 
 void Host::start(const InitRecord& record) {
   InstanceSettings settings = parseSettings(record.settings);
-  Logic logic(settings.logic, record.seed, now_, actions_);
+  RoutingPolicy logic(settings.logic, record.seed, now_, actions_);
   instances_.insert_or_assign(current_, Instance{std::move(settings), std::move(logic)});
   reply();
 }
@@ -195,37 +197,38 @@
       throw FrameError("an event names an instance that was not started: " + std::to_string(current_));
     }
     const InstanceSettings& settings = found->second.settings;
-    std::visit(Overloaded{
-                   [&](const MembersRecord& r) {
-                     MembersChanged event;
-                     event.scope = r.scope == kScopeDelta ? MembersChanged::Scope::Delta
-                                   : r.scope == kScopeFull || r.scope == kScopeCached
-                                       ? MembersChanged::Scope::Full
-                                       : MembersChanged::Scope::Failed;
-                     if (event.scope != MembersChanged::Scope::Failed) {
-                       for (const Entry& entry : listNumbered(r.buffer).rows) {
-                         event.members.push_back(memberOf(entry));
-                       }
-                     }
-                     apply(event);
-                   },
-                   [&](const CallRecord& r) { apply(callOf(settings, r)); },
-                   [&](const EstablishedRecord& r) {
-                     apply(AttemptStreaming{r.request, r.attempt});
-                   },
-                   [&](const PingRecord& r) {
-                     const Outcome outcome = outcomeOf(r.status);
-                     apply(ProbeEnded{r.member, outcome == Outcome::Ok, r.elapsed,
-                                      reportOf(settings, r.report), outcome == Outcome::Full});
-                   },
-                   [&](const AttemptEndRecord& r) { apply(attemptEndOf(settings, r)); },
-                   [&](const RingRecord& r) { apply(TimerFired{r.label}); },
-                   [&](const LeftRecord& r) { apply(ClientLeft{r.request}); },
-                   [&](const KillRecord&) { instances_.erase(found); },
-                   [&](const PeerRecord&) {},  // instances do not talk to each other
-                   [&](const auto&) {},        // handled above
-               },
-               record);
+    std::visit(
+        Overloaded{
+            [&](const EndpointsRecord& r) {
+              EndpointsChanged event;
+              event.scope = r.scope == kScopeDelta ? EndpointsChanged::Scope::Delta
+                            : r.scope == kScopeFull || r.scope == kScopeCached
+                                ? EndpointsChanged::Scope::Full
+                                : EndpointsChanged::Scope::Failed;
+              if (event.scope != EndpointsChanged::Scope::Failed) {
+                for (const Entry& entry : listNumbered(r.buffer).rows) {
+                  event.endpoints.push_back(endpointOf(entry));
+                }
+              }
+              apply(event);
+            },
+            [&](const CallRecord& r) { apply(callOf(settings, r)); },
+            [&](const EstablishedRecord& r) {
+              apply(ResponseStreaming{r.request, r.attempt});
+            },
+            [&](const PingRecord& r) {
+              const AttemptOutcome outcome = outcomeOf(r.status);
+              apply(HealthCheckEnded{r.endpoint, outcome == AttemptOutcome::Ok, r.elapsed,
+                                     reportOf(settings, r.report), outcome == AttemptOutcome::Overloaded});
+            },
+            [&](const AttemptEndRecord& r) { apply(attemptEndOf(settings, r)); },
+            [&](const RingRecord& r) { apply(TimerFired{r.label}); },
+            [&](const LeftRecord& r) { apply(ClientDisconnected{r.request}); },
+            [&](const KillRecord&) { instances_.erase(found); },
+            [&](const PeerRecord&) {},  // instances do not talk to each other
+            [&](const auto&) {},        // handled above
+        },
+        record);
   }
   return writer_.finish();
 }
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "logic.h"
+#include "policy/routing_policy.h"
 #include "settings/settings.h"
 #include "wirehost/codec.h"
 
@@ -23,7 +23,7 @@
  private:
   struct Instance {
     InstanceSettings settings;
-    Logic logic;
+    RoutingPolicy logic;
   };
   struct Context;
 
--- a/tests/attempt_time_test.cpp
+++ b/tests/attempt_time_test.cpp
@@ -1,5 +1,5 @@
-// The time that an attempt tells its member ('d') is never more than what is left to its client: not after a
-// slow dial, not for a further attempt, not for a request that stood behind others. Time passes by hand.
+// The time that an attempt tells its endpoint ('d') is never more than what is left to its client: not after
+// a slow dial, not for a further attempt, not for a request that stood behind others. Time passes by hand.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -18,8 +18,8 @@
 class Rig final : public GatewayRig {
  public:
   Rig(const GatewayOptions& options, std::size_t size) : GatewayRig(options, size) {
-    for (auto& member : members) {
-      member->answer = [this, &at = *member](Line& line, const std::string& statement) {
+    for (auto& endpoint : endpoints) {
+      endpoint->answer = [this, &at = *endpoint](Line& line, const std::string& statement) {
         told.push_back(toldBy(statement));
         toldAt.push_back(loop.now());
         held = &line;
@@ -27,7 +27,7 @@
       };
     }
   }
-  // Milliseconds that a member was told.
+  // Milliseconds that an endpoint was told.
   static long toldBy(const std::string& statement) {
     const std::size_t at = statement.find(",d=");
     return at == std::string::npos ? -1 : std::atol(statement.c_str() + at + 3);
@@ -47,7 +47,7 @@
   std::vector<long> told;
   std::vector<Micros> toldAt;
   Line* held = nullptr;
-  MemberStandIn* holder = nullptr;
+  EndpointStandIn* holder = nullptr;
 };
 
 class AttemptTime : public testing::TestWithParam<Speaks> {
@@ -66,13 +66,13 @@
 
 TEST_P(AttemptTime, IsWhatIsLeftAfterASlowDial) {
   Rig rig(options(), 1);
-  rig.members[0]->welcomes = false;
-  PlainSocket client(rig.loop, rig.endpoint);
+  rig.endpoints[0]->welcomes = false;
+  PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("one")));
   ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 1; }));
   const Micros sentAt = rig.loop.now();
   rig.pass(3'000 * kMilli);
-  rig.members[0]->welcomeNow();
+  rig.endpoints[0]->welcomeNow();
   ASSERT_TRUE(rig.nextTold(1));
   EXPECT_GT(rig.told[0], 0);
   EXPECT_LE(rig.told[0], kGivenMs - 3'000);
@@ -82,26 +82,26 @@
 // The first attempt fails after a while, the second has to dial for a while: both are taken off.
 TEST_P(AttemptTime, IsWhatIsLeftForAFurtherAttemptBehindASlowDial) {
   Rig rig(options(), 3);
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("one", "any")));
   ASSERT_TRUE(rig.nextTold(1));
   const Micros sentAt = rig.loop.now();
-  for (auto& member : rig.members) member->welcomes = member.get() == rig.holder;
+  for (auto& endpoint : rig.endpoints) endpoint->welcomes = endpoint.get() == rig.holder;
   rig.pass(2'000 * kMilli);
   rig.held->say(rig.holder->error("XX000"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 2; }));
   rig.pass(1'500 * kMilli);
-  for (auto& member : rig.members) member->welcomeNow();
+  for (auto& endpoint : rig.endpoints) endpoint->welcomeNow();
   ASSERT_TRUE(rig.nextTold(2));
   EXPECT_GT(rig.told[1], 0);
   EXPECT_LE(rig.told[1], kGivenMs - 3'500);
   EXPECT_LE(rig.told[1], rig.left(1, sentAt));
 }
 
-// Turned away, it waits and is sent again to the same member over the same connection.
+// Turned away, it waits and is sent again to the same endpoint over the same connection.
 TEST_P(AttemptTime, IsWhatIsLeftAfterAWaitBetweenAttempts) {
   Rig rig(options(), 1);
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("one")));
   ASSERT_TRUE(rig.nextTold(1));
   const Micros sentAt = rig.loop.now();
@@ -117,7 +117,7 @@
 // left of that. What comes behind it meanwhile gives it nothing.
 TEST_P(AttemptTime, IsWhatIsLeftForAPipelinedRequest) {
   Rig rig(options(), 1);
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("one") + asking("two")));
   ASSERT_TRUE(rig.nextTold(1));
   rig.pass(2'000 * kMilli);
--- a/tests/bolt_gateway_test.cpp
+++ b/tests/bolt_gateway_test.cpp
@@ -33,33 +33,33 @@
 class BoltRig : public GatewayRig {
  public:
   explicit BoltRig(std::size_t size = 3, GatewayOptions options = boltOnly()) : GatewayRig(options, size) {}
-  std::size_t tagsAt(std::size_t member, unsigned char tag) const {
-    const auto& tags = members[member]->tags;
+  std::size_t tagsAt(std::size_t endpoint, unsigned char tag) const {
+    const auto& tags = endpoints[endpoint]->tags;
     return static_cast<std::size_t>(std::count(tags.begin(), tags.end(), tag));
   }
   std::size_t tagsInAll(unsigned char tag) const {
     std::size_t out = 0;
-    for (std::size_t i = 0; i < members.size(); ++i) out += tagsAt(i, tag);
+    for (std::size_t i = 0; i < endpoints.size(); ++i) out += tagsAt(i, tag);
     return out;
   }
-  // The first member dies; the second leads from then on, as probes tell.
+  // The first endpoint dies; the second leads from then on, as health checks tell.
   void failOver() {
-    members[0]->shut();
-    members[0]->primary = false;
-    members[1]->primary = true;
+    endpoints[0]->shut();
+    endpoints[0]->primary = false;
+    endpoints[1]->primary = true;
   }
 };
 
-TEST(BoltVersions, AreNegotiatedAndOthersRefusedCleanly) {
+TEST(BoltVersions, AreNegotiatedAndOthersRejectedCleanly) {
   BoltRig rig;
   for (unsigned minor = 0; minor <= 4; ++minor) {
-    BoltClientStandIn client(rig.loop, rig.endpoint, minor);
+    BoltClientStandIn client(rig.loop, rig.socketAddress, minor);
     client.say(bolt::run("RETURN 1", read("v" + std::to_string(minor))) + bolt::pull());
     ASSERT_TRUE(client.replied(2)) << minor;
     EXPECT_EQ(client.tags(), "SRS") << minor;
   }
   const auto answer = [&](const std::string& handshake, std::size_t size) {
-    PlainSocket socket(rig.loop, rig.endpoint);
+    PlainSocket socket(rig.loop, rig.socketAddress);
     EXPECT_TRUE(socket.send(handshake));
     EXPECT_TRUE(rig.until([&] { return socket.read().size() >= size || socket.ended; }));
     return socket.read();
@@ -69,14 +69,14 @@
   const std::string none(4, '\0');
   for (const auto& [minor, range, major] :
        {std::tuple{7U, 1U, 5U}, std::tuple{4U, 4U, 4U}, std::tuple{0U, 0U, 6U}, std::tuple{1U, 0U, 255U}}) {
-    PlainSocket socket(rig.loop, rig.endpoint);
+    PlainSocket socket(rig.loop, rig.socketAddress);
     ASSERT_TRUE(socket.send(bolt::handshake(minor, range, major)));
     EXPECT_TRUE(socket.gone());
     EXPECT_EQ(socket.read(), none) << major << "." << minor;
     EXPECT_FALSE(socket.reset);
   }
   EXPECT_EQ(rig.counters().clientProtocolErrors, 0U);
-  PlainSocket other(rig.loop, rig.endpoint);
+  PlainSocket other(rig.loop, rig.socketAddress);
   ASSERT_TRUE(other.send("GET / HTTP/1.1\r\n\r\n"));
   EXPECT_TRUE(other.gone());
   EXPECT_EQ(other.read(), "") << "nothing that it could take for an answer";
@@ -84,7 +84,7 @@
 
 TEST(BoltSessions, AskForRoutesAndTelemetryAndLogOffAndOn) {
   BoltRig rig;
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::message(bolt::kTelemetry, {bolt::integer(1)}) +
              bolt::message(bolt::kRoute, {bolt::map({}), bolt::list({}), bolt::map({})}) +
              bolt::plain(bolt::kLogoff) + bolt::logon() + bolt::noOp() + bolt::plain(bolt::kReset));
@@ -94,7 +94,7 @@
   EXPECT_GT(table.at("ttl").integer, 0);
   ASSERT_EQ(table.at("servers").parts.size(), 3U);
   for (const bolt::Value& server : table.at("servers").parts) {
-    EXPECT_EQ(server.at("addresses").parts.at(0).text, transport::toText(rig.endpoint.endpoint))
+    EXPECT_EQ(server.at("addresses").parts.at(0).text, transport::toText(rig.socketAddress.socketAddress))
         << "this driver itself";
   }
   client.say(bolt::plain(bolt::kGoodbye));
@@ -103,11 +103,11 @@
 
 TEST(BoltRequests, ThatAreNotPlainlyReadsAreWritesOfTheDefaultClass) {
   BoltRig rig;
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   for (int i = 0; i < 6; ++i) client.say(bolt::run("RETURN 1") + bolt::pull());
   for (int i = 0; i < 6; ++i) client.say(bolt::run("RETURN 1", {{"mode", bolt::text("r")}}) + bolt::pull());
   ASSERT_TRUE(client.replied(24));
-  EXPECT_EQ(rig.members[0]->statements.size(), 6U) << "writes at the primary, reads at replicas";
+  EXPECT_EQ(rig.endpoints[0]->statements.size(), 6U) << "writes at the primary, reads at replicas";
   EXPECT_EQ(rig.statements().size(), 12U);
   client.forget();
   // A class of reads without mode r contradicts itself: nothing of it is sent.
@@ -120,7 +120,7 @@
 
 TEST(BoltRequests, GoOnWithTheTimeThatIsLeftAndTheirOwnBookmarks) {
   BoltRig rig(1);
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("CREATE", write("w1")) + bolt::pull());
   ASSERT_TRUE(client.replied(2));
   const std::string given = client.reply(1).fields[0].at("bookmark").text;
@@ -128,7 +128,7 @@
   EXPECT_EQ(given.substr(given.rfind(':')), ":own") << "the member's own stands behind ours";
   EXPECT_EQ(client.reply(1).fields[0].at("mode").text, "read-write") << "the rest is as it was";
   bolt::Value extra;
-  rig.members[0]->script = [&](Line&, const bolt::Message& message) {
+  rig.endpoints[0]->script = [&](Line&, const bolt::Message& message) {
     if (message.tag == bolt::kRun && message.fields[0].text == "CREATE") extra = message.fields[2];
     return false;
   };
@@ -148,7 +148,7 @@
 
 TEST(BoltRequests, MayBePipelinedAndAreAnsweredInOrder) {
   BoltRig rig;
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("1", read("a")) + bolt::pull() + bolt::run("2", write("b")) + bolt::pull() +
              bolt::begin(write("c")) + bolt::run("3") + bolt::pull() + bolt::plain(bolt::kCommit) +
              bolt::run("4", read("d")) + bolt::pull());
@@ -160,7 +160,7 @@
 
 TEST(BoltRequests, AreTheSameHoweverTheirBytesAreSplit) {
   BoltRig rig;
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   const std::string statement(70'000, 'x');
   const std::string one =
       bolt::message(bolt::kRun, {bolt::text(statement), bolt::map({}), bolt::map(write("long"))}, 1000);
@@ -179,7 +179,7 @@
 TEST(BoltResults, ArePulledInPartsAndDiscarded) {
   BoltRig rig(1);
   int left = 5;
-  rig.members[0]->script = [&](Line& line, const bolt::Message& message) {
+  rig.endpoints[0]->script = [&](Line& line, const bolt::Message& message) {
     if (message.tag == bolt::kRun) {
       line.say(bolt::success({{"fields", bolt::list({bolt::text("n")})}}));
     } else if (message.tag == bolt::kPull || message.tag == bolt::kDiscard) {
@@ -189,11 +189,11 @@
         if (message.tag == bolt::kPull) line.say(bolt::record({bolt::integer(left)}));
       }
       line.say(left > 0 ? bolt::success({{"has_more", bolt::boolean(true)}})
-                        : bolt::success(rig.members[0]->summary()));
+                        : bolt::success(rig.endpoints[0]->summary()));
     }
     return message.tag != bolt::kReset;
   };
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("1", write("a")) + bolt::pull(2));
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags(), "SRRS");
@@ -214,13 +214,13 @@
   EXPECT_EQ(client.tags(), "SRS");
 }
 
-// The statement's own fault is the client's to read, and no reason to ask another member.
-TEST(BoltAnswers, AMembersWordOnTheStatementIsPassedOn) {
+// The statement's own fault is the client's to read, and no reason to ask another endpoint.
+TEST(BoltAnswers, AnEndpointsWordOnTheStatementIsPassedOn) {
   BoltRig rig;
   rig.answerAll([](Line& line, const std::string&) {
     line.say(bolt::failure("Neo.ClientError.Statement.SyntaxError") + bolt::ignored());
   });
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("RETRUN", read("a")) + bolt::pull() + bolt::run("1", read("b")) + bolt::pull());
   ASSERT_TRUE(client.replied(4));
   client.say(bolt::plain(bolt::kReset));
@@ -228,27 +228,27 @@
   EXPECT_EQ(client.tags(), "FIIIS") << "all up to RESET is ignored";
   EXPECT_EQ(client.code(), "Neo.ClientError.Statement.SyntaxError");
   EXPECT_EQ(rig.statements().size(), 1U);
-  // The member's connection is set right and used again.
-  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.members[0]->value("good")); });
+  // The endpoint's connection is set right and used again.
+  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("good")); });
   client.forget();
   for (int i = 0; i < 4; ++i) {
     client.say(bolt::run("1", read("c" + std::to_string(i))) + bolt::pull());
     ASSERT_TRUE(client.replied(2 * static_cast<std::size_t>(i) + 2));
   }
   EXPECT_EQ(rig.tagsInAll(bolt::kReset), 1U);
-  EXPECT_EQ(rig.counters().memberProtocolErrors, 0U);
+  EXPECT_EQ(rig.counters().endpointProtocolErrors, 0U);
 }
 
 // A deadlock has been rolled back: a write may go out again, and where it may not the client is told so.
-TEST(BoltAnswers, ATransientFailureOfAMemberHadNoEffect) {
+TEST(BoltAnswers, ATransientFailureOfAnEndpointHadNoEffect) {
   BoltRig rig(1);
   int failures = 1;
   rig.answerAll([&](Line& line, const std::string&) {
     const bool fails = failures-- > 0;
     line.say(fails ? bolt::failure("Neo.TransientError.Transaction.DeadlockDetected") + bolt::ignored()
-                   : rig.members[0]->value("at last"));
+                   : rig.endpoints[0]->value("at last"));
   });
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("CREATE", write("a")) + bolt::pull());
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags(), "SRS");
@@ -257,43 +257,43 @@
 
 TEST(BoltFailover, ASessionThatStaysOpenIsServedByTheNewPrimary) {
   BoltRig rig;
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("save", "1"));
   ASSERT_TRUE(client.answered());
-  EXPECT_EQ(client.value(), "from " + rig.members[0]->address());
+  EXPECT_EQ(client.value(), "from " + rig.endpoints[0]->address());
   rig.failOver();
   client.ask(request("save", "2"));
   ASSERT_TRUE(client.answered(2));
-  EXPECT_EQ(client.value(1), "from " + rig.members[1]->address());
+  EXPECT_EQ(client.value(1), "from " + rig.endpoints[1]->address());
 }
 
 TEST(BoltFailover, AnOpenTransactionEndsAndIsNotMoved) {
   BoltRig rig;
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("t1")) + bolt::run("first") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
   EXPECT_EQ(client.tags(), "SSRS");
   rig.failOver();
-  ASSERT_TRUE(rig.until([&] { return rig.outcomes(Outcome::Reset) == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.outcomes(AttemptOutcome::ConnectionReset) == 1; }));
   client.say(bolt::run("second") + bolt::pull() + bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(6));
   EXPECT_EQ(client.tags(), "SSRSFII");
   EXPECT_EQ(client.code(), kTransient) << "nothing was committed: the client may begin again";
-  EXPECT_TRUE(rig.members[1]->statements.empty() && rig.members[2]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[1]->statements.empty() && rig.endpoints[2]->statements.empty());
   client.forget();
   client.say(bolt::plain(bolt::kReset) + bolt::begin(write("t2")) + bolt::run("again") + bolt::pull() +
              bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(5));
   EXPECT_EQ(client.tags(), "SSSRSS");
   EXPECT_EQ(rig.tagsAt(1, bolt::kCommit), 1U);
-  EXPECT_EQ(rig.counters().requestsServed + rig.counters().requestsRefused, 2U) << "one final answer each";
+  EXPECT_EQ(rig.counters().requestsServed + rig.counters().requestsRejected, 2U) << "one final answer each";
 }
 
 // The primary dies when it has read one message and replied to none of it.
 class BoltDies : public testing::Test {
  protected:
   void dieOn(unsigned char tag) {
-    rig.members[0]->script = [this, tag](Line& line, const bolt::Message& message) {
+    rig.endpoints[0]->script = [this, tag](Line& line, const bolt::Message& message) {
       if (message.tag == tag) line.hangUp();
       return message.tag == tag;
     };
@@ -303,20 +303,20 @@
 
 TEST_F(BoltDies, BetweenRunAndItsReplyAWriteMayHaveRun) {
   dieOn(bolt::kRun);
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("CREATE", write("a")));
   ASSERT_TRUE(client.replied(1));
   EXPECT_EQ(client.code(), kFailed) << "no client retries this by itself";
   client.say(bolt::pull());
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags(), "FI");
-  EXPECT_TRUE(rig.members[1]->statements.empty() && rig.members[2]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[1]->statements.empty() && rig.endpoints[2]->statements.empty());
   EXPECT_EQ(rig.counters().requestsFailed, 1U);
 }
 
 TEST_F(BoltDies, BetweenRunAndItsReplyATransactionHadNoEffect) {
   dieOn(bolt::kRun);
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")));
   ASSERT_TRUE(client.replied(1));
   client.say(bolt::run("CREATE"));
@@ -327,7 +327,7 @@
 }
 
 TEST_F(BoltDies, BetweenPullAndTheSummaryAWriteMayHaveRun) {
-  rig.members[0]->script = [&](Line& line, const bolt::Message& message) {
+  rig.endpoints[0]->script = [&](Line& line, const bolt::Message& message) {
     if (message.tag == bolt::kRun && message.fields[0].text == "CREATE") {
       line.say(bolt::success({{"fields", bolt::list({bolt::text("n")})}}));
       return true;
@@ -337,20 +337,20 @@
     line.hangUp();
     return true;
   };
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("CREATE", write("a")));
   ASSERT_TRUE(client.replied(1));
   client.say(bolt::pull());
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.code(), kFailed);
   EXPECT_EQ(client.tags().back(), 'F');
-  EXPECT_TRUE(rig.members[1]->statements.empty() && rig.members[2]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[1]->statements.empty() && rig.endpoints[2]->statements.empty());
 }
 
-// Once a part of a read's result is out no other member goes on with it, yet asking again is harmless.
+// Once a part of a read's result is out no other endpoint goes on with it, yet asking again is harmless.
 TEST_F(BoltDies, BetweenPullAndTheSummaryAReadMayBeAskedAgain) {
-  for (auto& member : rig.members) {
-    member->script = [&](Line& line, const bolt::Message& message) {
+  for (auto& endpoint : rig.endpoints) {
+    endpoint->script = [&](Line& line, const bolt::Message& message) {
       if (message.tag == bolt::kRun && message.fields[0].text == "MATCH") {
         line.say(bolt::success({{"fields", bolt::list({bolt::text("n")})}}));
         return true;
@@ -360,7 +360,7 @@
       return true;
     };
   }
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("MATCH", read("a")));
   ASSERT_TRUE(client.replied(1));
   client.say(bolt::pull());
@@ -372,7 +372,7 @@
 
 TEST_F(BoltDies, AfterCommitWasWrittenTheEffectMayHaveHappened) {
   dieOn(bolt::kCommit);
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
   client.say(bolt::plain(bolt::kCommit));
@@ -385,7 +385,7 @@
 
 TEST_F(BoltDies, AllAtOnceWithTheCommitTheEffectMayHaveHappenedToo) {
   dieOn(bolt::kCommit);
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull() + bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(4));
   EXPECT_EQ(client.code(), kFailed);
@@ -394,75 +394,75 @@
 
 TEST(BoltTransactions, ATimeOutBehindTheCommitMayHaveHadItsEffect) {
   BoltRig rig(1);
-  rig.members[0]->script = [](Line&, const bolt::Message& message) { return message.tag == bolt::kCommit; };
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  rig.endpoints[0]->script = [](Line&, const bolt::Message& message) { return message.tag == bolt::kCommit; };
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a", 500)) + bolt::run("CREATE") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
   client.say(bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(4));
   EXPECT_EQ(client.code(), kFailed);
-  EXPECT_EQ(rig.outcomes(Outcome::TimedOut), 1U);
+  EXPECT_EQ(rig.outcomes(AttemptOutcome::TimedOut), 1U);
 }
 
-// A client that thinks for too long is told so with its next message, and its member is not to blame.
+// A client that thinks for too long is told so with its next message, and its endpoint is not to blame.
 TEST(BoltTransactions, WhoseClientLetsItsTimeGoByEndWithItsNextMessage) {
   BoltRig rig(1);
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a", 300)));
   ASSERT_TRUE(client.replied(1));
-  ASSERT_TRUE(rig.until([&] { return rig.outcomes(Outcome::Withdrawn) == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.outcomes(AttemptOutcome::Abandoned) == 1; }));
   EXPECT_TRUE(rig.until([&] {
-    const auto& lines = rig.members[0]->lines;
+    const auto& lines = rig.endpoints[0]->lines;
     return std::any_of(lines.begin(), lines.end(), [](const auto& line) { return line->ended; });
   })) << "the member takes it back";
   client.say(bolt::run("CREATE") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
   EXPECT_EQ(client.tags(), "SFI");
   EXPECT_EQ(client.code(), kTransient);
-  EXPECT_EQ(rig.tagsAt(0, bolt::kRun), rig.members[0]->probes);
-  EXPECT_EQ(rig.outcomes(Outcome::TimedOut), 0U);
+  EXPECT_EQ(rig.tagsAt(0, bolt::kRun), rig.endpoints[0]->healthChecks);
+  EXPECT_EQ(rig.outcomes(AttemptOutcome::TimedOut), 0U);
 }
 
 // Guards the rule on drains: nothing new goes there, and what is pinned there ends with one answer.
-TEST(BoltDrains, ATransactionPinnedToADrainingMemberEndsThere) {
+TEST(BoltDrains, ATransactionPinnedToADrainingEndpointEndsThere) {
   BoltRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
-  rig.members[1]->primary = true;
+  rig.endpoints[1]->primary = true;
   rig.discovery.tell("[" + rig.entryOf(0, "Terminating") + "]");
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  ClientStandIn other(rig.loop, rig.endpoint);
-  const std::size_t before = rig.members[0]->statements.size();
+  ClientStandIn other(rig.loop, rig.socketAddress);
+  const std::size_t before = rig.endpoints[0]->statements.size();
   other.ask(request("save", "1"));
   ASSERT_TRUE(other.answered());
-  EXPECT_EQ(other.value(), "from " + rig.members[1]->address());
-  EXPECT_EQ(rig.members[0]->statements.size(), before) << "no new request after the drain was told";
+  EXPECT_EQ(other.value(), "from " + rig.endpoints[1]->address());
+  EXPECT_EQ(rig.endpoints[0]->statements.size(), before) << "no new request after the drain was told";
   client.say(bolt::run("UPDATE") + bolt::pull() + bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(6));
   EXPECT_EQ(client.tags(), "SSRSSRSS");
   EXPECT_EQ(rig.tagsAt(0, bolt::kCommit), 1U);
 }
 
-TEST(BoltDrains, ATransactionWhoseDrainingMemberEndsHasOneAnswerToo) {
+TEST(BoltDrains, ATransactionWhoseDrainingEndpointEndsHasOneAnswerToo) {
   BoltRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
   rig.discovery.tell("[" + rig.entryOf(0, "Terminating") + "]");
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  rig.members[0]->shut();
+  rig.endpoints[0]->shut();
   client.say(bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(4));
   EXPECT_EQ(client.tags(), "SSRSF");
-  EXPECT_EQ(rig.counters().requestsRefused + rig.counters().requestsFailed, 1U);
+  EXPECT_EQ(rig.counters().requestsRejected + rig.counters().requestsFailed, 1U);
 }
 
-TEST(BoltDrains, TheDriversOwnEndWaitsForAnOpenTransaction) {
+TEST(BoltDrains, TheGatewaysOwnEndWaitsForAnOpenTransaction) {
   BoltRig rig;
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
   bool done = false;
@@ -474,13 +474,13 @@
   EXPECT_TRUE(rig.until([&] { return done; }));
 }
 
-// A member that streams records until its connection ends.
+// An endpoint that streams records until its connection ends.
 class BoltStreams : public testing::Test {
  protected:
   void streams(std::size_t records, std::size_t size, bool ends) {
-    for (auto& member : rig.members) {
-      MemberStandIn* owner = member.get();
-      member->answer = [=](Line& line, const std::string&) {
+    for (auto& endpoint : rig.endpoints) {
+      EndpointStandIn* owner = endpoint.get();
+      endpoint->answer = [=](Line& line, const std::string&) {
         std::string bytes = bolt::success({{"fields", bolt::list({bolt::text("n")})}});
         for (std::size_t i = 0; i < records; ++i) bytes += bolt::record({bolt::text(std::string(size, 'r'))});
         if (ends) bytes += bolt::success(owner->summary());
@@ -493,7 +493,7 @@
 
 TEST_F(BoltStreams, AResetOvertakesAStreamingResult) {
   streams(100, 10'000, false);
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("MATCH", read("a")) + bolt::pull());
   ASSERT_TRUE(rig.until([&] { return client.records() >= 50; }));
   client.say(bolt::run("2", read("b")) + bolt::pull() + bolt::plain(bolt::kReset));
@@ -502,7 +502,7 @@
   replies.erase(std::remove(replies.begin(), replies.end(), 'R'), replies.end());
   EXPECT_EQ(replies, "SIIIS") << "all that stood before RESET is ignored";
   EXPECT_EQ(rig.counters().requestsLeft, 1U);
-  EXPECT_EQ(rig.outcomes(Outcome::Cancelled), 1U);
+  EXPECT_EQ(rig.outcomes(AttemptOutcome::Cancelled), 1U);
   EXPECT_EQ(rig.statements().size(), 1U);
   streams(1, 5, true);
   client.forget();
@@ -511,34 +511,34 @@
   EXPECT_EQ(client.tags(), "SRS");
 }
 
-TEST_F(BoltStreams, ASlowReaderPausesItsMemberAndHoldsUpNobodyElse) {
+TEST_F(BoltStreams, ASlowReaderPausesItsEndpointAndHoldsUpNobodyElse) {
   constexpr std::size_t kRecords = 4000;  // far more than kernels hold
   constexpr std::size_t kSize = 10'000;
   streams(kRecords, kSize, true);
-  BoltClientStandIn slow(rig.loop, rig.endpoint);
+  BoltClientStandIn slow(rig.loop, rig.socketAddress);
   slow.line().deaf = true;
   slow.say(bolt::run("MATCH", read("a")) + bolt::pull());
   ASSERT_TRUE(rig.until([&] { return rig.statements().size() == 1; }));
-  Line* member = nullptr;
-  for (auto& owner : rig.members) {
+  Line* endpoint = nullptr;
+  for (auto& owner : rig.endpoints) {
     for (auto& line : owner->lines) {
-      if (!line->stream.output().empty()) member = line.get();
+      if (!line->stream.output().empty()) endpoint = line.get();
     }
   }
-  ASSERT_NE(member, nullptr);
-  // It runs until all between the two is full; the rest stays at the member.
+  ASSERT_NE(endpoint, nullptr);
+  // It runs until all between the two is full; the rest stays at the endpoint.
   std::size_t left = 0;
   ASSERT_TRUE(rig.until([&] {
-    const bool still = member->stream.output().size() == left;
-    left = member->stream.output().size();
+    const bool still = endpoint->stream.output().size() == left;
+    left = endpoint->stream.output().size();
     return still;
   }));
   EXPECT_GT(left, 1'000'000U);
-  EXPECT_LT(rig.loop.memory().taken() - member->stream.output().capacity(), 1'000'000U)
+  EXPECT_LT(rig.loop.memory().taken() - endpoint->stream.output().capacity(), 1'000'000U)
       << "what the gateway holds of it";
   EXPECT_EQ(rig.counters().requestsServed, 0U);
   streams(1, 5, true);
-  BoltClientStandIn quick(rig.loop, rig.endpoint);
+  BoltClientStandIn quick(rig.loop, rig.socketAddress);
   for (std::size_t i = 0; i < 20; ++i) {
     quick.say(bolt::run("MATCH", read("q" + std::to_string(i))) + bolt::pull());
     ASSERT_TRUE(quick.replied(2 * i + 2));
@@ -554,14 +554,14 @@
 
 // Guards a client against half a result that looks whole: a stream that breaks ends with a failure.
 TEST_F(BoltStreams, AStreamThatBreaksEndsWithAFailure) {
-  for (auto& member : rig.members) {
-    member->answer = [](Line& line, const std::string&) {
+  for (auto& endpoint : rig.endpoints) {
+    endpoint->answer = [](Line& line, const std::string&) {
       std::string bytes = bolt::success({{"fields", bolt::list({bolt::text("n")})}});
       for (int i = 0; i < 20; ++i) bytes += bolt::record({bolt::text(std::string(10'000, 'r'))});
       line.say(bytes + bolt::chunked("malformed"));
     };
   }
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("MATCH", read("a")) + bolt::pull());
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags().back(), 'F');
@@ -573,7 +573,7 @@
  protected:
   // Sent behind the login: the connection ends, with this failure as its last message.
   void fatal(const std::string& what, const std::string& bytes) {
-    BoltClientStandIn client(rig.loop, rig.endpoint);
+    BoltClientStandIn client(rig.loop, rig.socketAddress);
     client.say(bytes);
     EXPECT_TRUE(client.gone()) << what;
     ASSERT_FALSE(client.messages().empty()) << what;
@@ -623,14 +623,14 @@
   // What they left behind counts as not served for a while.
   std::size_t asked = 0;
   EXPECT_TRUE(rig.until([&] {
-    ClientStandIn good(rig.loop, rig.endpoint);
+    ClientStandIn good(rig.loop, rig.socketAddress);
     good.ask(request("any", "good" + std::to_string(++asked)));
     return good.answered() && good.types() == "TDCZ";
   }));
 }
 
 TEST_F(BoltBadClients, WhoseRequestCanNotBeReadKeepTheirConnection) {
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   const auto metadata = [](const bolt::Entries& entries) {
     return bolt::Entries{{"mode", bolt::text("r")}, {"tx_metadata", bolt::map(entries)}};
   };
@@ -663,14 +663,14 @@
 }
 
 TEST_F(BoltBadClients, ThatFallSilentHalfwayAreToldOrClosed) {
-  PlainSocket begun(rig.loop, rig.endpoint);
+  PlainSocket begun(rig.loop, rig.socketAddress);
   ASSERT_TRUE(begun.send(bolt::handshake().substr(0, 11)));
-  PlainSocket silent(rig.loop, rig.endpoint);
-  PlainSocket greeted(rig.loop, rig.endpoint);
+  PlainSocket silent(rig.loop, rig.socketAddress);
+  PlainSocket greeted(rig.loop, rig.socketAddress);
   ASSERT_TRUE(greeted.send(bolt::handshake() + bolt::hello().substr(0, 9)));
-  BoltClientStandIn half(rig.loop, rig.endpoint);
+  BoltClientStandIn half(rig.loop, rig.socketAddress);
   half.say(bolt::run("RETURN 1", read("a")).substr(0, 20));
-  BoltClientStandIn within(rig.loop, rig.endpoint);
+  BoltClientStandIn within(rig.loop, rig.socketAddress);
   within.say(bolt::begin(write("t")));
   ASSERT_TRUE(within.replied(1));
   within.say(bolt::run("RETURN 1").substr(0, 5));
@@ -687,8 +687,8 @@
 // One that has logged on may rest, as pools of clients do.
 TEST(BoltSessions, ThatHaveLoggedOnMayRest) {
   BoltRig rig;
-  BoltClientStandIn pooled(rig.loop, rig.endpoint);
-  PlainSocket silent(rig.loop, rig.endpoint);
+  BoltClientStandIn pooled(rig.loop, rig.socketAddress);
+  PlainSocket silent(rig.loop, rig.socketAddress);
   EXPECT_TRUE(silent.gone());
   pooled.say(bolt::run("RETURN 1", read("a")) + bolt::pull());
   ASSERT_TRUE(pooled.replied(2));
@@ -701,12 +701,12 @@
   static GatewayOptions options() {
     GatewayOptions out;
     out.both = true;
-    out.tokens = "carried";
+    out.sessionTokens = "carried";
     out.viewConsistency = "session";
     return out;
   }
-  std::size_t asked(std::size_t member) const {
-    return rig.members[member]->statements.size() + rig.graph[member]->statements.size();
+  std::size_t asked(std::size_t endpoint) const {
+    return rig.endpoints[endpoint]->statements.size() + rig.graph[endpoint]->statements.size();
   }
   GatewayRig rig{options()};
 };
@@ -714,11 +714,11 @@
 TEST_F(BothProtocols, CountWhatIsInFlightAsOne) {
   std::vector<Line*> held;
   const auto hold = [&](Line& line, const std::string&) { held.push_back(&line); };
-  for (auto& member : rig.members) member->answer = hold;
-  for (auto& member : rig.graph) member->answer = hold;
+  for (auto& endpoint : rig.endpoints) endpoint->answer = hold;
+  for (auto& endpoint : rig.graph) endpoint->answer = hold;
   std::vector<std::unique_ptr<ClientStandIn>> clients;
   for (std::size_t i = 0; i < 8; ++i) {
-    const Place& door = i % 2 == 0 ? rig.endpoint : rig.graphEndpoint;
+    const Place& door = i % 2 == 0 ? rig.socketAddress : rig.graphEndpoint;
     clients.push_back(std::make_unique<ClientStandIn>(rig.loop, door));
     clients.back()->ask(request("any", std::to_string(i)));
     ASSERT_TRUE(rig.until([&] { return held.size() == i + 1; }));
@@ -727,11 +727,11 @@
   }
   EXPECT_EQ(asked(0), 0U);
   EXPECT_EQ(asked(1), 4U);
-  EXPECT_GE(rig.members[1]->statements.size() + rig.members[2]->statements.size(), 4U);
+  EXPECT_GE(rig.endpoints[1]->statements.size() + rig.endpoints[2]->statements.size(), 4U);
 }
 
-// Guards a cold member: its budget is one, whatever the protocol that its requests come over.
-TEST_F(BothProtocols, KeepOneBudgetForAColdMember) {
+// Guards a cold endpoint: its budget is one, whatever the protocol that its requests come over.
+TEST_F(BothProtocols, KeepOneBudgetForAColdEndpoint) {
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
@@ -741,8 +741,8 @@
   cold.replace(cold.find(launched), launched.size() + 1, launched + std::to_string(now));
   rig.discovery.tell("[" + cold + "]");
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  // What warm members answer is what its budget is a part of.
-  ClientStandIn first(rig.loop, rig.endpoint);
+  // What warm endpoints answer is what its budget is a part of.
+  ClientStandIn first(rig.loop, rig.socketAddress);
   for (std::size_t i = 0; i < 10; ++i) {
     first.ask(request("save", "w" + std::to_string(i)));
     ASSERT_TRUE(first.answered(i + 1));
@@ -750,24 +750,24 @@
   const std::size_t before = asked(2);
   std::size_t held = 0;
   const auto hold = [&](Line&, const std::string&) { ++held; };
-  for (auto& member : rig.members) member->answer = hold;
-  for (auto& member : rig.graph) member->answer = hold;
+  for (auto& endpoint : rig.endpoints) endpoint->answer = hold;
+  for (auto& endpoint : rig.graph) endpoint->answer = hold;
   std::vector<std::unique_ptr<ClientStandIn>> clients;
   for (std::size_t i = 0; i < 24; ++i) {
     clients.push_back(
-        std::make_unique<ClientStandIn>(rig.loop, i % 2 == 0 ? rig.endpoint : rig.graphEndpoint));
+        std::make_unique<ClientStandIn>(rig.loop, i % 2 == 0 ? rig.socketAddress : rig.graphEndpoint));
     clients.back()->ask(request("any", std::to_string(i)));
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 34 && held >= 8; }));
   // Warm it would have as many as the other; cold a fifth of what the warm ones answer, over both protocols.
   EXPECT_LE(asked(2) - before, 3U);
   EXPECT_GE(asked(1), 5U);
-  EXPECT_GT(rig.members[1]->statements.size(), 0U);
+  EXPECT_GT(rig.endpoints[1]->statements.size(), 0U);
   EXPECT_GT(rig.graph[1]->statements.size(), 0U);
 }
 
-// Guards sessions that go on elsewhere: a commit by a clock that is ahead of ours is told as its member told
-// it.
+// Guards sessions that go on elsewhere: a commit by a clock that is ahead of ours is told as its endpoint
+// told it.
 TEST_F(BothProtocols, ABookmarkTellsACommitThatIsAheadOfOurClock) {
   const auto ahead = std::chrono::duration_cast<std::chrono::milliseconds>(
                          std::chrono::system_clock::now().time_since_epoch())
@@ -791,7 +791,7 @@
 // Guards the rule on stale reads across protocols: what is written over Bolt binds a reader over PostgreSQL
 // that carries its position, and the other way round.
 TEST_F(BothProtocols, ABookmarkBindsReadersOfEitherProtocol) {
-  for (std::size_t i = 1; i < 3; ++i) rig.members[i]->lagMs = rig.graph[i]->lagMs = 60'000;
+  for (std::size_t i = 1; i < 3; ++i) rig.endpoints[i]->lagMs = rig.graph[i]->lagMs = 60'000;
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count();
@@ -801,7 +801,7 @@
   ASSERT_TRUE(graphClient.answered());
   const std::string mark = graphClient.bookmark();
   EXPECT_EQ(mark, "hf1:0:" + std::to_string(now) + ":own");
-  ClientStandIn rows(rig.loop, rig.endpoint);
+  ClientStandIn rows(rig.loop, rig.socketAddress);
   for (std::size_t i = 0; i < 10; ++i) {
     rows.ask(request("view", "r" + std::to_string(i), ",after=" + std::to_string(now)));
     ASSERT_TRUE(rows.answered(i + 1));
