--- a/tests/bolt_states_test.cpp
+++ b/tests/bolt_states_test.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 namespace peer = test::bolt;
-using Event = MemberSide::Event;
+using Event = EndpointSide::Event;
 using Step = ClientSide::Step;
 
-// A member's side with its connection up.
-class Member {
+// An endpoint's side with its connection up.
+class Endpoint {
  public:
-  Member() : client(login) {
+  Endpoint() : client(login) {
     client.start(out);
     feed(peer::version());
     EXPECT_EQ(feed(peer::success()), Event::NeedMore);
@@ -51,7 +51,7 @@
 
 const std::string kFields = peer::success({{"fields", peer::list({peer::text("n")})}});
 
-TEST(BoltMember, LogsOnAsTheVersionWantsIt) {
+TEST(BoltEndpoint, LogsOnAsTheVersionWantsIt) {
   for (unsigned minor = 0; minor <= 4; ++minor) {
     BoltLogin login;
     login.principal = "driver";
@@ -75,96 +75,96 @@
   }
 }
 
-TEST(BoltMember, ThatTurnsTheLoginDownOrSpeaksAnotherVersionIsNotUsed) {
-  Member member;
-  BoltClient refused(member.login);
+TEST(BoltEndpoint, ThatTurnsTheLoginDownOrSpeaksAnotherVersionIsNotUsed) {
+  Endpoint endpoint;
+  BoltClient rejected(endpoint.login);
   transport::Buffer out(4096);
-  refused.start(out);
+  rejected.start(out);
   std::string in = peer::version() + peer::failure("Neo.TransientError.Request.NoThreadsAvailable");
-  EXPECT_EQ(refused.feed(in, false, out), Event::Rejected);
-  EXPECT_EQ(refused.answer().kind, Answer::Kind::Full);
+  EXPECT_EQ(rejected.feed(in, false, out), Event::Rejected);
+  EXPECT_EQ(rejected.answer().kind, Answer::Kind::Full);
   for (const std::string& version :
        {std::string(4, '\0'), peer::version(5), std::string("\0\0\4\4", 4), std::string("HTTP")}) {
-    BoltClient other(member.login);
+    BoltClient other(endpoint.login);
     other.start(out);
     EXPECT_EQ(other.feed(version, false, out), Event::Broken);
   }
 }
 
-TEST(BoltMember, AnAnswerIsWholeWithItsSummaryHoweverItIsSplit) {
+TEST(BoltEndpoint, AnAnswerIsWholeWithItsSummaryHoweverItIsSplit) {
   const std::string whole = kFields + peer::noOp() + peer::record({peer::integer(1)}) +
                             peer::success({{"wal_time", peer::integer(1767225600123)},
                                            {"mode", peer::text("read-write")},
                                            {"stats", peer::text("x0=1,x1=1")}});
   for (std::size_t at = 0; at <= whole.size(); ++at) {
-    Member member;
-    ASSERT_TRUE(member.client.ask(peer::run("1") + peer::pull(), {}, 500, member.out));
-    const Event first = member.feed(whole.substr(0, at));
+    Endpoint endpoint;
+    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    const Event first = endpoint.feed(whole.substr(0, at));
     EXPECT_EQ(first, at == whole.size() ? Event::Answered : Event::NeedMore) << at;
     if (at < whole.size()) {
-      ASSERT_EQ(member.feed(whole.substr(at)), Event::Answered) << at;
+      ASSERT_EQ(endpoint.feed(whole.substr(at)), Event::Answered) << at;
     }
-    EXPECT_EQ(member.passed(), whole);
-    EXPECT_EQ(member.client.answer().kind, Answer::Kind::Value);
-    EXPECT_EQ(member.client.answer().positionMs, 1767225600123);
-    EXPECT_EQ(member.client.answer().primary, true);
-    EXPECT_EQ(member.client.answer().report.of(member.in), "x0=1,x1=1");
-    EXPECT_EQ(member.client.answer().replies, 2U);
-    EXPECT_TRUE(member.client.usable());
+    EXPECT_EQ(endpoint.passed(), whole);
+    EXPECT_EQ(endpoint.client.answer().kind, Answer::Kind::Value);
+    EXPECT_EQ(endpoint.client.answer().positionMs, 1767225600123);
+    EXPECT_EQ(endpoint.client.answer().primary, true);
+    EXPECT_EQ(endpoint.client.answer().report.of(endpoint.in), "x0=1,x1=1");
+    EXPECT_EQ(endpoint.client.answer().replies, 2U);
+    EXPECT_TRUE(endpoint.client.usable());
   }
 }
 
-TEST(BoltMember, TellsFromWhichByteOnAnEffectMayStay) {
-  Member member;
-  ASSERT_TRUE(member.client.ask(peer::run("1") + peer::pull(), {}, 500, member.out));
-  EXPECT_EQ(member.client.runsFrom(), peer::run("1").size());
-  EXPECT_EQ(member.client.effectFrom(), peer::run("1").size());
-  Member open;
+TEST(BoltEndpoint, TellsFromWhichByteOnAnEffectMayStay) {
+  Endpoint endpoint;
+  ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+  EXPECT_EQ(endpoint.client.runsFrom(), peer::run("1").size());
+  EXPECT_EQ(endpoint.client.effectFrom(), peer::run("1").size());
+  Endpoint open;
   ASSERT_TRUE(open.client.ask(peer::begin() + peer::run("1"), {}, 500, open.out));
   EXPECT_EQ(open.client.runsFrom(), peer::begin().size());
-  EXPECT_EQ(open.client.effectFrom(), MemberSide::kNever);
+  EXPECT_EQ(open.client.effectFrom(), EndpointSide::kNever);
   ASSERT_TRUE(open.client.more(peer::pull() + peer::plain(peer::kCommit), open.out));
   EXPECT_EQ(open.client.effectFrom(), open.out.size()) << "with the last byte of COMMIT";
 }
 
-TEST(BoltMember, OpenTransactionsAnswerInPartsAndEndWithTheirCommit) {
-  Member member;
-  ASSERT_TRUE(member.client.ask(peer::begin(), {}, 500, member.out));
-  EXPECT_EQ(member.feed(peer::success()), Event::Part);
-  EXPECT_FALSE(member.client.owes());
-  member.drop();
-  ASSERT_TRUE(member.client.more(peer::run("1") + peer::pull(), member.out));
-  EXPECT_TRUE(member.client.owes());
-  EXPECT_EQ(member.feed(kFields), Event::Part) << "once a part is out nothing is held back";
-  member.drop();
-  EXPECT_EQ(member.feed(peer::success()), Event::Part);
-  member.drop();
-  ASSERT_TRUE(member.client.more(peer::plain(peer::kCommit), member.out));
-  EXPECT_EQ(member.feed(peer::success()), Event::Answered);
-  EXPECT_TRUE(member.client.usable());
+TEST(BoltEndpoint, OpenTransactionsAnswerInPartsAndEndWithTheirCommit) {
+  Endpoint endpoint;
+  ASSERT_TRUE(endpoint.client.ask(peer::begin(), {}, 500, endpoint.out));
+  EXPECT_EQ(endpoint.feed(peer::success()), Event::Part);
+  EXPECT_FALSE(endpoint.client.owes());
+  endpoint.drop();
+  ASSERT_TRUE(endpoint.client.more(peer::run("1") + peer::pull(), endpoint.out));
+  EXPECT_TRUE(endpoint.client.owes());
+  EXPECT_EQ(endpoint.feed(kFields), Event::Part) << "once a part is out nothing is held back";
+  endpoint.drop();
+  EXPECT_EQ(endpoint.feed(peer::success()), Event::Part);
+  endpoint.drop();
+  ASSERT_TRUE(endpoint.client.more(peer::plain(peer::kCommit), endpoint.out));
+  EXPECT_EQ(endpoint.feed(peer::success()), Event::Answered);
+  EXPECT_TRUE(endpoint.client.usable());
 }
 
-TEST(BoltMember, IsSetRightByAResetWhenARequestEndedBadly) {
-  Member member;
-  ASSERT_TRUE(member.client.ask(peer::run("1") + peer::pull(), {}, 500, member.out));
-  EXPECT_EQ(member.feed(peer::failure("Neo.ClientError.Statement.SyntaxError")), Event::NeedMore);
-  EXPECT_EQ(member.feed(peer::ignored()), Event::Answered);
-  EXPECT_EQ(member.client.answer().kind, Answer::Kind::Value);
-  EXPECT_FALSE(member.client.usable());
-  member.drop();
-  member.sent();
-  ASSERT_TRUE(member.client.tidy(member.out));
-  EXPECT_EQ(member.sent(), peer::plain(peer::kReset));
-  EXPECT_EQ(member.feed(peer::success()), Event::Ready);
-  EXPECT_TRUE(member.client.usable());
+TEST(BoltEndpoint, IsSetRightByAResetWhenARequestEndedBadly) {
+  Endpoint endpoint;
+  ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+  EXPECT_EQ(endpoint.feed(peer::failure("Neo.ClientError.Statement.SyntaxError")), Event::NeedMore);
+  EXPECT_EQ(endpoint.feed(peer::ignored()), Event::Answered);
+  EXPECT_EQ(endpoint.client.answer().kind, Answer::Kind::Value);
+  EXPECT_FALSE(endpoint.client.usable());
+  endpoint.drop();
+  endpoint.sent();
+  ASSERT_TRUE(endpoint.client.tidy(endpoint.out));
+  EXPECT_EQ(endpoint.sent(), peer::plain(peer::kReset));
+  EXPECT_EQ(endpoint.feed(peer::success()), Event::Ready);
+  EXPECT_TRUE(endpoint.client.usable());
 }
 
-// docs/bolt.md, the table of a member's codes.
-TEST(BoltMember, CodesSayWhatHasRun) {
+// docs/bolt.md, the table of an endpoint's codes.
+TEST(BoltEndpoint, CodesSayWhatHasRun) {
   struct Case {
     const char* code;
     Answer::Kind kind;
-    bool undone;
+    bool rolledBack;
   };
   for (const Case& c :
        {Case{"Neo.TransientError.Request.NoThreadsAvailable", Answer::Kind::Full, true},
@@ -177,24 +177,24 @@
         Case{"Neo.ClientError.Statement.SyntaxError", Answer::Kind::Value, false},
         Case{"Neo.DatabaseError.General.UnknownError", Answer::Kind::Error, false},
         Case{"Something.Else", Answer::Kind::Error, false}, Case{"", Answer::Kind::Error, false}}) {
-    Member member;
-    ASSERT_TRUE(member.client.ask(peer::run("1") + peer::pull(), {}, 500, member.out));
-    ASSERT_EQ(member.feed(peer::failure(c.code) + peer::ignored()), Event::Answered) << c.code;
-    EXPECT_EQ(member.client.answer().kind, c.kind) << c.code;
-    EXPECT_EQ(member.client.answer().undone, c.undone) << c.code;
+    Endpoint endpoint;
+    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    ASSERT_EQ(endpoint.feed(peer::failure(c.code) + peer::ignored()), Event::Answered) << c.code;
+    EXPECT_EQ(endpoint.client.answer().kind, c.kind) << c.code;
+    EXPECT_EQ(endpoint.client.answer().rolledBack, c.rolledBack) << c.code;
   }
   // A transaction has had no effect before its COMMIT; behind it what is not transient may have.
   for (const bool commits : {false, true}) {
-    Member member;
-    ASSERT_TRUE(member.client.ask(peer::begin() + (commits ? peer::plain(peer::kCommit) : peer::run("1")), {},
-                                  500, member.out));
-    ASSERT_EQ(member.feed(peer::success() + peer::failure("Neo.DatabaseError.General.UnknownError")),
+    Endpoint endpoint;
+    ASSERT_TRUE(endpoint.client.ask(peer::begin() + (commits ? peer::plain(peer::kCommit) : peer::run("1")),
+                                    {}, 500, endpoint.out));
+    ASSERT_EQ(endpoint.feed(peer::success() + peer::failure("Neo.DatabaseError.General.UnknownError")),
               Event::Answered);
-    EXPECT_EQ(member.client.answer().undone, !commits);
+    EXPECT_EQ(endpoint.client.answer().rolledBack, !commits);
   }
 }
 
-TEST(BoltMember, WhatMakesNoSenseBreaksTheConnection) {
+TEST(BoltEndpoint, WhatMakesNoSenseBreaksTheConnection) {
   const std::string value = peer::record({peer::integer(1)});
   for (const std::string& bytes :
        {value, kFields + value + peer::success() + peer::success(), kFields + peer::ignored(),
@@ -204,21 +204,21 @@
         kFields + peer::message(peer::kSuccess, {peer::list({})}),
         kFields + "\xFF\xFF" + std::string(70'000, 'x') + "\xFF\xFF",
         kFields + peer::chunked("\xB1\x71\x91" + std::string(100, '\x91'))}) {
-    Member member;
-    ASSERT_TRUE(member.client.ask(peer::run("1") + peer::pull(), {}, 500, member.out));
-    const Event event = member.feed(bytes);
+    Endpoint endpoint;
+    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    const Event event = endpoint.feed(bytes);
     // Bytes behind a whole answer are found when the connection is to be used again.
     if (event == Event::Answered) {
-      member.drop();
-      EXPECT_EQ(member.feed(""), Event::Broken);
+      endpoint.drop();
+      EXPECT_EQ(endpoint.feed(""), Event::Broken);
     } else {
       EXPECT_EQ(event, Event::Broken);
     }
-    EXPECT_FALSE(member.client.usable());
+    EXPECT_FALSE(endpoint.client.usable());
   }
 }
 
-TEST(BoltMember, SurvivesMutatedInput) {
+TEST(BoltEndpoint, SurvivesMutatedInput) {
   const std::string whole =
       kFields + peer::record({peer::text("a value"), peer::integer(7)}) +
       peer::success({{"mode", peer::text("read-only")}, {"has_more", peer::boolean(false)}});
@@ -227,13 +227,13 @@
   for (int round = 0; round < 5000; ++round) {
     std::string bytes = whole;
     for (int i = 0; i < 1 + round % 3; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
-    Member member;
-    ASSERT_TRUE(member.client.ask(peer::run("1") + peer::pull(), {}, 500, member.out));
-    const Event event = member.feed(bytes);
+    Endpoint endpoint;
+    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    const Event event = endpoint.feed(bytes);
     broken += event == Event::Broken ? 1 : 0;
-    ASSERT_LE(member.client.seen(), bytes.size());
+    ASSERT_LE(endpoint.client.seen(), bytes.size());
     if (event != Event::Answered) continue;
-    for (const Slice& piece : member.client.answer().pieces) ASSERT_LE(piece.at + piece.size, bytes.size());
+    for (const Slice& piece : endpoint.client.answer().pieces) ASSERT_LE(piece.at + piece.size, bytes.size());
   }
   EXPECT_GT(broken, 1000U);
 }
@@ -317,7 +317,7 @@
   EXPECT_GT(fatals, 1000U);
 }
 
-// Guards memory and the member: so many messages of one request may be without replies, and no more are
+// Guards memory and the endpoint: so many messages of one request may be without replies, and no more are
 // taken.
 TEST(BoltServerStates, BoundWhatIsPipelinedIntoOneRequest) {
   Client client;
@@ -338,7 +338,7 @@
   }
   EXPECT_EQ(more, BoltServer::kOwedMost);
   client.out.consume(client.out.size());
-  client.server->refused(250, client.out);
+  client.server->rejected(250, client.out);
   std::string told(client.out.view());
   const auto messages = peer::cut(told);
   ASSERT_EQ(messages.size(), BoltServer::kOwedMost) << "each has its reply";
--- a/tests/client_leaving_test.cpp
+++ b/tests/client_leaving_test.cpp
@@ -16,20 +16,20 @@
 // of theirs is sent on, and what a client that stays has asked is.
 TEST_P(LeavingRule, NothingIsSentForABurstOfClientsThatLeftWhileHeld) {
   GatewayRig rig(speaking(), 1);
-  rig.members[0]->shut();
+  rig.endpoints[0]->shut();
   std::vector<std::unique_ptr<ClientStandIn>> burst;
   for (int i = 0; i < 20; ++i) {
-    burst.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.endpoint));
+    burst.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
     burst.back()->ask(request("save", "left" + std::to_string(i)));
   }
-  ClientStandIn stays(rig.loop, rig.endpoint);
+  ClientStandIn stays(rig.loop, rig.socketAddress);
   stays.ask(request("save", "stays"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 21; }));
   for (auto& client : burst) client->hangUp();
-  rig.members[0]->reopen();
+  rig.endpoints[0]->reopen();
   ASSERT_TRUE(stays.answered());
   EXPECT_EQ(rig.counters().requestsLeft, 20U);
-  for (const std::string& statement : rig.members[0]->statements)
+  for (const std::string& statement : rig.endpoints[0]->statements)
     EXPECT_EQ(statement.find("id=left"), std::string::npos) << statement;
 }
 
@@ -38,13 +38,13 @@
   GatewayRig rig(speaking(), 1);
   Line* held = nullptr;
   rig.answerAll([&](Line& line, const std::string&) { held = &line; });
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   std::string all = openingOf(GetParam());
   for (int i = 0; i < 5; ++i) all += askingOf(GetParam(), request("save", std::to_string(i)));
   ASSERT_TRUE(client.send(all));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
   // The answer to the first and the client's end are there in one turn, in both orders of the loop's choice.
-  held->say(rig.members[0]->value("the first"));
+  held->say(rig.endpoints[0]->value("the first"));
   client.resetNow();
   ASSERT_TRUE(rig.until([&] {
     return rig.counters().requestsServed + rig.counters().requestsLeft >= 1 &&
@@ -52,7 +52,7 @@
   }));
   rig.loop.turn(0);
   // Where the answer was seen before the end, the next one had begun by then.
-  EXPECT_LE(rig.members[0]->statements.size(), 2U);
+  EXPECT_LE(rig.endpoints[0]->statements.size(), 2U);
   EXPECT_LE(rig.counters().requestsTaken, 2U);
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -49,7 +49,7 @@
   const auto& call = std::get<CallRecord>(record);
   EXPECT_EQ(call.request, 0x5d3a91c4U);
   EXPECT_FLOAT_EQ(call.group, 11.0F);
-  EXPECT_EQ(call.estimate, 12000U);
+  EXPECT_EQ(call.estimatedWork, 12000U);
   EXPECT_FLOAT_EQ(call.tokenAgeMs, 412.5F);
   EXPECT_EQ(call.session, 0x91f03b7c55d20a64U);
   EXPECT_EQ(call.attributes, 1U);
@@ -70,16 +70,16 @@
   ASSERT_EQ(list.rows.size(), 2U);
   EXPECT_EQ(list.rows[0].cluster, 11U);
   EXPECT_EQ(list.rows[0].status, 1U);
-  EXPECT_FLOAT_EQ(list.rows[0].leads, 1.0F);
-  EXPECT_EQ(list.rows[1].launched, 0x5d1420U);
+  EXPECT_FLOAT_EQ(list.rows[0].listedPrimary, 1.0F);
+  EXPECT_EQ(list.rows[1].startedAt, 0x5d1420U);
   EXPECT_FLOAT_EQ(list.rows[1].nominal, 1.5F);
-  EXPECT_NE(list.rows[0].member, list.rows[1].member);
-  const auto members = std::get<MembersRecord>(only("0500 00000000 02 29000000"));
-  EXPECT_EQ(members.scope, 2U);
-  EXPECT_EQ(members.version, 41U);
+  EXPECT_NE(list.rows[0].endpoint, list.rows[1].endpoint);
+  const auto endpoints = std::get<EndpointsRecord>(only("0500 00000000 02 29000000"));
+  EXPECT_EQ(endpoints.scope, 2U);
+  EXPECT_EQ(endpoints.version, 41U);
 }
 
-TEST(Decode, OutcomesProbesStreamsPeersAndEnds) {
+TEST(Decode, OutcomesHealthChecksStreamsPeersAndEnds) {
   const auto end =
       std::get<AttemptEndRecord>(only("0700 c4913a5d 0000 0a124a07 5b1b 0100 44480000 01 8e630000 00"));
   EXPECT_EQ(end.status, 1U);
@@ -98,7 +98,7 @@
   EXPECT_TRUE(std::holds_alternative<KillRecord>(only("0300")));
 }
 
-TEST(Decode, EveryCutOfAFrameIsRefused) {
+TEST(Decode, EveryCutOfAFrameIsRejected) {
   const std::string frame = fromHex(kTwoInstances);
   for (std::size_t size = 0; size < frame.size(); ++size) {
     EXPECT_THROW(
@@ -115,7 +115,7 @@
   }
 }
 
-TEST(Decode, WhatIsLongerThanItsRecordsIsRefused) {
+TEST(Decode, WhatIsLongerThanItsRecordsIsRejected) {
   const std::string bytes = fromHex("0300 00");
   RecordReader reader(bytes, 1);
   Record record;
@@ -123,7 +123,7 @@
   EXPECT_THROW(reader.next(record), FrameError);
 }
 
-TEST(Decode, CountsThatRunPastTheFrameAreRefusedBeforeMemoryIsTaken) {
+TEST(Decode, CountsThatRunPastTheFrameAreRejectedBeforeMemoryIsTaken) {
   for (const char* hex : {"0200 00000000 ffffffff", "0900 0000000000000000 ffffffff 7b7d",
                           "0800 0a9011f2 841b 0100 78050000 ff 00000000", "0c00 0200 ffff 6869"}) {
     const std::string bytes = fromHex(hex);
@@ -133,7 +133,7 @@
   }
 }
 
-TEST(Decode, UnknownCodesAndShortLengthsAreRefused) {
+TEST(Decode, UnknownCodesAndShortLengthsAreRejected) {
   const std::string bytes = fromHex("6300 00000000");
   RecordReader reader(bytes, 1);
   Record record;
@@ -141,10 +141,10 @@
   EXPECT_THROW(decodeHeader(fromHex("5a5c800000000000 0f000000 00000000")), FrameError);
 }
 
-TEST(Decode, MutatedFramesAreReadOrRefusedButNeverOverrun) {
+TEST(Decode, MutatedFramesAreReadOrRejectedButNeverOverrun) {
   const std::string frame = fromHex(kTwoInstances);
   std::mt19937 dice(11);
-  int refused = 0;
+  int rejected = 0;
   int accepted = 0;
   for (int round = 0; round < 20000; ++round) {
     std::string mutated = frame.substr(kBatchHeaderSize);
@@ -159,10 +159,10 @@
       }
       ++accepted;
     } catch (const FrameError&) {
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GT(refused, 0);
+  EXPECT_GT(rejected, 0);
   EXPECT_GT(accepted, 0);
 }
 
@@ -172,10 +172,10 @@
 }
 
 TEST(Encode, EveryActionAsTheWireShowsIt) {
-  WireMember member = 0;
+  WireEndpoint endpoint = 0;
   const std::string raw = fromHex("0a124a07 5b1b");
   for (std::size_t i = 0; i < raw.size(); ++i) {
-    member |= static_cast<WireMember>(static_cast<unsigned char>(raw[i])) << (8 * i);
+    endpoint |= static_cast<WireEndpoint>(static_cast<unsigned char>(raw[i])) << (8 * i);
   }
   const auto frameOf = [](auto&& write) {
     ReplyWriter writer;
@@ -183,14 +183,14 @@
     return toHex(writer.finish()).substr(16);
   };
   EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.at(3); }), "080003000000");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.forward(0x5d3a91c4, member, 0x8194da); }),
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.forward(0x5d3a91c4, endpoint, 0x8194da); }),
             "0b00c4913a5d0a124a075b1bda94810000000000");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.refuse(0x0e6f2b19, 250000); }), "0d00192b6f0e90d00300");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.reject(0x0e6f2b19, 250000); }), "0d00192b6f0e90d00300");
   EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.callOff(0x5d3a91c4, 0); }), "0500c4913a5d0000");
   EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.defer(0x4d, 500000); }), "0c004d0000000000000020a10700");
   EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.streamChanges(true); }), "070001");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.inspect(member); }), "01000a124a075b1b");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.release(member); }), "04000a124a075b1b");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.inspect(endpoint); }), "01000a124a075b1b");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.release(endpoint); }), "04000a124a075b1b");
   EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.error(0x0e6f2b19); }), "0a00192b6f0e");
 }
 
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -61,13 +61,13 @@
 TEST(CommandLine, ServesBoltBesideThePlatformsListenerWithLogsAsJson) {
   transport::EventLoop loop;
   DiscoveryStandIn discovery(loop);
-  MemberStandIn rows(loop, kLoopback + 1);
-  MemberStandIn graph(loop, kLoopback + 1, Speaks::Bolt);
+  EndpointStandIn rows(loop, kLoopback + 1);
+  EndpointStandIn graph(loop, kLoopback + 1, Speaks::Bolt);
   rows.primary = graph.primary = true;
-  discovery.members = "[" +
-                      entry("m0", rows.address(), true, "Ready", 0,
-                            ",\"ports\":{\"bolt\":" + std::to_string(graph.endpoint().port) + "}") +
-                      "]";
+  discovery.endpoints = "[" +
+                        entry("m0", rows.address(), true, "Ready", 0,
+                              ",\"ports\":{\"bolt\":" + std::to_string(graph.socketAddress().port) + "}") +
+                        "]";
   const TemporaryFile settings(R"(<heathflow xmlns="urn:heathflow:settings:1" version="1">
     <log form="json"/>
     <listeners><listener name="graph" address="127.0.0.1:0" protocol="bolt">
@@ -75,12 +75,12 @@
     <families><family name="terms" cluster="0">
       <protocol name="postgresql" listed="true"/><protocol name="bolt"/></family></families>
   </heathflow>)");
-  Process process(configText({}, discovery.address(), discovery.members),
+  Process process(configText({}, discovery.address(), discovery.endpoints),
                   {"serve", "--config", settings.path()});
   const auto until = [&](auto&& condition) { return test::until(loop, condition); };
   const auto place = [&](const std::string& mark) {
     const std::size_t at = process.log().find(mark) + mark.size();
-    return transport::parseEndpoint(process.log().substr(at, process.log().find('"', at) - at)).value();
+    return transport::parseSocketAddress(process.log().substr(at, process.log().find('"', at) - at)).value();
   };
   ASSERT_TRUE(until([&] { return process.says("speaks bolt at ") || process.over(); }));
   ASSERT_FALSE(process.over()) << process.log();
--- a/tests/connection_closing_test.cpp
+++ b/tests/connection_closing_test.cpp
@@ -14,9 +14,9 @@
 // neither sent on nor answered by a reset, and the answer before it is read whole.
 TEST_P(ClosingRule, ARequestThatCrossesTheCloseIsServedOrDroppedAndNeverReset) {
   GatewayRig rig(speaking());
-  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.members[0]->value("the answer")); });
-  PlainSocket early(rig.loop, rig.endpoint);
-  PlainSocket late(rig.loop, rig.endpoint);
+  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("the answer")); });
+  PlainSocket early(rig.loop, rig.socketAddress);
+  PlainSocket late(rig.loop, rig.socketAddress);
   ASSERT_TRUE(early.send(openingOf(GetParam()) + askingOf(GetParam(), request("any", "1"))));
   ASSERT_TRUE(late.send(openingOf(GetParam()) + askingOf(GetParam(), request("any", "2"))));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsServed == 2; }));
@@ -56,7 +56,7 @@
 // order, and the process waits for it.
 TEST_P(ClosingRule, TheEndWaitsForAClientThatWritesOnAndHasNotReadYet) {
   GatewayRig rig(speaking());
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   bool done = false;
   ASSERT_NO_FATAL_FAILURE(endBehindAnUnreadAnswer(rig, client, done));
   for (int i = 0; i < 50; ++i) {
@@ -75,7 +75,7 @@
 // The bound in time: one that neither reads nor closes does not hold the end up for good.
 TEST_P(ClosingRule, TheEndComesThoughAClientNeverCloses) {
   GatewayRig rig(speaking());
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   bool done = false;
   ASSERT_NO_FATAL_FAILURE(endBehindAnUnreadAnswer(rig, client, done));
   EXPECT_TRUE(rig.until([&] { return done; }));
@@ -90,7 +90,7 @@
   GatewayRig rig(options);
   std::vector<std::unique_ptr<PlainSocket>> crowd;
   for (int i = 0; i < 30; ++i) {
-    crowd.push_back(std::make_unique<PlainSocket>(rig.loop, rig.endpoint));
+    crowd.push_back(std::make_unique<PlainSocket>(rig.loop, rig.socketAddress));
     ASSERT_TRUE(
         crowd.back()->send(openingOf(GetParam()) + askingOf(GetParam(), request("any", std::to_string(i)))));
     ASSERT_TRUE(
@@ -107,7 +107,7 @@
     EXPECT_TRUE(client->send(askingOf(GetParam(), request("any", "more"))));
   }
   // New ones find a place all the same: those that linger go first.
-  ClientStandIn fresh(rig.loop, rig.endpoint);
+  ClientStandIn fresh(rig.loop, rig.socketAddress);
   fresh.ask(request("any", "fresh"));
   EXPECT_TRUE(fresh.answered());
   EXPECT_EQ(fresh.types(), "TDCZ");
--- a/tests/crossing.h
+++ b/tests/crossing.h
@@ -1,5 +1,5 @@
 // What the tests of crossing events share: each holds one event in an exact state, makes the other happen
-// there, and looks from outside at what the client read, what members received and how connections ended.
+// there, and looks from outside at what the client read, what endpoints received and how connections ended.
 // docs/crossings.md lists the pairs.
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace heathflow::test {
 
-// Runs on every protocol that clients and members may speak. Suites of a subject derive from it.
+// Runs on every protocol that clients and endpoints may speak. Suites of a subject derive from it.
 class ClosingRule : public testing::TestWithParam<Speaks> {
  protected:
   static GatewayOptions speaking() {
@@ -29,10 +29,10 @@
 constexpr transport::Micros kSecond = 1'000'000;
 
 // A gateway whose clock is moved by hand, and that asks discovery within that time.
-inline GatewayOptions byHand(long askWithinMs) {
+inline GatewayOptions byHand(long maxPollIntervalMs) {
   GatewayOptions out;
   out.byHand = true;
-  out.askWithinMs = askWithinMs;
+  out.maxPollIntervalMs = maxPollIntervalMs;
   return out;
 }
 
--- a/tests/decision_stream_test.cpp
+++ b/tests/decision_stream_test.cpp
@@ -11,8 +11,8 @@
 #include <string>
 #include <vector>
 
+#include "common/overloaded.h"
 #include "decision_recording.h"
-#include "overloaded.h"
 #include "rig.h"
 
 namespace heathflow::test {
@@ -55,10 +55,10 @@
 // Drives one router with random events of every kind, some of them answers to its actions.
 class RandomWorld {
  public:
-  RandomWorld(Settings settings, std::uint64_t seed)
-      : random_(seed), classes_(settings.classes.size()), logic_(std::move(settings), seed, now_, actions_) {
+  RandomWorld(PolicySettings settings, std::uint64_t seed)
+      : random_(seed), classes_(settings.classes.size()), policy_(std::move(settings), seed, now_, actions_) {
     collect();
-    changeMembers(MembersChanged::Scope::Full);
+    changeEndpoints(EndpointsChanged::Scope::Full);
   }
 
   std::string run(int steps) {
@@ -67,7 +67,7 @@
       fireDueTimers();
       takeStep();
     }
-    feed(Stopping{now_ + 100 * kMs});
+    feed(ShutdownStarted{now_ + 100 * kMs});
     now_ += 200 * kMs;
     fireDueTimers();
     return summary();
@@ -76,13 +76,13 @@
  private:
   struct Pending {
     std::uint32_t attempt;
-    MemberId member;
+    EndpointId endpoint;
   };
 
   std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
 
   void feed(const Event& event) {
-    logic_.handle(now_, event, actions_);
+    policy_.handle(now_, event, actions_);
     collect();
   }
 
@@ -90,14 +90,14 @@
     const std::uint64_t draw = below(1000);
     if (draw < 380) return submit();
     if (draw < 760) return endAttempt();
-    if (draw < 880) return endProbe();
-    if (draw < 900) return changeMembers(static_cast<MembersChanged::Scope>(below(3)));
-    if (draw < 904) return feed(ListExpired{2 * kS, now_ - static_cast<Micros>(below(4 * kS))});
-    if (draw < 906) return feed(ListExpired{});
+    if (draw < 880) return endHealthCheck();
+    if (draw < 900) return changeEndpoints(static_cast<EndpointsChanged::Scope>(below(3)));
+    if (draw < 904) return feed(EndpointListExpired{2 * kS, now_ - static_cast<Micros>(below(4 * kS))});
+    if (draw < 906) return feed(EndpointListExpired{});
     if (draw < 930) return feed(AttemptConnected{anyRequest(), static_cast<std::uint32_t>(below(3))});
-    if (draw < 950) return feed(AttemptBound{anyRequest(), static_cast<std::uint32_t>(below(3))});
-    if (draw < 965) return feed(AttemptStreaming{anyRequest(), 0});
-    if (draw < 990) return feed(ClientLeft{anyRequest()});
+    if (draw < 950) return feed(ResponsePartForwarded{anyRequest(), static_cast<std::uint32_t>(below(3))});
+    if (draw < 965) return feed(ResponseStreaming{anyRequest(), 0});
+    if (draw < 990) return feed(ClientDisconnected{anyRequest()});
     now_ += static_cast<Micros>(below(3 * kS));
   }
 
@@ -109,9 +109,9 @@
     request.group = static_cast<GroupId>(1 + below(3));
     request.classIndex = static_cast<std::uint32_t>(below(classes_));
     request.session = below(8);
-    if (below(3) == 0) request.sinceLastWrite = static_cast<Micros>(below(2 * kS));
-    if (below(4) == 0) request.estimate = static_cast<Micros>(below(100 * kMs));
-    request.repeat = below(10) == 0;
+    if (below(3) == 0) request.timeSinceLastWrite = static_cast<Micros>(below(2 * kS));
+    if (below(4) == 0) request.estimatedWork = static_cast<Micros>(below(100 * kMs));
+    request.isClientRetry = below(10) == 0;
     request.deadline = now_ + static_cast<Micros>(below(3 * kS));
     feed(RequestArrived{request});
   }
@@ -125,50 +125,50 @@
     AttemptEnded event;
     event.request = request;
     event.attempt = attempt.attempt;
-    event.member = attempt.member;
-    event.outcome = below(10) < 6 ? Outcome::Ok : static_cast<Outcome>(below(12));
+    event.endpoint = attempt.endpoint;
+    event.outcome = below(10) < 6 ? AttemptOutcome::Ok : static_cast<AttemptOutcome>(below(12));
     event.elapsed = static_cast<Micros>(below(400 * kMs));
-    event.finished = event.outcome == Outcome::Ok;
-    event.undone = below(20) == 0;
-    event.mayBeFull = below(2) == 0;
-    if (below(2) == 0) event.role = attempt.member % 4 == 1 ? Role::Primary : Role::Replica;
+    event.requestFinished = event.outcome == AttemptOutcome::Ok;
+    event.rolledBack = below(20) == 0;
+    event.mayLackConnections = below(2) == 0;
+    if (below(2) == 0) event.role = attempt.endpoint % 4 == 1 ? Role::Primary : Role::Replica;
     if (below(2) == 0) event.position = now_ - static_cast<Micros>(below(4 * kS));
-    event.report = report(attempt.member);
+    event.report = report(attempt.endpoint);
     feed(event);
   }
 
-  Report report(MemberId member) {
-    Report out;
+  LoadReport report(EndpointId endpoint) {
+    LoadReport out;
     if (below(2) == 0) out.position = now_ - static_cast<Micros>(below(4 * kS));
-    if (below(2) == 0) out.role = member % 4 == 1 && below(8) != 0 ? Role::Primary : Role::Replica;
+    if (below(2) == 0) out.role = endpoint % 4 == 1 && below(8) != 0 ? Role::Primary : Role::Replica;
     return out;
   }
 
-  void endProbe() {
-    if (probes_.empty()) return;
-    const std::size_t index = below(probes_.size());
-    ProbeEnded event;
-    event.member = probes_[index];
-    probes_.erase(probes_.begin() + static_cast<std::ptrdiff_t>(index));
+  void endHealthCheck() {
+    if (healthChecks_.empty()) return;
+    const std::size_t index = below(healthChecks_.size());
+    HealthCheckEnded event;
+    event.endpoint = healthChecks_[index];
+    healthChecks_.erase(healthChecks_.begin() + static_cast<std::ptrdiff_t>(index));
     event.ok = below(8) != 0;
     event.elapsed = static_cast<Micros>(below(40 * kMs));
-    if (event.ok) event.report = report(event.member);
-    event.turnedAway = !event.ok && below(2) == 0;
-    event.unwilling = event.turnedAway && below(2) == 0;
-    event.stood = static_cast<Micros>(below(5 * kS));
+    if (event.ok) event.report = report(event.endpoint);
+    event.rejected = !event.ok && below(2) == 0;
+    event.refusesNewWork = event.rejected && below(2) == 0;
+    event.connectionAge = static_cast<Micros>(below(5 * kS));
     feed(event);
   }
 
-  void changeMembers(MembersChanged::Scope scope) {
-    MembersChanged event;
+  void changeEndpoints(EndpointsChanged::Scope scope) {
+    EndpointsChanged event;
     event.scope = scope;
-    for (MemberId id = 1; id <= 12 && scope != MembersChanged::Scope::Failed; ++id) {
-      if (below(scope == MembersChanged::Scope::Full ? 12 : 3) == 0) continue;
-      const auto state = static_cast<MemberState>(below(10) < 8 ? 1 : below(3));
-      Member member = makeMember(id, id % 4 == 1, state, below(6) == 0 ? now_ - 5 * kS : 0);
-      member.group = static_cast<GroupId>(1 + (id - 1) / 4);
-      member.zone = static_cast<std::uint32_t>(id % 2);
-      event.members.push_back(member);
+    for (EndpointId id = 1; id <= 12 && scope != EndpointsChanged::Scope::Failed; ++id) {
+      if (below(scope == EndpointsChanged::Scope::Full ? 12 : 3) == 0) continue;
+      const auto state = static_cast<EndpointStatus>(below(10) < 8 ? 1 : below(3));
+      Endpoint endpoint = makeEndpoint(id, id % 4 == 1, state, below(6) == 0 ? now_ - 5 * kS : 0);
+      endpoint.group = static_cast<GroupId>(1 + (id - 1) / 4);
+      endpoint.zone = static_cast<std::uint32_t>(id % 2);
+      event.endpoints.push_back(endpoint);
     }
     feed(event);
   }
@@ -185,29 +185,29 @@
     for (const Action& action : actions_) {
       std::ostringstream line;
       line << now_ << ' ' << action.index();
-      std::visit(Overloaded{
-                     [&](const Attempt& a) {
-                       line << ' ' << a.request << ' ' << a.member << ' ' << a.abandonAt << ' '
-                            << a.asPrimary;
-                       pending_.emplace(a.request, Pending{attempts_[a.request]++, a.member});
-                     },
-                     [&](const Cancel& a) { line << ' ' << a.request << ' ' << a.attempt; },
-                     [&](const Refuse& a) {
-                       line << ' ' << a.request << ' ' << a.retryAfter << ' ' << static_cast<int>(a.why);
-                     },
-                     [&](const Fail& a) { line << ' ' << a.request << ' ' << static_cast<int>(a.why); },
-                     [&](const Probe& a) {
-                       line << ' ' << a.member << ' ' << static_cast<int>(a.reason) << ' ' << a.onOldest;
-                       probes_.push_back(a.member);
-                     },
-                     [&](const Disconnect& a) { line << ' ' << a.member; },
-                     [&](const Subscribe&) {},
-                     [&](const SetTimer& a) {
-                       line << ' ' << a.token << ' ' << a.after;
-                       timers_.emplace(now_ + a.after, a.token);
-                     },
-                 },
-                 action);
+      std::visit(
+          Overloaded{
+              [&](const SendAttempt& a) {
+                line << ' ' << a.request << ' ' << a.endpoint << ' ' << a.abandonAt << ' ' << a.asPrimary;
+                pending_.emplace(a.request, Pending{attempts_[a.request]++, a.endpoint});
+              },
+              [&](const CancelAttempt& a) { line << ' ' << a.request << ' ' << a.attempt; },
+              [&](const RejectRequest& a) {
+                line << ' ' << a.request << ' ' << a.retryAfter << ' ' << static_cast<int>(a.reason);
+              },
+              [&](const FailRequest& a) { line << ' ' << a.request << ' ' << static_cast<int>(a.reason); },
+              [&](const StartHealthCheck& a) {
+                line << ' ' << a.endpoint << ' ' << static_cast<int>(a.reason) << ' ' << a.onOldestConnection;
+                healthChecks_.push_back(a.endpoint);
+              },
+              [&](const CloseIdleConnections& a) { line << ' ' << a.endpoint; },
+              [&](const SubscribeToEndpoints&) {},
+              [&](const SetTimer& a) {
+                line << ' ' << a.token << ' ' << a.after;
+                timers_.emplace(now_ + a.after, a.token);
+              },
+          },
+          action);
       line << '\n';
       ++counts_.at(action.index());
       for (const char c : line.str()) hash_ = (hash_ ^ static_cast<unsigned char>(c)) * kFnvPrime;
@@ -229,33 +229,33 @@
   std::size_t classes_;
   Micros now_ = kStart;
   std::vector<Action> actions_;
-  Logic logic_;
+  RoutingPolicy policy_;
   RequestId lastId_ = 100;
   std::multimap<RequestId, Pending> pending_;
   std::map<RequestId, std::uint32_t> attempts_;
-  std::vector<MemberId> probes_;
+  std::vector<EndpointId> healthChecks_;
   std::multimap<Micros, std::uint64_t> timers_;
   std::array<std::size_t, std::variant_size_v<Action>> counts_{};  // in the order of Action's alternatives
   std::uint64_t hash_ = kFnvOffset;
 };
 
-Settings variant(int number) {
-  Settings settings = makeSettings();
-  settings.guard = static_cast<Guard>(number % 3);
-  settings.tokens = static_cast<TokenMode>(number / 2 % 3);
-  settings.mustAsk = number % 2 == 1;
-  settings.goneIsAdvice = number % 4 == 3;
-  settings.parallelTries = number % 5 == 1;
-  settings.mayProbe = number != 5;
-  settings.probesTellRole = number % 7 != 6;
-  settings.probesTellPosition = number % 7 != 4;
-  settings.answersTellPosition = number % 2 == 0;
-  settings.catchUpWait = number % 3 == 2 ? 30 * kMs : 0;
-  settings.crossingCosts = number % 6 == 2;
-  settings.drivers = number % 4 == 1 ? 60 : 2;
-  settings.usual = number == 7 ? 20 * kMs : 0;
+PolicySettings variant(int number) {
+  PolicySettings settings = makeSettings();
+  settings.staleReads = static_cast<StaleReadBehavior>(number % 3);
+  settings.sessionTokens = static_cast<SessionTokenSource>(number / 2 % 3);
+  settings.discoveryIsPolled = number % 2 == 1;
+  settings.removalIsAdvisory = number % 4 == 3;
+  settings.hedgingAllowed = number % 5 == 1;
+  settings.healthChecksAllowed = number != 5;
+  settings.healthChecksReportRole = number % 7 != 6;
+  settings.healthChecksReportPosition = number % 7 != 4;
+  settings.responsesReportPosition = number % 2 == 0;
+  settings.catchUpTimeout = number % 3 == 2 ? 30 * kMs : 0;
+  settings.crossZoneTrafficHasCost = number % 6 == 2;
+  settings.gatewayCount = number % 4 == 1 ? 60 : 2;
+  settings.initialLatency = number == 7 ? 20 * kMs : 0;
   for (std::size_t i = 0; i < settings.classes.size(); ++i)
-    settings.classes[i].scope = static_cast<KeyScope>((static_cast<std::size_t>(number) + i) % 4);
+    settings.classes[i].keyScope = static_cast<KeyScope>((static_cast<std::size_t>(number) + i) % 4);
   return settings;
 }
 
--- a/tests/departed_client_test.cpp
+++ b/tests/departed_client_test.cpp
@@ -1,6 +1,6 @@
 // A client that has closed its connection, or taken its request back, has left: none of its requests is begun
 // any more, neither a first attempt nor a further one. Each test brings the gateway into one state, lets the
-// client leave there, and looks at what members receive.
+// client leave there, and looks at what endpoints receive.
 #include <gtest/gtest.h>
 
 #include "standins/gateway_rig.h"
@@ -27,7 +27,7 @@
 class Rig final : public GatewayRig {
  public:
   using GatewayRig::GatewayRig;
-  // How many statements with such an id members have had.
+  // How many statements with such an id endpoints have had.
   std::size_t sent(const std::string& id) const {
     std::size_t count = 0;
     for (const std::string& statement : statements()) {
@@ -41,7 +41,7 @@
   }
   // Leaves an idle connection to the primary, so that whatever is begun reaches it in the same turn.
   void warmUp() {
-    ClientStandIn client(loop, endpoint);
+    ClientStandIn client(loop, socketAddress);
     client.ask(request("save", "warm-up"));
     ASSERT_TRUE(client.answered());
     client.hangUp();
@@ -67,7 +67,7 @@
     for (const bool stood : {false, true}) {
       Rig rig(options(), 1);
       rig.warmUp();
-      PlainSocket client(rig.loop, rig.endpoint);
+      PlainSocket client(rig.loop, rig.socketAddress);
       if (stood) {
         ASSERT_TRUE(client.send(opening()));
         ASSERT_TRUE(rig.until([&] { return !client.read().empty(); }));
@@ -88,10 +88,10 @@
 TEST_P(DepartedClient, WhoseRequestWaitsForItsNextAttemptIsNotSentAgain) {
   for (const bool leaves : {false, true}) {
     Rig rig(options(), 1);
-    rig.answerAll([&](Line& line, const std::string&) { line.say(rig.members[0]->error("53300")); });
-    PlainSocket client(rig.loop, rig.endpoint);
+    rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->error("53300")); });
+    PlainSocket client(rig.loop, rig.socketAddress);
     ASSERT_TRUE(client.send(opening() + asking("one")));
-    ASSERT_TRUE(rig.until([&] { return rig.outcomes(Outcome::Full) == 1; }));
+    ASSERT_TRUE(rig.until([&] { return rig.outcomes(AttemptOutcome::Overloaded) == 1; }));
     const std::size_t before = rig.sent("one");
     if (leaves) client.hangUp();
     rig.pass(kLongEnough);
@@ -107,19 +107,19 @@
 // Its second attempt waits for its connection when the client leaves.
 TEST_P(DepartedClient, WhoseFurtherAttemptWaitsForItsConnectionIsNotSentOn) {
   Rig rig(options(), 3);
-  for (auto& member : rig.members) {
-    member->answer = [&rig, &first = *member](Line& line, const std::string&) {
-      for (auto& other : rig.members) other->welcomes = other.get() == &first;
+  for (auto& endpoint : rig.endpoints) {
+    endpoint->answer = [&rig, &first = *endpoint](Line& line, const std::string&) {
+      for (auto& other : rig.endpoints) other->welcomes = other.get() == &first;
       line.say(first.error("XX000"));
     };
   }
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + askingOf(GetParam(), request("any", "one"))));
   ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 2; }));
   ASSERT_EQ(rig.counters().attemptsWritten, 1U);
   client.hangUp();
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
-  for (auto& member : rig.members) member->welcomeNow();
+  for (auto& endpoint : rig.endpoints) endpoint->welcomeNow();
   rig.pass(kLongEnough);
   EXPECT_EQ(rig.sent("one"), 1U);
 }
@@ -127,15 +127,15 @@
 // Nobody leads the group, so that the request is held; then somebody does.
 TEST_P(DepartedClient, WhoseRequestIsHeldIsNotSentWhenItCouldBe) {
   Rig rig(options(), 1);
-  rig.members[0]->shut();
-  PlainSocket client(rig.loop, rig.endpoint);
-  ClientStandIn stays(rig.loop, rig.endpoint);
+  rig.endpoints[0]->shut();
+  PlainSocket client(rig.loop, rig.socketAddress);
+  ClientStandIn stays(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("one")));
   stays.ask(request("save", "two"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 2; }));
   client.hangUp();
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
-  rig.members[0]->reopen();
+  rig.endpoints[0]->reopen();
   ASSERT_TRUE(stays.answered());
   rig.pass(kLongEnough);
   EXPECT_EQ(rig.sent("one"), 0U);
@@ -148,7 +148,7 @@
   Rig rig(options(), 1);
   Line* held = nullptr;
   rig.answerAll([&](Line& line, const std::string&) { held = &line; });
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("first")));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
   std::string more;
@@ -180,13 +180,13 @@
 
 TEST_F(TakenBack, ARequestThatWaitsForItsConnectionIsNotSentOn) {
   Rig rig(options(), 1);
-  rig.members[0]->welcomes = false;
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  rig.endpoints[0]->welcomes = false;
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(asking("one"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 1; }));
   client.say(bolt::plain(bolt::kReset));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
-  rig.members[0]->welcomeNow();
+  rig.endpoints[0]->welcomeNow();
   client.say(asking("two"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsServed == 1; }));
   rig.pass(kLongEnough);
@@ -196,10 +196,10 @@
 
 TEST_F(TakenBack, ARequestThatWaitsForItsNextAttemptIsNotSentAgain) {
   Rig rig(options(), 1);
-  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.members[0]->error("53300")); });
-  BoltClientStandIn client(rig.loop, rig.endpoint);
+  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->error("53300")); });
+  BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(asking("one"));
-  ASSERT_TRUE(rig.until([&] { return rig.outcomes(Outcome::Full) == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.outcomes(AttemptOutcome::Overloaded) == 1; }));
   const std::size_t before = rig.sent("one");
   client.say(bolt::plain(bolt::kReset));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
--- a/tests/dialing_test.cpp
+++ b/tests/dialing_test.cpp
@@ -10,11 +10,11 @@
 
 class DialRule : public ClosingRule {};
 
-// A request has been taken, and its connection to the first member stands and waits for the welcome.
+// A request has been taken, and its connection to the first endpoint stands and waits for the welcome.
 bool waitsForAWelcome(GatewayRig& rig) {
   return rig.until([&] {
-    return rig.counters().requestsTaken == 1 && rig.members[0]->openLines() > 0 &&
-           !rig.members[0]->lines.back()->got.empty();
+    return rig.counters().requestsTaken == 1 && rig.endpoints[0]->openLines() > 0 &&
+           !rig.endpoints[0]->lines.back()->got.empty();
   });
 }
 
@@ -24,23 +24,23 @@
   for (const bool listFirst : {true, false}) {
     GatewayRig rig(speaking(), 2);
     ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-    rig.members[1]->welcomes = false;
-    ClientStandIn client(rig.loop, rig.endpoint);
+    rig.endpoints[1]->welcomes = false;
+    ClientStandIn client(rig.loop, rig.socketAddress);
     client.ask(request("any", "1"));
     ASSERT_TRUE(
-        rig.until([&] { return rig.counters().attemptsMade == 1 && rig.members[1]->openLines() > 0; }));
-    if (!listFirst) rig.members[1]->welcomeNow();
+        rig.until([&] { return rig.counters().attemptsMade == 1 && rig.endpoints[1]->openLines() > 0; }));
+    if (!listFirst) rig.endpoints[1]->welcomeNow();
     rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "]");
-    if (listFirst) rig.members[1]->welcomeNow();
+    if (listFirst) rig.endpoints[1]->welcomeNow();
     ASSERT_TRUE(client.answered());
     EXPECT_EQ(client.types(), "TDCZ");
     EXPECT_EQ(rig.statements().size(), 1U) << "once, wherever it was";
     if (listFirst) {
-      EXPECT_TRUE(rig.members[1]->statements.empty());
+      EXPECT_TRUE(rig.endpoints[1]->statements.empty());
     }
     client.ask(request("any", "2"));
     ASSERT_TRUE(client.answered(2));
-    EXPECT_EQ(client.value(1), "from " + rig.members[0]->address()) << "what comes later goes elsewhere";
+    EXPECT_EQ(client.value(1), "from " + rig.endpoints[0]->address()) << "what comes later goes elsewhere";
   }
 }
 
@@ -49,26 +49,26 @@
 TEST_P(DialRule, NothingIsSentForAClientThatLeftWhileAConnectionCameUp) {
   for (const bool sameTurn : {false, true}) {
     GatewayRig rig(speaking(), 1);
-    rig.members[0]->welcomes = false;
-    auto client = std::make_unique<ClientStandIn>(rig.loop, rig.endpoint);
+    rig.endpoints[0]->welcomes = false;
+    auto client = std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress);
     client->ask(request("save", "1"));
     ASSERT_TRUE(waitsForAWelcome(rig));
     client->hangUp();
     if (!sameTurn) {
       ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
     }
-    rig.members[0]->welcomeNow();
+    rig.endpoints[0]->welcomeNow();
     ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
-    ClientStandIn next(rig.loop, rig.endpoint);
+    ClientStandIn next(rig.loop, rig.socketAddress);
     next.ask(request("save", "2"));
     ASSERT_TRUE(next.answered());
-    EXPECT_EQ(next.value(), "from " + rig.members[0]->address());
+    EXPECT_EQ(next.value(), "from " + rig.endpoints[0]->address());
     EXPECT_EQ(rig.counters().requestsServed, 1U);
     // In the turn of the welcome it may have gone out before the leave was seen, and is then taken back.
-    const std::size_t sent = rig.members[0]->statements.size() - 1;
+    const std::size_t sent = rig.endpoints[0]->statements.size() - 1;
     EXPECT_LE(sent, sameTurn ? 1U : 0U);
-    EXPECT_EQ(rig.outcomes(Outcome::Cancelled), sent);
-    EXPECT_EQ(rig.outcomes(Outcome::NeverSent), 1U - sent);
+    EXPECT_EQ(rig.outcomes(AttemptOutcome::Cancelled), sent);
+    EXPECT_EQ(rig.outcomes(AttemptOutcome::NotSent), 1U - sent);
   }
 }
 
@@ -78,15 +78,15 @@
   options.byHand = true;
   options.connectTimeoutMs = 60'000;
   GatewayRig rig(options, 1);
-  rig.members[0]->welcomes = false;
-  ClientStandIn client(rig.loop, rig.endpoint);
+  rig.endpoints[0]->welcomes = false;
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("save", "1", "", 1'000));
   ASSERT_TRUE(waitsForAWelcome(rig));
-  rig.members[0]->welcomeNow();
+  rig.endpoints[0]->welcomeNow();
   rig.loop.clock().moveTo(rig.loop.now() + 2 * kSecond);
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.types(), "EZ");
-  EXPECT_TRUE(rig.members[0]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[0]->statements.empty());
 }
 
 // The limit of the connection is due in the turn in which its welcome is there: it is used. (Bolt's welcome
@@ -95,32 +95,32 @@
   GatewayOptions options = byHand(10'000);
   options.connectTimeoutMs = 1'000;
   GatewayRig rig(options, 1);
-  rig.members[0]->welcomes = false;
-  ClientStandIn client(rig.loop, rig.endpoint);
+  rig.endpoints[0]->welcomes = false;
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("save", "1"));
   ASSERT_TRUE(waitsForAWelcome(rig));
-  rig.members[0]->welcomeNow();
+  rig.endpoints[0]->welcomeNow();
   rig.loop.clock().moveTo(rig.loop.now() + 2 * kSecond);
   ASSERT_TRUE(client.answered());
-  EXPECT_EQ(client.value(), "from " + rig.members[0]->address());
+  EXPECT_EQ(client.value(), "from " + rig.endpoints[0]->address());
   EXPECT_EQ(rig.counters().connectionsFailed, 0U);
 }
 
 // The dial fails in the turn in which its request is given up: one answer, and the place is free again.
 TEST_P(DialRule, AConnectionThatFailsInTheTurnInWhichItsClientLeavesEndsOnce) {
   GatewayRig rig(speaking(), 1);
-  rig.members[0]->welcomes = false;
-  auto client = std::make_unique<ClientStandIn>(rig.loop, rig.endpoint);
+  rig.endpoints[0]->welcomes = false;
+  auto client = std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress);
   client->ask(request("save", "1"));
   ASSERT_TRUE(
-      rig.until([&] { return rig.counters().requestsTaken == 1 && rig.members[0]->openLines() > 0; }));
+      rig.until([&] { return rig.counters().requestsTaken == 1 && rig.endpoints[0]->openLines() > 0; }));
   client->hangUp();
-  rig.members[0]->shut();
+  rig.endpoints[0]->shut();
   ASSERT_TRUE(rig.until([&] {
-    return rig.counters().requestsLeft + rig.counters().requestsFailed + rig.counters().requestsRefused == 1;
+    return rig.counters().requestsLeft + rig.counters().requestsFailed + rig.counters().requestsRejected == 1;
   }));
   EXPECT_TRUE(rig.until([&] { return rig.counters().descriptors == 0; }));
-  EXPECT_TRUE(rig.members[0]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[0]->statements.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Dialling, DialRule, kBoth, nameOf);
--- a/tests/documents_test.cpp
+++ b/tests/documents_test.cpp
@@ -4,9 +4,9 @@
 #include <random>
 #include <string>
 
+#include "protocol/endpoint_list.h"
 #include "protocol/http_response.h"
 #include "protocol/load_report.h"
-#include "protocol/member_list.h"
 #include "protocol/request_comment.h"
 
 namespace heathflow::protocol {
@@ -24,7 +24,7 @@
   EXPECT_EQ(comment->timeout.of(statement), "480");
   EXPECT_EQ(comment->group, 2U);
   EXPECT_EQ(comment->afterMs, 1767225600123);
-  EXPECT_TRUE(comment->repeat);
+  EXPECT_TRUE(comment->isClientRetry);
   EXPECT_EQ(comment->handle, "7f3a");
   EXPECT_FALSE(comment->write);
   EXPECT_FALSE(comment->keyed);
@@ -38,7 +38,7 @@
   EXPECT_EQ(comment->className, "a");
   EXPECT_FALSE(comment->timeoutMs);
   EXPECT_EQ(comment->timeout.size, 0U);
-  EXPECT_FALSE(comment->repeat);
+  EXPECT_FALSE(comment->isClientRetry);
 }
 
 // Guards against values that look like comments.
@@ -54,7 +54,7 @@
   EXPECT_TRUE(comment->keyed);
 }
 
-TEST(RequestComments, AreRefusedWhereTheyCanNotBeRead) {
+TEST(RequestComments, AreRejectedWhereTheyCanNotBeRead) {
   for (const char* text : {" id=1,id=2 ", " id= ", " cluster=x ", " cluster=-1 ", " cluster=4294967296 ",
                            " d=1.5 ", " d=99999999999999999999 ", " d=12, d=13 ", " d=NaN ", " k= "}) {
     const std::string statement = std::string("SELECT blob FROM rows WHERE handle = 'k' /*") + text + "*/";
@@ -62,7 +62,7 @@
   }
 }
 
-// Guards members, which answer nothing else.
+// Guards endpoints, which answer nothing else.
 TEST(RequestComments, StandBehindOneOfTwoStatementsOnly) {
   const std::string comment = " /* id=1,c=a,cluster=0 */";
   for (const std::string statement :
@@ -188,60 +188,60 @@
   {"id":"s-2","host_port":"10.1.0.19:5432","cell":0,"phase":"Terminating"},
   {"id":"s-3","phase":"Gone"}]})";
 
-TEST(MemberLists, AreReadInFull) {
+TEST(EndpointLists, AreReadInFull) {
   std::string problem;
-  const auto list = parseMemberList(kList, problem);
+  const auto list = parseEndpointList(kList, problem);
   ASSERT_TRUE(list) << problem;
   EXPECT_EQ(list->revision, 41);
   EXPECT_TRUE(list->complete);
-  ASSERT_EQ(list->members.size(), 3U);
-  const ListedMember& first = list->members[0];
+  ASSERT_EQ(list->endpoints.size(), 3U);
+  const ListedEndpoint& first = list->endpoints[0];
   EXPECT_EQ(first.id, "s-5be2a07c");
   EXPECT_EQ(first.hostPort, "10.1.0.18:5432");
   EXPECT_EQ(first.cell, 3U);
-  EXPECT_EQ(first.phase, ListedMember::Phase::Ready);
+  EXPECT_EQ(first.phase, ListedEndpoint::Phase::Ready);
   EXPECT_EQ(first.size, 1.5);
   EXPECT_EQ(first.upSinceMs, 1767225600123);
   EXPECT_TRUE(first.primary);
-  EXPECT_EQ(list->members[1].phase, ListedMember::Phase::Terminating);
-  EXPECT_FALSE(list->members[1].primary);
-  EXPECT_EQ(list->members[2].phase, ListedMember::Phase::Gone);
+  EXPECT_EQ(list->endpoints[1].phase, ListedEndpoint::Phase::Terminating);
+  EXPECT_FALSE(list->endpoints[1].primary);
+  EXPECT_EQ(list->endpoints[2].phase, ListedEndpoint::Phase::Gone);
 }
 
-TEST(MemberLists, AreRefusedAsAWholeWithAPlainWord) {
-  const auto refused = [](const std::string& text) {
+TEST(EndpointLists, AreRejectedAsAWholeWithAPlainWord) {
+  const auto rejected = [](const std::string& text) {
     std::string problem;
-    const bool taken = parseMemberList(text, problem).has_value();
+    const bool taken = parseEndpointList(text, problem).has_value();
     EXPECT_EQ(taken, problem.empty());
     return problem;
   };
-  EXPECT_NE(refused("not json"), "");
-  EXPECT_NE(refused("[]"), "");
-  EXPECT_NE(refused(R"({"complete":true,"members":[]})").find("'revision'"), std::string::npos);
-  EXPECT_NE(refused(R"({"revision":1,"members":[]})").find("'complete'"), std::string::npos);
-  EXPECT_NE(refused(R"({"revision":1,"complete":true})").find("'members'"), std::string::npos);
-  EXPECT_NE(refused(R"({"revision":1,"complete":true,"members":[7]})").find("'members'"), std::string::npos);
-  EXPECT_NE(refused(R"({"revision":1,"complete":1,"members":[]})").find("'complete'"), std::string::npos);
+  EXPECT_NE(rejected("not json"), "");
+  EXPECT_NE(rejected("[]"), "");
+  EXPECT_NE(rejected(R"({"complete":true,"members":[]})").find("'revision'"), std::string::npos);
+  EXPECT_NE(rejected(R"({"revision":1,"members":[]})").find("'complete'"), std::string::npos);
+  EXPECT_NE(rejected(R"({"revision":1,"complete":true})").find("'members'"), std::string::npos);
+  EXPECT_NE(rejected(R"({"revision":1,"complete":true,"members":[7]})").find("'members'"), std::string::npos);
+  EXPECT_NE(rejected(R"({"revision":1,"complete":1,"members":[]})").find("'complete'"), std::string::npos);
   const std::string head = R"({"revision":1,"complete":true,"members":[{"id":"a","host_port":"1.2.3.4:5",)";
-  EXPECT_NE(refused(head + R"("cell":0,"phase":"Resting"}]})").find("'phase'"), std::string::npos);
-  EXPECT_NE(refused(head + R"("cell":-1,"phase":"Ready"}]})").find("'cell'"), std::string::npos);
-  EXPECT_NE(refused(head + R"("cell":"x","phase":"Ready"}]})").find("'cell'"), std::string::npos);
-  EXPECT_NE(refused(head + R"("cell":0,"phase":"Ready","up_since_ms":-3}]})").find("'up_since_ms'"),
+  EXPECT_NE(rejected(head + R"("cell":0,"phase":"Resting"}]})").find("'phase'"), std::string::npos);
+  EXPECT_NE(rejected(head + R"("cell":-1,"phase":"Ready"}]})").find("'cell'"), std::string::npos);
+  EXPECT_NE(rejected(head + R"("cell":"x","phase":"Ready"}]})").find("'cell'"), std::string::npos);
+  EXPECT_NE(rejected(head + R"("cell":0,"phase":"Ready","up_since_ms":-3}]})").find("'up_since_ms'"),
             std::string::npos);
-  EXPECT_NE(refused(head + R"("cell":0,"phase":"Ready","size":"big"}]})").find("'size'"), std::string::npos);
+  EXPECT_NE(rejected(head + R"("cell":0,"phase":"Ready","size":"big"}]})").find("'size'"), std::string::npos);
 }
 
-TEST(MemberLists, SurviveMutatedInput) {
+TEST(EndpointLists, SurviveMutatedInput) {
   const std::string whole = kList;
   std::mt19937 random(5);
-  std::size_t refused = 0;
+  std::size_t rejected = 0;
   for (int round = 0; round < 3000; ++round) {
     std::string bytes = whole;
     for (int i = 0; i < 1 + round % 3; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     std::string problem;
-    refused += parseMemberList(bytes, problem) ? 0 : 1;
+    rejected += parseEndpointList(bytes, problem) ? 0 : 1;
   }
-  EXPECT_GT(refused, 0U);
+  EXPECT_GT(rejected, 0U);
 }
 
 }  // namespace
--- a/tests/fleet_ramp_test.cpp
+++ b/tests/fleet_ramp_test.cpp
@@ -1,6 +1,6 @@
-// A cold member bears the sum of what all drivers send it. Whole fleets of 5, 30 and 350 drivers, the busiest
-// with ten times the traffic of the quietest, in virtual time: what each member gets while it is cold is
-// counted as it arrives, attempts that it turns away included.
+// A cold endpoint bears the sum of what all gateways send it. Whole fleets of 5, 30 and 350 gateways, the
+// busiest with ten times the traffic of the quietest, in virtual time: what each endpoint gets while it is
+// cold is counted as it arrives, attempts that it turns away included.
 #include <gtest/gtest.h>
 
 #include "fleet/fleet.h"
@@ -13,23 +13,23 @@
 using fleet::Result;
 
 struct Fleet {
-  unsigned drivers;
-  unsigned cores;  // of a member
-  double load;     // of what all members can do when they are warm
+  unsigned gateways;
+  unsigned cores;  // of an endpoint
+  double load;     // of what all endpoints can do when they are warm
 };
 
 constexpr Micros kSecond = 1'000'000;
 
 Plan planOf(const Fleet& fleet, std::uint64_t seed) {
   Plan plan;
-  plan.routers = fleet.drivers;
+  plan.routers = fleet.gateways;
   plan.cores = fleet.cores;
   plan.groups = 4;
   plan.unequal = 10;
   plan.length = 15 * kSecond;
   plan.seed = seed;
-  const double bears =
-      plan.groups * plan.members * plan.cores * static_cast<double>(kSecond) / static_cast<double>(plan.work);
+  const double bears = plan.groups * plan.endpoints * plan.cores * static_cast<double>(kSecond) /
+                       static_cast<double>(plan.work);
   plan.requestsPerSecond = fleet.load * bears / plan.routers;
   return plan;
 }
@@ -56,17 +56,17 @@
   EXPECT_DOUBLE_EQ(fleet::loadToFall(100), 122);
 }
 
-TEST_P(FleetRamp, HoldsWhereHalfOfTheMembersComeBackCold) {
-  expectNoneFalls({{Happening::Kind::MembersReturn, 4 * kSecond, 0.5, 2 * kSecond}});
+TEST_P(FleetRamp, HoldsWhereHalfOfTheEndpointsComeBackCold) {
+  expectNoneFalls({{Happening::Kind::EndpointsReturn, 4 * kSecond, 0.5, 2 * kSecond}});
 }
 
-TEST_P(FleetRamp, HoldsWhereAllMembersComeBackCold) {
-  expectNoneFalls({{Happening::Kind::MembersReturn, 4 * kSecond, 1, 2 * kSecond}});
+TEST_P(FleetRamp, HoldsWhereAllEndpointsComeBackCold) {
+  expectNoneFalls({{Happening::Kind::EndpointsReturn, 4 * kSecond, 1, 2 * kSecond}});
 }
 
-// Drivers that have just started know no member's speed.
-TEST_P(FleetRamp, HoldsWhereSevenInTenDriversStartAmongColdMembers) {
-  expectNoneFalls({{Happening::Kind::MembersReturn, 4 * kSecond, 0.5, 2 * kSecond},
+// Gateways that have just started know no endpoint's speed.
+TEST_P(FleetRamp, HoldsWhereSevenInTenGatewaysStartAmongColdEndpoints) {
+  expectNoneFalls({{Happening::Kind::EndpointsReturn, 4 * kSecond, 0.5, 2 * kSecond},
                    {Happening::Kind::RoutersRestart, 6'500'000, 0.7, 0}});
 }
 
@@ -75,7 +75,7 @@
                                          Fleet{30, 1, 1.5}, Fleet{350, 1, 0.5}, Fleet{350, 1, 1.5},
                                          Fleet{5, 5, 1.5}, Fleet{30, 5, 1.5}, Fleet{350, 5, 1.5}),
                          [](const testing::TestParamInfo<Fleet>& fleet) {
-                           return std::to_string(fleet.param.drivers) + "DriversOn" +
+                           return std::to_string(fleet.param.gateways) + "DriversOn" +
                                   std::to_string(fleet.param.cores) + "CoresAt" +
                                   std::to_string(static_cast<int>(fleet.param.load * 100)) + "Percent";
                          });
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -14,12 +14,12 @@
 // good clients hold meanwhile is theirs, and no more of it is begun than can have been read before it went.
 TEST_P(ClosingRule, OneThatSendsMuchAndGoesLeavesNothingBehind) {
   GatewayRig rig(speaking(), 1);
-  ClientStandIn good(rig.loop, rig.endpoint);
+  ClientStandIn good(rig.loop, rig.socketAddress);
   good.ask(request("save", "good"));
   ASSERT_TRUE(good.answered());
   const std::size_t before = rig.loop.memory().taken();
   for (int i = 0; i < 10; ++i) {
-    PlainSocket flood(rig.loop, rig.endpoint);
+    PlainSocket flood(rig.loop, rig.socketAddress);
     std::string much = openingOf(GetParam());
     for (int k = 0; k < 200; ++k)
       much += askingOf(GetParam(), request("save", std::to_string(i) + "-" + std::to_string(k)));
@@ -28,7 +28,7 @@
     flood.resetNow();
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().clientsAccepted == 11; }));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().descriptors <= 1 + rig.members[0]->openLines(); }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().descriptors <= 1 + rig.endpoints[0]->openLines(); }));
   EXPECT_EQ(rig.loop.memory().taken(), before);
   EXPECT_FALSE(good.ended());
   good.ask(request("save", "still good"));
@@ -46,13 +46,13 @@
   rig.answerAll([&](Line& line, const std::string&) { held.push_back(&line); });
   std::vector<std::unique_ptr<ClientStandIn>> busy;
   for (std::size_t i = 0; i < 30; ++i) {
-    busy.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.endpoint));
+    busy.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
     busy.back()->ask(request("save", "busy" + std::to_string(i)));
     ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == i + 1; }));
   }
   const std::size_t out = held.size();
   for (int i = 0; i < 100; ++i) {
-    PlainSocket again(rig.loop, rig.endpoint);
+    PlainSocket again(rig.loop, rig.socketAddress);
     ASSERT_TRUE(again.send(pg::startup() + pg::query(request("save", "again" + std::to_string(i)))));
     ASSERT_TRUE(again.gone());
     EXPECT_FALSE(again.reset);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The whole gateway between stand-ins for clients, members and discovery.
+// The whole gateway between stand-ins for clients, endpoints and discovery.
 #include <gtest/gtest.h>
 
 #include "standins/gateway_rig.h"
@@ -8,7 +8,7 @@
 
 TEST(GatewayServes, AnEmptyQueryOnceItHasItsListAndSettings) {
   GatewayRig rig;
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask("");
   EXPECT_TRUE(client.answered());
   EXPECT_EQ(client.types(), "IZ");
@@ -19,7 +19,7 @@
   GatewayOptions options;
   options.connectTimeoutMs = 0;
   GatewayRig rig(options);
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.types(), "TDCZ");
@@ -30,8 +30,8 @@
   GatewayRig rig;
   std::string value;
   for (int i = 0; i < 64 * 1024; ++i) value += static_cast<char>(i * 7);
-  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.members[0]->value(value)); });
-  ClientStandIn client(rig.loop, rig.endpoint);
+  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value(value)); });
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.types(), "TDCZ");
@@ -42,9 +42,9 @@
 TEST(GatewayServes, AQueryRightBehindTheStartupAndSeveralInOrder) {
   GatewayRig rig;
   rig.answerAll([&](Line& line, const std::string& statement) {
-    line.say(rig.members[0]->value(statement.substr(statement.find("id="), 4)));
+    line.say(rig.endpoints[0]->value(statement.substr(statement.find("id="), 4)));
   });
-  ClientStandIn client(rig.loop, rig.endpoint, false);
+  ClientStandIn client(rig.loop, rig.socketAddress, false);
   client.say(pg::startup() + pg::query(request("any", "1")) + pg::query(request("any", "2")) + pg::query("") +
              pg::query(request("any", "3")));
   ASSERT_TRUE(client.answered(5));
@@ -55,7 +55,7 @@
 
 TEST(GatewayPassesOn, TheStatementWithTheTimeThatIsLeft) {
   GatewayRig rig;
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(
       "INSERT INTO rows (handle, blob) VALUES ('k', '\\x9f03') RETURNING blob /* "
       "id=a1,c=save,d=50000,k=5c0f,cluster=0 */");
@@ -74,7 +74,7 @@
 
 TEST(GatewayPassesOn, TheLongestValueAsText) {
   GatewayRig rig;
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   const std::string head =
       "INSERT INTO rows (handle, blob) VALUES ('k', '\\x" + std::string(std::size_t{128} * 1024, 'f');
   client.ask(head + "') RETURNING blob /* id=a1,c=save,d=50000,k=5c0f,cluster=0 */");
@@ -86,7 +86,7 @@
 
 TEST(GatewayPassesOn, NothingOfARequestThatItCanNotRead) {
   GatewayRig rig;
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   std::size_t asked = 0;
   const std::string read = "SELECT blob FROM rows WHERE handle = 'k'";
   const std::string write = "INSERT INTO rows (handle, blob) VALUES ('k', '\\x9f') RETURNING blob";
@@ -114,8 +114,8 @@
 
 TEST(GatewayClients, ThatBreakTheProtocolEndAloneAndAreCounted) {
   GatewayRig rig;
-  ClientStandIn good(rig.loop, rig.endpoint);
-  ClientStandIn bad(rig.loop, rig.endpoint);
+  ClientStandIn good(rig.loop, rig.socketAddress);
+  ClientStandIn bad(rig.loop, rig.socketAddress);
   bad.say("?" + pg::u32(1 << 30));
   EXPECT_TRUE(bad.gone());
   EXPECT_EQ(rig.counters().clientProtocolErrors, 1U);
@@ -127,13 +127,13 @@
 // Guards descriptors against connections that say nothing, or never finish what they say.
 TEST(GatewayClients, ThatSendNothingWholeAreToldOrClosed) {
   GatewayRig rig;
-  ClientStandIn silent(rig.loop, rig.endpoint, false);
-  ClientStandIn welcomed(rig.loop, rig.endpoint);
-  ClientStandIn half(rig.loop, rig.endpoint, false);
+  ClientStandIn silent(rig.loop, rig.socketAddress, false);
+  ClientStandIn welcomed(rig.loop, rig.socketAddress);
+  ClientStandIn half(rig.loop, rig.socketAddress, false);
   half.say(pg::startup().substr(0, 7));
-  ClientStandIn begun(rig.loop, rig.endpoint);
+  ClientStandIn begun(rig.loop, rig.socketAddress);
   begun.say(pg::query(request("any", "1")).substr(0, 20));
-  ClientStandIn known(rig.loop, rig.endpoint);
+  ClientStandIn known(rig.loop, rig.socketAddress);
   known.ask(request("any", "2"));
   ASSERT_TRUE(known.answered());
   known.forget();
@@ -148,7 +148,7 @@
 // no reset overtakes the error.
 TEST(GatewayClients, ThatSendFarTooMuchGetTheirErrorAndAreReadToTheirEnd) {
   GatewayRig rig;
-  PlainSocket bad(rig.loop, rig.endpoint);
+  PlainSocket bad(rig.loop, rig.socketAddress);
   ASSERT_TRUE(bad.send(pg::startup() + "Q" + pg::u32(60'000'000)));
   const std::string piece(1'000'000, 'x');
   for (int i = 0; i < 60; ++i) ASSERT_TRUE(bad.send(piece)) << i;
@@ -163,8 +163,8 @@
 TEST(GatewayClients, ThatSendManyCommandsAtOnceTakeTurnsWithOthers) {
   constexpr std::size_t kMany = 2000;
   GatewayRig rig;
-  ClientStandIn flood(rig.loop, rig.endpoint);
-  ClientStandIn good(rig.loop, rig.endpoint);
+  ClientStandIn flood(rig.loop, rig.socketAddress);
+  ClientStandIn good(rig.loop, rig.socketAddress);
   std::string many;
   for (std::size_t i = 0; i < kMany; ++i) many += pg::query("SELECT");
   flood.say(many);
@@ -183,7 +183,7 @@
   line->say(DiscoveryStandIn::response("{\"revision\":"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures == 1; }));
   EXPECT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   EXPECT_TRUE(client.answered());
 }
@@ -193,7 +193,7 @@
   GatewayRig rig;
   rig.discovery.holds = false;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() >= 3; }));
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   std::size_t asked = 0;
   const std::size_t before = rig.discovery.calls.size();
   while (rig.discovery.calls.size() < before + 3) {
@@ -205,14 +205,14 @@
 }
 
 // A gateway with a hundred descriptors: less what is kept back sixty, half of which are for clients. All of
-// those have a request out that no member answers.
+// those have a request out that no endpoint answers.
 class CrowdedRig : public GatewayRig {
  public:
   static constexpr int kClients = 30;
   CrowdedRig() : GatewayRig(options()) {
     answerAll([](Line&, const std::string&) {});
     for (int i = 0; i < kClients; ++i) {
-      clients.push_back(std::make_unique<ClientStandIn>(loop, endpoint));
+      clients.push_back(std::make_unique<ClientStandIn>(loop, socketAddress));
       clients.back()->ask(request("any", std::to_string(i)));
     }
     if (!until([&] { return counters().requestsTaken == kClients; })) {
@@ -227,10 +227,10 @@
   std::vector<std::unique_ptr<ClientStandIn>> clients;
 };
 
-// Guards the descriptor limit: members keep their part, and clients beyond theirs are told.
+// Guards the descriptor limit: endpoints keep their part, and clients beyond theirs are told.
 TEST(GatewayLimits, ClientsBeyondTheDescriptorsAreToldSo) {
   CrowdedRig rig;
-  ClientStandIn extra(rig.loop, rig.endpoint);
+  ClientStandIn extra(rig.loop, rig.socketAddress);
   extra.ask(request("any", "extra"));
   EXPECT_TRUE(extra.gone());
   EXPECT_EQ(extra.code(), "53300");
@@ -244,8 +244,8 @@
   CrowdedRig rig;
   // These have not asked, so that each gives way to the next.
   std::vector<std::unique_ptr<ClientStandIn>> silent;
-  for (int i = 0; i < 16; ++i) silent.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.endpoint));
-  ClientStandIn last(rig.loop, rig.endpoint, false);
+  for (int i = 0; i < 16; ++i) silent.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
+  ClientStandIn last(rig.loop, rig.socketAddress, false);
   last.say(pg::startup() + pg::query(request("any", "last")));
   EXPECT_TRUE(last.gone());
   EXPECT_EQ(last.code(), "53300") << "told, not cut off";
@@ -259,13 +259,13 @@
   GatewayRig rig(options);
   std::vector<std::unique_ptr<ClientStandIn>> stuck;
   for (int i = 0; i < 46; ++i) {
-    stuck.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.endpoint, false));
+    stuck.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress, false));
     stuck.back()->say(pg::startup().substr(0, 7));
   }
   // Others are told at first, and served as soon as the stuck ones have had their time.
   std::size_t asked = 0;
   EXPECT_TRUE(rig.until([&] {
-    ClientStandIn client(rig.loop, rig.endpoint, false);
+    ClientStandIn client(rig.loop, rig.socketAddress, false);
     client.say(pg::startup() + pg::query(request("any", std::to_string(++asked))));
     rig.until([&] { return client.ended() || client.types().find("TDC") != std::string::npos; });
     return client.types().find("TDC") != std::string::npos;
@@ -280,22 +280,22 @@
   const std::string begun = pg::startup() + "Q" + pg::u32(130'000) + std::string(120'000, 'x');
   std::vector<std::unique_ptr<PlainSocket>> greedy;
   for (int i = 0; i < 8; ++i) {
-    greedy.push_back(std::make_unique<PlainSocket>(rig.loop, rig.endpoint));
+    greedy.push_back(std::make_unique<PlainSocket>(rig.loop, rig.socketAddress));
     ASSERT_TRUE(greedy.back()->send(begun));
   }
-  ASSERT_TRUE(rig.until([&] { return rig.counters().memoryRefusals >= 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().memoryRejections >= 1; }));
   EXPECT_LE(rig.loop.memory().taken(), 500'000U);
-  ClientStandIn usual(rig.loop, rig.endpoint);
+  ClientStandIn usual(rig.loop, rig.socketAddress);
   usual.ask(request("any", "1"));
   ASSERT_TRUE(usual.answered());
   EXPECT_EQ(usual.types(), "TDCZ");
-  std::size_t refused = 0;
+  std::size_t rejected = 0;
   for (auto& client : greedy) {
     EXPECT_TRUE(client->gone());
     EXPECT_FALSE(client->reset);
-    refused += client->lastCode() == "53300" ? 1 : 0;
+    rejected += client->lastCode() == "53300" ? 1 : 0;
   }
-  EXPECT_EQ(refused, rig.counters().memoryRefusals);
+  EXPECT_EQ(rejected, rig.counters().memoryRejections);
   EXPECT_LT(rig.loop.memory().taken(), 100'000U) << "given back";
 }
 
@@ -304,13 +304,13 @@
   GatewayRig rig(CrowdedRig::options());
   std::vector<std::unique_ptr<ClientStandIn>> usual;
   for (std::size_t i = 0; i < 8; ++i) {
-    usual.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.endpoint));
+    usual.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
     usual.back()->ask(request("any", std::to_string(i)));
     ASSERT_TRUE(usual.back()->answered());
   }
   std::vector<std::unique_ptr<ClientStandIn>> silent;
   for (std::size_t i = 0; i < 60; ++i)
-    silent.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.endpoint, false));
+    silent.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress, false));
   ASSERT_TRUE(rig.until([&] { return rig.counters().clientsAccepted == 68; }));
   // The crowd is thinned out without being asked, down to what may stay.
   ASSERT_TRUE(rig.until([&] { return rig.counters().descriptors <= 15 + rig.counters().connectionsOpened; }));
@@ -322,9 +322,9 @@
 // Large values, and a client that reads none of them.
 class SlowReaderRig : public GatewayRig {
  public:
-  SlowReaderRig() : slow(loop, endpoint) {
+  SlowReaderRig() : slow(loop, socketAddress) {
     answerAll(
-        [this](Line& line, const std::string&) { line.say(members[0]->value(std::string(60'000, 'v'))); });
+        [this](Line& line, const std::string&) { line.say(endpoints[0]->value(std::string(60'000, 'v'))); });
     slow.line().deaf = true;
   }
   ClientStandIn slow;
@@ -336,7 +336,7 @@
   std::string many;
   for (int i = 0; i < 400; ++i) many += pg::query(request("any", "s" + std::to_string(i)));
   rig.slow.say(many);
-  ClientStandIn quick(rig.loop, rig.endpoint);
+  ClientStandIn quick(rig.loop, rig.socketAddress);
   for (std::size_t i = 0; i < 20; ++i) {
     quick.ask(request("any", "q" + std::to_string(i)));
     ASSERT_TRUE(quick.answered(i + 1));
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -95,7 +95,7 @@
             std::string::npos);
 }
 
-TEST(Host, RefusesEventsWithoutAnInstanceOrAList) {
+TEST(Host, RejectsEventsWithoutAnInstanceOrAList) {
   Host host;
   EXPECT_THROW(Batch().add(kWrite).to(host), FrameError);
   EXPECT_THROW(Batch().add(kFor3).add(kWrite).to(host), FrameError);
@@ -107,15 +107,15 @@
   Host host;
   start(host);
   Batch().add(kFor3).add(kWrite).to(host);
-  // An unknown status ends the only attempt: a keyed write waits for another try and is not refused.
+  // An unknown status ends the only attempt: a keyed write waits for another try and is not rejected.
   const std::string reply =
       toHex(Batch().add(kFor3).add("0700 c4913a5d 0000 0a124a07 5b1b 6300 44480000 00 00000000 00").to(host));
   EXPECT_EQ(reply.find("0d00c4913a5d"), std::string::npos);
 }
 
-TEST(Host, MutatedBatchesAreAnsweredOrRefusedInPlainWords) {
+TEST(Host, MutatedBatchesAreAnsweredOrRejectedInPlainWords) {
   std::mt19937 dice(23);
-  int refused = 0;
+  int rejected = 0;
   int answered = 0;
   for (int round = 0; round < 3000; ++round) {
     Host host;
@@ -132,10 +132,10 @@
       ++answered;
     } catch (const FrameError& error) {
       EXPECT_EQ(std::string(error.what()).find('\n'), std::string::npos);
-      ++refused;
+      ++rejected;
     }
   }
-  EXPECT_GT(refused, 0);
+  EXPECT_GT(rejected, 0);
   EXPECT_GT(answered, 0);
 }
 
--- a/tests/idle_crowd_test.cpp
+++ b/tests/idle_crowd_test.cpp
@@ -1,6 +1,6 @@
 // Clients that connect and stay idle may take every place that there is for clients, also while discovery is
-// down. Calls to discovery, connections to members and clients that ask keep theirs. The built program, under
-// limits that the kernel enforces.
+// down. Calls to discovery, connections to endpoints and clients that ask keep theirs. The built program,
+// under limits that the kernel enforces.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -25,22 +25,22 @@
  public:
   Site() : first(loop, kLoopback + 1), second(loop, kLoopback + 2), discovery(loop) {
     first.primary = true;
-    discovery.members = listOf({&first});
-    process = std::make_unique<Process>(configText(options(), discovery.address(), discovery.members));
+    discovery.endpoints = listOf({&first});
+    process = std::make_unique<Process>(configText(options(), discovery.address(), discovery.endpoints));
   }
   static GatewayOptions options() {
     GatewayOptions out;
     out.sockets = kSockets;
     out.memoryMb = kMemoryMb;
-    out.askWithinMs = 2'000;
+    out.maxPollIntervalMs = 2'000;
     out.connectTimeoutMs = 500;
     return out;
   }
-  static std::string listOf(const std::vector<MemberStandIn*>& members) {
+  static std::string listOf(const std::vector<EndpointStandIn*>& endpoints) {
     std::string out;
-    for (const MemberStandIn* member : members) {
-      out += (out.empty() ? "" : ",") +
-             entry("m" + std::to_string(member->endpoint().address), member->address(), member->primary);
+    for (const EndpointStandIn* endpoint : endpoints) {
+      out += (out.empty() ? "" : ",") + entry("m" + std::to_string(endpoint->socketAddress().address),
+                                              endpoint->address(), endpoint->primary);
     }
     return "[" + out + "]";
   }
@@ -55,7 +55,7 @@
   }
   void crowdIn(Idle how) {
     for (std::size_t i = 0; i < kCrowd; ++i) {
-      crowd.emplace_back(loop, process->endpoint());
+      crowd.emplace_back(loop, process->socketAddress());
       std::string says = how == Idle::Silent ? "" : pg::startup();
       if (how == Idle::AskedOnce) says += pg::query(request("any", "crowd" + std::to_string(i)));
       if (how == Idle::BeginsAMessage) says += "Q" + pg::u32(130'000) + std::string(100'000, 'x');
@@ -75,8 +75,8 @@
   }
 
   transport::EventLoop loop;
-  MemberStandIn first;
-  MemberStandIn second;
+  EndpointStandIn first;
+  EndpointStandIn second;
   DiscoveryStandIn discovery;
   std::unique_ptr<Process> process;
   std::list<PlainSocket> crowd;  // never closes by itself
@@ -85,11 +85,11 @@
 
 class IdleCrowd : public testing::TestWithParam<Idle> {};
 
-TEST_P(IdleCrowd, LeavesListsMembersAndGoodClientsTheirPlaces) {
+TEST_P(IdleCrowd, LeavesListsEndpointsAndGoodClientsTheirPlaces) {
   Site site;
   ASSERT_TRUE(site.ready());
   std::list<ClientStandIn> good;
-  for (std::size_t i = 0; i < kGood; ++i) good.emplace_back(site.loop, site.process->endpoint());
+  for (std::size_t i = 0; i < kGood; ++i) good.emplace_back(site.loop, site.process->socketAddress());
   for (int round = 0; round < 2; ++round) ASSERT_EQ(site.served(good), kGood);
   const std::size_t calls = site.discovery.calls.size();
   site.discovery.shut();
@@ -102,10 +102,11 @@
     }
   }
   for (auto& client : good) EXPECT_FALSE(client.ended()) << "it keeps its place";
-  // Discovery is back, with another leader: the list comes through, and so does a connection to a new member.
+  // Discovery is back, with another leader: the list comes through, and so does a connection to a new
+  // endpoint.
   site.first.primary = false;
   site.second.primary = true;
-  site.discovery.members = site.discovery.news = Site::listOf({&site.first, &site.second});
+  site.discovery.endpoints = site.discovery.news = Site::listOf({&site.first, &site.second});
   ++site.discovery.revision;
   site.first.answer = [&](Line& line, const std::string&) { line.say(site.first.error("25006")); };
   site.discovery.reopen();
--- a/tests/installation_test.cpp
+++ b/tests/installation_test.cpp
@@ -1,4 +1,4 @@
-// The installation's settings: what is read, and what is refused with file, line, element and what was
+// The installation's settings: what is read, and what is rejected with file, line, element and what was
 // expected.
 #include "installation/installation.h"
 
@@ -72,8 +72,8 @@
   EXPECT_EQ(read->log.form, LogForm::Text);
 }
 
-// Each of these is refused, and the message names where it is and what was expected.
-TEST(InstallationSettings, ThatAreWrongAreRefusedWithAReason) {
+// Each of these is rejected, and the message names where it is and what was expected.
+TEST(InstallationSettings, ThatAreWrongAreRejectedWithAReason) {
   const std::string family =
       "<families><family name=\"terms\" cluster=\"0\"><protocol name=\"bolt\" "
       "listed=\"true\"/></family></families>";
--- a/tests/guard_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -1,6 +1,6 @@
 // Each invariant of the guard, broken on purpose: it is counted once, told, and what would break it is not
 // sent.
-#include "invariants/guard.h"
+#include "invariants/invariant_checker.h"
 
 #include <gtest/gtest.h>
 
@@ -14,87 +14,87 @@
 using test::kStart;
 
 constexpr Micros kGrace = 250 * kMs;
-constexpr MemberId kMember = 1;
+constexpr EndpointId kEndpoint = 1;
 
 class BrokenOnPurpose : public testing::Test {
  protected:
   BrokenOnPurpose()
-      : guard(settings, kGrace, [this](Invariant invariant, RequestId) { told.push_back(invariant); }) {
-    guard.listTaken(kStart, listWith(MemberState::Ready));
+      : checker(settings, kGrace, [this](Invariant invariant, RequestId) { told.push_back(invariant); }) {
+    checker.listTaken(kStart, listWith(EndpointStatus::Ready));
   }
-  static MembersChanged listWith(MemberState state) {
-    return {MembersChanged::Scope::Full, {test::makeMember(kMember, true, state)}};
+  static EndpointsChanged listWith(EndpointStatus state) {
+    return {EndpointsChanged::Scope::Full, {test::makeEndpoint(kEndpoint, true, state)}};
   }
   RequestId take(std::uint32_t classIndex = test::kAny) {
     Request request;
     request.id = ++lastId;
     request.classIndex = classIndex;
     request.deadline = kStart + kS;
-    guard.taken(request);
+    checker.taken(request);
     return request.id;
   }
   bool send(RequestId request, std::uint32_t attempt = 0, Micros after = 0, Micros time = 500 * kMs) {
-    return guard.maySend(kStart + after, {request, attempt, kMember, time});
+    return checker.maySend(kStart + after, {request, attempt, kEndpoint, time});
   }
   // Nothing but that one was counted, and once.
   void expectOnly(Invariant invariant) {
-    EXPECT_EQ(guard.count(invariant), 1U) << nameOf(invariant);
-    EXPECT_EQ(guard.total(), 1U);
+    EXPECT_EQ(checker.count(invariant), 1U) << nameOf(invariant);
+    EXPECT_EQ(checker.total(), 1U);
     EXPECT_EQ(told, std::vector<Invariant>{invariant});
   }
 
-  Settings settings = test::makeSettings();
+  PolicySettings settings = test::makeSettings();
   std::vector<Invariant> told;
-  Guard guard;
+  InvariantChecker checker;
   RequestId lastId = 0;
 };
 
 TEST_F(BrokenOnPurpose, NothingIsCountedOnAnOrdinaryPath) {
   const RequestId id = take();
   EXPECT_TRUE(send(id));
-  guard.ended(id, 0, false);
+  checker.ended(id, 0, false);
   EXPECT_TRUE(send(id, 1));
-  guard.ended(id, 1, true);
-  guard.answered(id, Guard::Final::Served);
-  guard.closing(id, false);
-  guard.startsTaking();
-  guard.forget(id);
-  EXPECT_EQ(guard.total(), 0U);
-  EXPECT_EQ(guard.open(), 0U);
+  checker.ended(id, 1, true);
+  checker.answered(id, InvariantChecker::Final::Served);
+  checker.closing(id, false);
+  checker.startsTaking();
+  checker.forget(id);
+  EXPECT_EQ(checker.total(), 0U);
+  EXPECT_EQ(checker.open(), 0U);
 }
 
 TEST_F(BrokenOnPurpose, SentAfterAnswer) {
   const RequestId id = take();
-  guard.answered(id, Guard::Final::Failed);
+  checker.answered(id, InvariantChecker::Final::Failed);
   EXPECT_FALSE(send(id));
   expectOnly(Invariant::SentAfterAnswer);
 }
 
 TEST_F(BrokenOnPurpose, SentAfterLeaving) {
   const RequestId id = take();
-  guard.left(id);
+  checker.left(id);
   EXPECT_FALSE(send(id));
-  expectOnly(Invariant::SentAfterLeaving);
+  expectOnly(Invariant::SentAfterDisconnect);
 }
 
 TEST_F(BrokenOnPurpose, SentAfterTime) {
   EXPECT_FALSE(send(take(), 0, kS, 0));
-  expectOnly(Invariant::SentAfterTime);
+  expectOnly(Invariant::SentAfterDeadline);
 }
 
 TEST_F(BrokenOnPurpose, ToldTooMuchTime) {
   EXPECT_TRUE(send(take(), 0, 0, kS + kToldSlack));
   EXPECT_FALSE(send(take(), 0, 0, kS + kToldSlack + 1));
-  expectOnly(Invariant::ToldTooMuchTime);
+  expectOnly(Invariant::TimeoutTooLong);
 }
 
 TEST_F(BrokenOnPurpose, SentToDraining) {
-  guard.listTaken(kStart, listWith(MemberState::Draining));
-  guard.listTaken(kStart + kGrace, listWith(MemberState::Draining));
+  checker.listTaken(kStart, listWith(EndpointStatus::Draining));
+  checker.listTaken(kStart + kGrace, listWith(EndpointStatus::Draining));
   EXPECT_TRUE(send(take(), 0, kGrace)) << "the grace counts from the first word";
   EXPECT_FALSE(send(take(), 0, kGrace + 1));
   expectOnly(Invariant::SentToDraining);
-  guard.listTaken(kStart + kS, listWith(MemberState::Ready));
+  checker.listTaken(kStart + kS, listWith(EndpointStatus::Ready));
   EXPECT_TRUE(send(take(), 0, 500 * kMs));
 }
 
@@ -102,57 +102,58 @@
   const RequestId id = take();
   EXPECT_TRUE(send(id));
   EXPECT_FALSE(send(id, 1));
-  expectOnly(Invariant::SecondCopy);
+  expectOnly(Invariant::ForbiddenHedge);
 }
 
 TEST_F(BrokenOnPurpose, RepeatedEffect) {
   const RequestId unsafe = take(test::kUnsafeWrite);
   EXPECT_TRUE(send(unsafe));
-  guard.ended(unsafe, 0, true);
+  checker.ended(unsafe, 0, true);
   EXPECT_FALSE(send(unsafe, 1));
   expectOnly(Invariant::RepeatedEffect);
   const RequestId keyed = take(test::kKeyedWrite);
   EXPECT_TRUE(send(keyed));
-  guard.ended(keyed, 0, true);
+  checker.ended(keyed, 0, true);
   EXPECT_TRUE(send(keyed, 1, 100 * kMs)) << "within its window a keyed one may be repeated";
 }
 
 TEST_F(BrokenOnPurpose, RepeatedEffectBeyondItsWindow) {
-  settings.classes[test::kKeyedWrite].window = 300 * kMs;
+  settings.classes[test::kKeyedWrite].keyWindow = 300 * kMs;
   const RequestId keyed = take(test::kKeyedWrite);
   EXPECT_TRUE(send(keyed));
-  guard.ended(keyed, 0, true);
+  checker.ended(keyed, 0, true);
   EXPECT_FALSE(send(keyed, 1, 300 * kMs));
   expectOnly(Invariant::RepeatedEffect);
 }
 
 TEST_F(BrokenOnPurpose, SecondAnswer) {
   const RequestId id = take();
-  guard.answered(id, Guard::Final::Served);
-  guard.answered(id, Guard::Final::Refused);
+  checker.answered(id, InvariantChecker::Final::Served);
+  checker.answered(id, InvariantChecker::Final::Rejected);
   expectOnly(Invariant::SecondAnswer);
 }
 
-TEST_F(BrokenOnPurpose, RefusedAfterEffect) {
+TEST_F(BrokenOnPurpose, RejectedAfterEffect) {
   const RequestId id = take(test::kUnsafeWrite);
   EXPECT_TRUE(send(id));
-  guard.ended(id, 0, true);
-  guard.answered(id, Guard::Final::Refused);
-  expectOnly(Invariant::RefusedAfterEffect);
+  checker.ended(id, 0, true);
+  checker.answered(id, InvariantChecker::Final::Rejected);
+  expectOnly(Invariant::RejectedAfterEffect);
 }
 
 TEST_F(BrokenOnPurpose, ClosedUnanswered) {
-  guard.closing(take(), true);
+  checker.closing(take(), true);
   expectOnly(Invariant::ClosedUnanswered);
 }
 
 TEST_F(BrokenOnPurpose, TakenAfterClose) {
-  guard.takenOn(take(), true);
-  expectOnly(Invariant::TakenAfterClose);
+  checker.takenOn(take(), true);
+  expectOnly(Invariant::AcceptedAfterClose);
 }
 
 TEST_F(BrokenOnPurpose, StartedUnready) {
-  Guard fresh(settings, kGrace, [this](Invariant invariant, RequestId) { told.push_back(invariant); });
+  InvariantChecker fresh(settings, kGrace,
+                         [this](Invariant invariant, RequestId) { told.push_back(invariant); });
   fresh.startsTaking();
   EXPECT_EQ(fresh.count(Invariant::StartedUnready), 1U);
   EXPECT_EQ(told, std::vector<Invariant>{Invariant::StartedUnready});
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -1,5 +1,5 @@
-// Lists of 1,500 members, and settings that name 1,500 drivers, in the built program: taken in, indented too,
-// with one thread and within 32 MB, and requests are served afterwards.
+// Lists of 1,500 endpoints, and settings that name 1,500 gateways, in the built program: taken in, indented
+// too, with one thread and within 32 MB, and requests are served afterwards.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -11,8 +11,8 @@
 namespace heathflow::test {
 namespace {
 
-constexpr std::size_t kMembers = 1'500;
-constexpr unsigned kDrivers = 1'500;
+constexpr std::size_t kEndpoints = 1'500;
+constexpr unsigned kGateways = 1'500;
 constexpr std::size_t kGroups = 300;
 constexpr std::size_t kMemoryMb = 32;
 constexpr std::size_t kServedAtTheEnd = 50;
@@ -48,10 +48,11 @@
   Site() : first(loop, kLoopback + 1), second(loop, kLoopback + 2), discovery(loop) {
     first.primary = second.primary = true;
   }
-  // Members of all groups. Those of the first are reached at the stand-in that leads it, the others nowhere.
+  // Endpoints of all groups. Those of the first are reached at the stand-in that leads it, the others
+  // nowhere.
   std::string entries(const std::string& firstAddress, std::int64_t upSinceMs) const {
     std::string out;
-    for (std::size_t i = 0; i < kMembers; ++i) {
+    for (std::size_t i = 0; i < kEndpoints; ++i) {
       const std::size_t group = i % kGroups;
       const bool leads = i < kGroups;
       const std::string number = std::to_string(i);
@@ -73,16 +74,16 @@
   }
 
   transport::EventLoop loop;
-  MemberStandIn first;
-  MemberStandIn second;
+  EndpointStandIn first;
+  EndpointStandIn second;
   DiscoveryStandIn discovery;
 };
 
 GatewayOptions options() {
   GatewayOptions out;
-  out.drivers = kDrivers;
+  out.gateways = kGateways;
   out.memoryMb = kMemoryMb;
-  out.askWithinMs = 4'000;
+  out.maxPollIntervalMs = 4'000;
   out.connectTimeoutMs = 500;
   return out;
 }
@@ -94,14 +95,14 @@
   const std::string known = indented(site.entries(site.first.address(), 0));
   Process process(configText(options(), site.discovery.address(), known));
   ASSERT_TRUE(site.until([&] { return process.says("serves at"); })) << process.log();
-  ClientStandIn client(site.loop, process.endpoint());
+  ClientStandIn client(site.loop, process.socketAddress());
   client.ask(request("save", "by-the-configuration"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "from " + site.first.address());
 
   site.discovery.silent = false;
   site.discovery.revision = 2;
-  site.discovery.members = site.discovery.news = indented(site.entries(site.second.address(), 0));
+  site.discovery.endpoints = site.discovery.news = indented(site.entries(site.second.address(), 0));
   ASSERT_TRUE(site.until([&] { return site.discovery.waiting != nullptr; })) << process.log();
   client.forget();
   client.ask(request("save", "by-a-list"));
@@ -110,7 +111,7 @@
 
   // Every entry changes, five times over, and each time the first group's leader is another.
   for (int i = 0; i < 5; ++i) {
-    MemberStandIn& leads = i % 2 == 0 ? site.first : site.second;
+    EndpointStandIn& leads = i % 2 == 0 ? site.first : site.second;
     site.discovery.tell(indented(site.entries(leads.address(), 0)));
     ASSERT_TRUE(site.until([&] { return site.discovery.waiting != nullptr; })) << process.log();
     client.forget();
@@ -124,7 +125,7 @@
 
   // Requests to every group: none but the first can be reached, and each has its answer.
   std::list<ClientStandIn> others;
-  for (std::size_t i = 0; i < kOthers; ++i) others.emplace_back(site.loop, process.endpoint());
+  for (std::size_t i = 0; i < kOthers; ++i) others.emplace_back(site.loop, process.socketAddress());
   auto next = others.begin();
   for (std::size_t group = 1; group < kGroups; ++group) {
     std::string text = request("any", "group" + std::to_string(group), "", kShortMs);
--- a/tests/launch_times_test.cpp
+++ b/tests/launch_times_test.cpp
@@ -1,4 +1,4 @@
-// Starts of members, as lists tell them and as this process has seen them.
+// Starts of endpoints, as lists tell them and as this process has seen them.
 #include "wallclock/launch_times.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 constexpr Micros kHour = 3600 * kSecond;
 constexpr Micros kStart = 1'000'000 * kSecond;
 
-// Takes in a list that names one member.
+// Takes in a list that names one endpoint.
 Micros told(LaunchTimes& times, Micros now, Micros launched, bool confirmed = true) {
   times.beginList(now, confirmed);
   return times.launchedAt("m", launched);
@@ -25,8 +25,8 @@
   EXPECT_EQ(told(times, kStart + 30 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
 }
 
-// The operators' case: a wall clock is set by an hour, and the member is back cold.
-TEST(LaunchTimes, OfAMemberThatCameBackAreBoundedByWhatWasSeen) {
+// The operators' case: a wall clock is set by an hour, and the endpoint is back cold.
+TEST(LaunchTimes, OfAnEndpointThatCameBackAreBoundedByWhatWasSeen) {
   for (const Micros step : {-kHour, -10 * kSecond, kSecond, 10 * kSecond, kHour}) {
     LaunchTimes times;
     told(times, kStart, kStart - kHour);
@@ -68,53 +68,53 @@
   EXPECT_GT(told(times, kStart + kSecond, kStart - 2 * kSecond), first);
 }
 
-TEST(LaunchTimes, AreForgottenWithTheirMembers) {
+TEST(LaunchTimes, AreForgottenWithTheirEndpoints) {
   LaunchTimes times;
   told(times, kStart, kStart - kSecond);
   times.forget("m");
   EXPECT_EQ(times.known(), 0U);
 }
 
-TEST(MemberClocks, ThatAgreeWithOursChangeNothing) {
-  MemberTime clocks;
+TEST(EndpointClocks, ThatAgreeWithOursChangeNothing) {
+  EndpointTime clocks;
   for (int i = 0; i < 100; ++i)
     EXPECT_EQ(clocks.heard(kStart - i * 1000, kStart, i % 2 == 0), kStart - i * 1000);
   EXPECT_EQ(clocks.ahead(), 0);
   EXPECT_EQ(clocks.ofClient(kStart - kSecond, kStart), kStart - kSecond);
-  EXPECT_EQ(clocks.toMembers(kStart), kStart);
+  EXPECT_EQ(clocks.toEndpoints(kStart), kStart);
 }
 
 // A replica's position says little of its clock: until a primary has spoken ours may be as far behind as is
 // believed at all.
-TEST(MemberClocks, MayBeAheadUntilAPrimaryHasTold) {
-  MemberTime clocks;
+TEST(EndpointClocks, MayBeAheadUntilAPrimaryHasTold) {
+  EndpointTime clocks;
   EXPECT_EQ(clocks.heard(kStart, kStart, false), kStart - kAheadAtMost);
   EXPECT_EQ(clocks.ahead(), kAheadAtMost);
   EXPECT_EQ(clocks.heard(kStart, kStart, true), kStart);
   EXPECT_EQ(clocks.ahead(), 0);
 }
 
-TEST(MemberClocks, OfTheFutureAreNotBelieved) {
-  MemberTime clocks;
+TEST(EndpointClocks, OfTheFutureAreNotBelieved) {
+  EndpointTime clocks;
   EXPECT_EQ(clocks.heard(kStart + kAheadAtMost + 1, kStart, true), std::nullopt);
   EXPECT_EQ(clocks.ahead(), kAheadAtMost) << "nothing has been told";
 }
 
-TEST(MemberClocks, ShowThatOursIsBehind) {
+TEST(EndpointClocks, ShowThatOursIsBehind) {
   constexpr Micros kTold = 900'000;
   constexpr Micros kBehind = kTold + 50'000;  // with what it was on its way for, at the most
-  MemberTime clocks;
+  EndpointTime clocks;
   EXPECT_EQ(clocks.heard(kStart + kTold, kStart, true), kStart + kTold - kBehind);
   EXPECT_EQ(clocks.ahead(), kBehind);
   // A replica that lags 2 s lags 2 s.
   EXPECT_EQ(clocks.heard(kStart + kBehind - 2 * kSecond, kStart, false), kStart - 2 * kSecond);
   EXPECT_EQ(clocks.ofClient(kStart + kBehind, kStart), kStart);
-  EXPECT_EQ(clocks.toMembers(kStart), kStart + kBehind);
+  EXPECT_EQ(clocks.toEndpoints(kStart), kStart + kBehind);
   EXPECT_EQ(clocks.heard(kStart + kAheadAtMost + 1, kStart, true), std::nullopt) << "they don't creep ahead";
 }
 
-TEST(MemberClocks, AreForgottenWhereNothingShowsThemAnyMore) {
-  MemberTime clocks;
+TEST(EndpointClocks, AreForgottenWhereNothingShowsThemAnyMore) {
+  EndpointTime clocks;
   (void)clocks.heard(kStart + 500'000, kStart, true);
   Micros at = kStart;
   for (; at < kStart + 59 * kSecond; at += kSecond) (void)clocks.heard(at, at, true);
@@ -123,9 +123,9 @@
   EXPECT_EQ(clocks.ahead(), 0);
 }
 
-// A session's word is compared with members', not with our clock, which may be behind both.
-TEST(MemberClocks, OfSessionsMayBeAheadOfOurs) {
-  MemberTime clocks;
+// A session's word is compared with endpoints', not with our clock, which may be behind both.
+TEST(EndpointClocks, OfSessionsMayBeAheadOfOurs) {
+  EndpointTime clocks;
   (void)clocks.heard(kStart, kStart, true);
   EXPECT_EQ(clocks.ofClient(kStart + kHour, kStart), kStart + kHour);
   EXPECT_EQ(clocks.ofClient(std::numeric_limits<Micros>::max(), kStart), kStart + 24 * kHour);
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -1,4 +1,4 @@
-// Lists of members that come late, in halves, from a new place or not at all.
+// Lists of endpoints that come late, in halves, from a new place or not at all.
 // docs/crossings.md lists the pairs.
 #include <gtest/gtest.h>
 
@@ -11,7 +11,7 @@
 namespace {
 
 // Moves a gateway's discovery to another place.
-void moveTo(GatewayRig& rig, const transport::Endpoint& place) {
+void moveTo(GatewayRig& rig, const transport::SocketAddress& place) {
   program::Config fresh = rig.config;
   fresh.discovery = place;
   rig.gateway->reload(fresh);
@@ -25,10 +25,10 @@
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   PlainListener place(rig.loop);
-  moveTo(rig, place.endpoint());
+  moveTo(rig, place.socketAddress());
   auto call = place.next();
   ASSERT_TRUE(call && call->reads("\r\n\r\n"));
-  // As if the second and third member were gone. Body and reset are there before the loop turns again.
+  // As if the second and third endpoint were gone. Body and reset are there before the loop turns again.
   const std::uint64_t before = rig.counters().listsTaken;
   ASSERT_TRUE(call->send(withoutLength(rig.discovery.document(true, "[" + rig.entryOf(0) + "]"))));
   call->resetNow();
@@ -40,10 +40,10 @@
   call->hangUp();
   ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken == before + 1; }));
   EXPECT_EQ(rig.counters().discoveryFailures, 1U);
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
-  EXPECT_EQ(rig.members[0]->statements.size(), 1U);
+  EXPECT_EQ(rig.endpoints[0]->statements.size(), 1U);
 }
 
 // A list longer than what one read takes, with its close right behind it, both there in one turn.
@@ -55,7 +55,7 @@
     entries += ",\n        " + entry("s" + std::to_string(i), "127.0.0.9:1", false);
   for (const bool withLength : {false, true}) {
     PlainListener place(rig.loop);
-    moveTo(rig, place.endpoint());
+    moveTo(rig, place.socketAddress());
     auto call = place.next();
     ASSERT_TRUE(call && call->reads("\r\n\r\n"));
     const std::string body = rig.discovery.document(true, "[" + entries + "]");
@@ -79,11 +79,11 @@
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "," + rig.entryOf(2, "Terminating") + "]");
   ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken >= 3; }));
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
-  EXPECT_TRUE(rig.members[1]->statements.empty());
-  EXPECT_TRUE(rig.members[2]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[1]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[2]->statements.empty());
 }
 
 // A watch falls silent right after its call. What it misses counts as told 2 s after its wait of 5 s, and the
@@ -101,10 +101,10 @@
   EXPECT_LE(rig.discovery.calledAt.back(), silentFrom + 7 * kSecond - kSecond / 4);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   EXPECT_TRUE(silent->ended);
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
-  EXPECT_TRUE(rig.members[1]->statements.empty());
+  EXPECT_TRUE(rig.endpoints[1]->statements.empty());
 }
 
 // The next call is silent as well: the one after it still comes within 6 s of the first silence.
@@ -149,7 +149,7 @@
   EXPECT_EQ(rig.counters().discoveryFailures, 0U);
 }
 
-// A push comes from an agent of the driver's own, whose word counts at once when it is back: it is not left
+// A push comes from an agent of the gateway's own, whose word counts at once when it is back: it is not left
 // alone for longer the longer it was away.
 TEST(CrossingLists, ThatArePushedAreAskedForSoonHoweverLongTheAgentWasAway) {
   GatewayOptions options = byHand(60'000);
@@ -173,11 +173,11 @@
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   DiscoveryStandIn place(rig.loop);
-  place.members = rig.discovery.members;
+  place.endpoints = rig.discovery.endpoints;
   place.revision = 0;  // its revisions are its own
   place.silent = true;
   const transport::Micros moved = rig.loop.now();
-  moveTo(rig, place.endpoint());
+  moveTo(rig, place.socketAddress());
   ASSERT_TRUE(rig.until([&] { return place.calls.size() == 1; }));
   place.silent = false;
   ASSERT_TRUE(rig.until([&] { return place.waiting != nullptr; }));
@@ -192,23 +192,23 @@
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   DiscoveryStandIn between(rig.loop);
-  between.members = "[" + rig.entryOf(0) + "]";
+  between.endpoints = "[" + rig.entryOf(0) + "]";
   DiscoveryStandIn last(rig.loop);
-  last.members = rig.discovery.members;
-  moveTo(rig, between.endpoint());
-  moveTo(rig, last.endpoint());
+  last.endpoints = rig.discovery.endpoints;
+  moveTo(rig, between.socketAddress());
+  moveTo(rig, last.socketAddress());
   ASSERT_TRUE(rig.until([&] { return last.waiting != nullptr; }));
   EXPECT_TRUE(between.calls.empty());
   const std::size_t calls = last.calls.size();
-  moveTo(rig, last.endpoint());
-  ClientStandIn client(rig.loop, rig.endpoint);
+  moveTo(rig, last.socketAddress());
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
-  EXPECT_EQ(rig.members[1]->statements.size(), 1U) << "the replica is still known";
+  EXPECT_EQ(rig.endpoints[1]->statements.size(), 1U) << "the replica is still known";
   EXPECT_EQ(last.calls.size(), calls);
   // And back to where it came from: its old revision is not asked from.
   const std::size_t first = rig.discovery.calls.size();
-  moveTo(rig, rig.discovery.endpoint());
+  moveTo(rig, rig.discovery.socketAddress());
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() > first; }));
   EXPECT_EQ(rig.discovery.calls.back(), "GET /v1/endpoints HTTP/1.1");
 }
--- a/tests/logic_test_signals.cpp
+++ b/tests/logic_test_signals.cpp
@@ -1,11 +1,12 @@
-// What a router goes by where members send no reports, or where a signal that is sent is not worth its word.
+// What a router goes by where endpoints send no reports, or where a signal that is sent is not worth its
+// word.
 #include <gtest/gtest.h>
 
 #include <map>
 #include <set>
 #include <string>
 
-#include "logic.h"
+#include "policy/routing_policy.h"
 #include "rig.h"
 #include "settings/settings.h"
 #include "settings_text.h"
@@ -13,32 +14,32 @@
 namespace heathflow::test {
 namespace {
 
-using Members = std::vector<MemberId>;
+using Endpoints = std::vector<EndpointId>;
 
-// Members check reads themselves and wait a little before they turn one away; each answer tells a position.
-Settings waitingMembers() {
-  Settings settings = makeSettings();
-  settings.guard = Guard::Wait;
-  settings.catchUpWait = 20 * kMs;
-  settings.answersTellPosition = true;
+// Endpoints check reads themselves and wait a little before they turn one away; each answer tells a position.
+PolicySettings waitingEndpoints() {
+  PolicySettings settings = makeSettings();
+  settings.staleReads = StaleReadBehavior::Waits;
+  settings.catchUpTimeout = 20 * kMs;
+  settings.responsesReportPosition = true;
   return settings;
 }
 
-Settings withoutReports() {
-  Settings settings = waitingMembers();
-  settings.probesTellPosition = false;
-  settings.probesTellRole = false;
+PolicySettings withoutReports() {
+  PolicySettings settings = waitingEndpoints();
+  settings.healthChecksReportPosition = false;
+  settings.healthChecksReportRole = false;
   return settings;
 }
 
-// Its members' answers have told a lag of 100 ms, ten seconds ago.
+// Its endpoints' answers have told a lag of 100 ms, ten seconds ago.
 class AnsweredRig : public Rig {
  public:
-  explicit AnsweredRig(Settings settings = withoutReports()) : Rig(std::move(settings)) {
+  explicit AnsweredRig(PolicySettings settings = withoutReports()) : Rig(std::move(settings)) {
     usualGroup();
     const RequestId one = ask(kAny);
     const RequestId two = ask(kAny);
-    for (const RequestId read : {one, two}) end(read, 0, Outcome::Ok, Role::Replica, now - 100 * kMs);
+    for (const RequestId read : {one, two}) end(read, 0, AttemptOutcome::Ok, Role::Replica, now - 100 * kMs);
     now += 10 * kS;
     forget();
   }
@@ -46,24 +47,24 @@
 
 TEST(Signals, AReplicaThatLaggedLittleQualifiesWhereItChecksReadsItself) {
   AnsweredRig rig;
-  std::map<MemberId, int> sent;
+  std::map<EndpointId, int> sent;
   for (int i = 0; i < 4; ++i) ++sent[rig.sentTo(rig.ask(kBounded)).at(0)];
   EXPECT_EQ(sent[2], 2);
   EXPECT_EQ(sent[3], 2);
-  EXPECT_EQ(rig.probes(), 0U);
+  EXPECT_EQ(rig.healthChecks(), 0U);
 }
 
 TEST(Signals, AReplicaThatLaggedTooFarIsLeftForSixteenTimesAsLong) {
   AnsweredRig rig;
   const auto missed = rig.ask(kBounded);
-  const MemberId behind = rig.sentTo(missed).at(0);
-  rig.end(missed, 0, Outcome::Miss, Role::Replica, rig.now - 5 * kS);
+  const EndpointId behind = rig.sentTo(missed).at(0);
+  rig.end(missed, 0, AttemptOutcome::PreconditionFailed, Role::Replica, rig.now - 5 * kS);
   const auto goesThere = [&] {
     bool any = false;
     for (int i = 0; i < 4; ++i) {
       const auto read = rig.ask(kBounded);
       any = any || rig.sentTo(read).at(0) == behind;
-      rig.end(read, 0, Outcome::Ok, Role::Replica, rig.now - 100 * kMs);
+      rig.end(read, 0, AttemptOutcome::Ok, Role::Replica, rig.now - 100 * kMs);
     }
     return any;
   };
@@ -76,98 +77,99 @@
 }
 
 TEST(Signals, WhereALaggingReplicaWouldAnswerThatIsNotEnough) {
-  Settings settings = withoutReports();
-  settings.guard = Guard::Silent;
+  PolicySettings settings = withoutReports();
+  settings.staleReads = StaleReadBehavior::ServesStale;
   AnsweredRig rig(settings);
-  EXPECT_EQ(rig.sentTo(rig.ask(kBounded)), Members{1});
+  EXPECT_EQ(rig.sentTo(rig.ask(kBounded)), Endpoints{1});
 }
 
-TEST(Signals, NoPositionIsAskedForWhereProbesTellNone) {
-  Settings settings = withoutReports();
-  settings.guard = Guard::Silent;
+TEST(Signals, NoPositionIsAskedForWhereHealthChecksTellNone) {
+  PolicySettings settings = withoutReports();
+  settings.staleReads = StaleReadBehavior::ServesStale;
   Rig rig(settings);
   rig.usualGroup();
   for (int i = 0; i < 60; ++i) {
     rig.ask(kBounded);
     rig.now += 50 * kMs;
   }
-  for (const Probe& probe : rig.all<Probe>()) EXPECT_EQ(probe.reason, ProbeReason::Silent) << "only for life";
+  for (const StartHealthCheck& healthCheck : rig.all<StartHealthCheck>())
+    EXPECT_EQ(healthCheck.reason, HealthCheckReason::Unresponsive) << "only for life";
 }
 
-TEST(Signals, AWriteFindsTheNewPrimaryWhereProbesTellNoRole) {
+TEST(Signals, AWriteFindsTheNewPrimaryWhereHealthChecksTellNoRole) {
   Rig rig(withoutReports());
   rig.usualGroup();
   const auto write = rig.ask(kUnsafeWrite);
-  EXPECT_EQ(rig.sentTo(write), Members{1});
-  rig.end(write, 0, Outcome::Miss, Role::Replica);
+  EXPECT_EQ(rig.sentTo(write), Endpoints{1});
+  rig.end(write, 0, AttemptOutcome::PreconditionFailed, Role::Replica);
   const auto second = rig.sentTo(write);
   ASSERT_EQ(second.size(), 2U) << "it never ran";
-  rig.end(write, 1, Outcome::Miss, Role::Replica);
+  rig.end(write, 1, AttemptOutcome::PreconditionFailed, Role::Replica);
   const auto third = rig.sentTo(write);
   ASSERT_EQ(third.size(), 3U);
-  EXPECT_EQ(std::set<MemberId>(third.begin(), third.end()).size(), 3U) << "each once";
-  rig.end(write, 2, Outcome::Miss, Role::Replica);
+  EXPECT_EQ(std::set<EndpointId>(third.begin(), third.end()).size(), 3U) << "each once";
+  rig.end(write, 2, AttemptOutcome::PreconditionFailed, Role::Replica);
   EXPECT_EQ(rig.sentTo(write).size(), 3U) << "nobody leads for now";
   rig.pass(450 * kMs);
   EXPECT_EQ(rig.sentTo(write).size(), 4U);
-  rig.end(write, 3, Outcome::Ok, Role::Primary, rig.now);
-  EXPECT_EQ(rig.sentTo(rig.ask(kUnsafeWrite)), Members{rig.sentTo(write)[3]});
-  EXPECT_EQ(rig.probes(), 0U);
+  rig.end(write, 3, AttemptOutcome::Ok, Role::Primary, rig.now);
+  EXPECT_EQ(rig.sentTo(rig.ask(kUnsafeWrite)), Endpoints{rig.sentTo(write)[3]});
+  EXPECT_EQ(rig.healthChecks(), 0U);
 }
 
-TEST(Signals, ProbesComeBeforeAGuessThatAMemberWouldWaitFor) {
-  Settings settings = waitingMembers();
-  settings.answersTellPosition = false;
+TEST(Signals, HealthChecksComeBeforeAGuessThatAnEndpointWouldWaitFor) {
+  PolicySettings settings = waitingEndpoints();
+  settings.responsesReportPosition = false;
   KnownRig rig(settings);
   for (int i = 0; i < 6; ++i) rig.ask(kUnsafeWrite);  // an idle primary would take the read meanwhile
   rig.now += 10 * kS;
   rig.forget();
   const auto read = rig.ask(kBounded);
   EXPECT_TRUE(rig.sentTo(read).empty());
-  EXPECT_EQ(rig.probes(), 1U);
+  EXPECT_EQ(rig.healthChecks(), 1U);
 }
 
-TEST(Signals, NoGuessGoesToOneBelievedFarBehindWhereMembersWait) {
-  Settings settings = waitingMembers();
-  settings.answersTellPosition = false;
+TEST(Signals, NoGuessGoesToOneBelievedFarBehindWhereEndpointsWait) {
+  PolicySettings settings = waitingEndpoints();
+  settings.responsesReportPosition = false;
   KnownRig rig(settings);
   rig.now += 10 * kS;
-  rig.probed(1, Role::Primary, rig.now);
-  for (const MemberId member : {2U, 3U}) rig.probed(member, Role::Replica, rig.now - 9 * kS);
+  rig.healthChecked(1, Role::Primary, rig.now);
+  for (const EndpointId endpoint : {2U, 3U}) rig.healthChecked(endpoint, Role::Replica, rig.now - 9 * kS);
   rig.now += 3500 * kMs;  // longer than the read's bound; at most half of that can be caught up
-  rig.probed(1, Role::Primary, rig.now);
-  EXPECT_EQ(rig.sentTo(rig.ask(kBounded)), Members{1});
+  rig.healthChecked(1, Role::Primary, rig.now);
+  EXPECT_EQ(rig.sentTo(rig.ask(kBounded)), Endpoints{1});
 }
 
 // A miss tells how far behind only where answers carry positions; else that it was further than the read
 // bears.
 TEST(Signals, AMissWithoutAPositionTellsThatItLaggedThatFar) {
-  Settings settings = waitingMembers();
-  settings.answersTellPosition = false;
-  settings.mayProbe = false;
+  PolicySettings settings = waitingEndpoints();
+  settings.responsesReportPosition = false;
+  settings.healthChecksAllowed = false;
   KnownRig rig(settings);
   rig.now += 10 * kS;
   const auto read = rig.ask(kBounded);
-  rig.end(read, 0, Outcome::Miss, Role::Replica);
-  rig.end(read, 1, Outcome::Miss, Role::Replica);
+  rig.end(read, 0, AttemptOutcome::PreconditionFailed, Role::Replica);
+  rig.end(read, 1, AttemptOutcome::PreconditionFailed, Role::Replica);
   ASSERT_EQ(rig.sentTo(read).size(), 3U);
   EXPECT_EQ(rig.sentTo(read)[2], 1U);
-  EXPECT_EQ(rig.sentTo(rig.ask(kBounded)), Members{1}) << "none is guessed at again";
+  EXPECT_EQ(rig.sentTo(rig.ask(kBounded)), Endpoints{1}) << "none is guessed at again";
 }
 
-TEST(Signals, MembersOfTheOwnZoneComeFirstWhereCrossingHasAPrice) {
+TEST(Signals, EndpointsOfTheOwnZoneComeFirstWhereCrossingHasAPrice) {
   const auto crossings = [](bool costs) {
-    Settings settings = makeSettings();
+    PolicySettings settings = makeSettings();
     settings.zone = 1;
-    settings.crossingCosts = costs;
+    settings.crossZoneTrafficHasCost = costs;
     int crossed = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
       Rig rig(settings, seed);
-      std::vector<Member> members = {makeMember(1, true), makeMember(2), makeMember(3)};
-      members[2].zone = 1;
-      rig.list(members);
+      std::vector<Endpoint> endpoints = {makeEndpoint(1, true), makeEndpoint(2), makeEndpoint(3)};
+      endpoints[2].zone = 1;
+      rig.list(endpoints);
       const auto first = rig.ask(kAny);
-      crossed += rig.sentTo(first) == Members{2} ? 1 : 0;
+      crossed += rig.sentTo(first) == Endpoints{2} ? 1 : 0;
       EXPECT_EQ(rig.sentTo(rig.ask(kAny)).size(), 1U);
       EXPECT_NE(rig.sentTo(rig.lastId), rig.sentTo(first)) << "not at the price of a queue";
     }
@@ -178,10 +180,10 @@
 }
 
 TEST(Signals, TheSettingsSayWhatTellsPositions) {
-  const Settings told = settings::parseSettings(kSettingsText).logic;
-  EXPECT_TRUE(told.probesTellPosition);
-  EXPECT_TRUE(told.probesTellRole);
-  EXPECT_FALSE(told.answersTellPosition);
+  const PolicySettings told = settings::parseSettings(kSettingsText).logic;
+  EXPECT_TRUE(told.healthChecksReportPosition);
+  EXPECT_TRUE(told.healthChecksReportRole);
+  EXPECT_FALSE(told.responsesReportPosition);
   std::string text = kSettingsText;
   const auto replace = [&text](const std::string& what, const std::string& with) {
     const auto at = text.find(what);
@@ -191,25 +193,25 @@
   replace(R"("Fields": ["odd", "x0", "x1"])", R"("Fields": [])");
   replace(R"("CatchUpWait": 0)", R"("CatchUpWait": 20000)");
   replace(R"("Positions": false)", R"("Positions": true)");
-  const Settings silent = settings::parseSettings(text).logic;
-  EXPECT_FALSE(silent.probesTellPosition);
-  EXPECT_FALSE(silent.probesTellRole);
-  EXPECT_TRUE(silent.answersTellPosition);
-  EXPECT_EQ(silent.catchUpWait, 20 * kMs);
-  EXPECT_FALSE(silent.crossingCosts);
+  const PolicySettings silent = settings::parseSettings(text).logic;
+  EXPECT_FALSE(silent.healthChecksReportPosition);
+  EXPECT_FALSE(silent.healthChecksReportRole);
+  EXPECT_TRUE(silent.responsesReportPosition);
+  EXPECT_EQ(silent.catchUpTimeout, 20 * kMs);
+  EXPECT_FALSE(silent.crossZoneTrafficHasCost);
   replace(R"("Az": 0)", R"("Az": 1, "Charges": {"CrossZone": 0.04})");
-  const Settings priced = settings::parseSettings(text).logic;
-  EXPECT_TRUE(priced.crossingCosts);
+  const PolicySettings priced = settings::parseSettings(text).logic;
+  EXPECT_TRUE(priced.crossZoneTrafficHasCost);
   EXPECT_EQ(priced.zone, 1U);
 }
 
 TEST(Signals, AimsTellWhichReadsAreLongBeforeAnswersDo) {
-  Settings settings = makeSettings();
-  settings.classes.push_back(makeClass(Consistency::Any, Effect::Safe, 4 * kS, 8 * kS, 0));
+  PolicySettings settings = makeSettings();
+  settings.classes.push_back(makeClass(Consistency::Eventual, Idempotency::Idempotent, 4 * kS, 8 * kS, 0));
   const auto longRead = static_cast<std::uint32_t>(settings.classes.size() - 1);
   KnownRig rig(settings);
-  for (int i = 0; i < 20; ++i) rig.end(rig.ask(kAny), 0, Outcome::Ok, Role::Replica, {}, 40 * kMs);
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(rig.sentTo(rig.ask(longRead)), Members{2});
+  for (int i = 0; i < 20; ++i) rig.end(rig.ask(kAny), 0, AttemptOutcome::Ok, Role::Replica, {}, 40 * kMs);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(rig.sentTo(rig.ask(longRead)), Endpoints{2});
 }
 
 }  // namespace
--- a/tests/logic_test_troubles.cpp
+++ b/tests/logic_test_troubles.cpp
@@ -1,4 +1,4 @@
-// A fleet of routers through the kinds of trouble that members, paths and lists have, by their symptoms: 60
+// A fleet of routers through the kinds of trouble that endpoints, paths and lists have, by their symptoms: 60
 // routers under a virtual clock, with the real decisions.
 #include <gtest/gtest.h>
 
@@ -45,8 +45,8 @@
 };
 void PrintTo(const Trouble& trouble, std::ostream* out) { *out << trouble.name; }
 
-// The shares are a little under what is reached, so that a change for the worse shows. Where probes fail no
-// position is known, and where a path is as long as half an aim little can be done.
+// The shares are a little under what is reached, so that a change for the worse shows. Where health checks
+// fail no position is known, and where a path is as long as half an aim little can be done.
 class Troubles : public testing::TestWithParam<Trouble> {};
 
 TEST_P(Troubles, AreLivedThroughAndLeftBehind) {
@@ -59,13 +59,13 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Kinds, Troubles,
-                         testing::Values(Trouble{"hang", Happening::Kind::MembersHang, 0.1, 0.93},
-                                         Trouble{"pauses", Happening::Kind::MembersPause, 0.3, 0.95},
-                                         Trouble{"fast_errors", Happening::Kind::MembersFail, 0.1, 0.93},
+                         testing::Values(Trouble{"hang", Happening::Kind::EndpointsHang, 0.1, 0.93},
+                                         Trouble{"pauses", Happening::Kind::EndpointsPause, 0.3, 0.95},
+                                         Trouble{"fast_errors", Happening::Kind::EndpointsFail, 0.1, 0.93},
                                          Trouble{"answer_lost", Happening::Kind::AnswersLost, 0.6, 0.77},
-                                         Trouble{"probe_fail", Happening::Kind::ProbesFail, 0.8, 0.65},
-                                         Trouble{"flapping", Happening::Kind::MembersFlap, 0.2, 0.96},
-                                         Trouble{"preempt", Happening::Kind::MembersLeave, 0.2, 0.96},
+                                         Trouble{"probe_fail", Happening::Kind::HealthChecksFail, 0.8, 0.65},
+                                         Trouble{"flapping", Happening::Kind::EndpointsFlap, 0.2, 0.96},
+                                         Trouble{"preempt", Happening::Kind::EndpointsLeave, 0.2, 0.96},
                                          Trouble{"discovery_stale", Happening::Kind::ListLate, 1, 0.96},
                                          Trouble{"slow_link", Happening::Kind::PathsWorsen, 1, 0.66}),
                          [](const auto& named) { return std::string(named.param.name); });
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// Who of the drivers is there: many of them under a virtual clock, with losses, pauses, cuts and deaths.
+// Who of the gateways is there: many of them under a virtual clock, with losses, pauses, cuts and deaths.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-TalkPlan plan(unsigned drivers, std::uint64_t seed = 1) {
+TalkPlan plan(unsigned gateways, std::uint64_t seed = 1) {
   TalkPlan out;
-  out.drivers = drivers;
+  out.gateways = gateways;
   out.seed = seed;
   return out;
 }
@@ -30,10 +30,10 @@
 }
 
 TEST(Members, ThatStartTogetherFindEachOtherBySeeds) {
-  for (const unsigned drivers : {2U, 5U, 60U}) {
-    Talk talk(plan(drivers));
+  for (const unsigned gateways : {2U, 5U, 60U}) {
+    Talk talk(plan(gateways));
     talk.run(15 * kS);
-    EXPECT_TRUE(talk.agreed()) << drivers;
+    EXPECT_TRUE(talk.agreed()) << gateways;
     EXPECT_EQ(count(talk, Kind::Failed, 0), 0U);
   }
 }
@@ -82,7 +82,7 @@
     talk.run(20 * kS);
     EXPECT_TRUE(talk.agreed()) << pause;
     for (const auto& event : talk.events()) {
-      const bool own = event.at >= woke && event.driver == 4;
+      const bool own = event.at >= woke && event.gateway == 4;
       EXPECT_FALSE(own && event.what.kind == Kind::Failed) << event.what.name;
     }
   }
@@ -115,7 +115,7 @@
   // At the most what it began to suspect before it knew better.
   std::size_t accused = 0;
   for (const auto& event : talk.events())
-    accused += event.driver == 0 && event.at >= since && event.what.kind == Kind::Failed ? 1 : 0;
+    accused += event.gateway == 0 && event.at >= since && event.what.kind == Kind::Failed ? 1 : 0;
   EXPECT_LE(accused, 2U);
   EXPECT_EQ(talk.at(5).view().at("n0").state, State::Failed);
   talk.heal();
--- a/tests/momentary_lack_test.cpp
+++ b/tests/momentary_lack_test.cpp
@@ -1,5 +1,5 @@
-// Calls of the system that fail for a moment while the driver serves: our own lack is no word against a
-// member or a client.
+// Calls of the system that fail for a moment while the gateway serves: our own lack is no word against a
+// endpoint or a client.
 #include <gtest/gtest.h>
 
 #include "crossing.h"
@@ -14,12 +14,12 @@
 // One whose roles are known and whose connections are gone: the next request needs a new one.
 class Serving {
  public:
-  Serving() : client(rig.loop, rig.endpoint) {
+  Serving() : client(rig.loop, rig.socketAddress) {
     client.ask(request("status", "warm"));
     EXPECT_TRUE(client.answered());
     client.forget();
-    for (auto& member : rig.members) {
-      for (auto& line : member->lines) line->hangUp();
+    for (auto& endpoint : rig.endpoints) {
+      for (auto& line : endpoint->lines) line->hangUp();
     }
     const auto left = [this] {
       return rig.counters().connectionsStale >= 1 && rig.counters().descriptors <= 1;
@@ -30,7 +30,7 @@
   ClientStandIn client;
 };
 
-TEST(OwnLack, OfASocketRefusesNoRequest) {
+TEST(OwnLack, OfASocketRejectsNoRequest) {
   Serving site;
   const InForce faults(planOf("socket=1#2"));
   site.client.ask(request("status", "a"));
@@ -39,20 +39,20 @@
   EXPECT_EQ(faultshim::struck(Fault::Socket), 2U);
 }
 
-TEST(OwnLack, OfAPortOrAWatchIsNoFailureOfTheMember) {
+TEST(OwnLack, OfAPortOrAWatchIsNoFailureOfTheEndpoint) {
   for (const char* plan : {"connect=1#1", "connect=1#3", "watch=1#1", "watch=1#2"}) {
     Serving site;
-    const auto before = site.rig.outcomes(Outcome::ConnectFailed);
+    const auto before = site.rig.outcomes(AttemptOutcome::ConnectFailed);
     const InForce faults(planOf(plan));
     site.client.ask(request("status", "a"));
     ASSERT_TRUE(site.client.answered()) << plan;
     EXPECT_EQ(site.client.code(), "") << plan;
-    EXPECT_EQ(site.rig.outcomes(Outcome::ConnectFailed), before) << plan;
+    EXPECT_EQ(site.rig.outcomes(AttemptOutcome::ConnectFailed), before) << plan;
   }
 }
 
 // Where it lasts the request gets its answer all the same.
-TEST(OwnLack, ThatLastsIsARefusal) {
+TEST(OwnLack, ThatLastsIsARejection) {
   Serving site;
   const InForce faults(planOf("socket=1"));
   site.client.ask(request("status", "a"));
@@ -63,12 +63,12 @@
 // Taken off the queue, a client's connection is ours: closed unread it would be reset under its request.
 TEST(OwnLack, OfAWatchClosesNoClientUnread) {
   GatewayRig rig;
-  ClientStandIn warm(rig.loop, rig.endpoint);
+  ClientStandIn warm(rig.loop, rig.socketAddress);
   warm.ask(request("any", "warm"));
   ASSERT_TRUE(warm.answered());
   Line client(rig.loop, nullptr);
   int error = 0;
-  ASSERT_TRUE(client.stream.connect(rig.endpoint.endpoint, error));  // it stands in the queue
+  ASSERT_TRUE(client.stream.connect(rig.socketAddress.socketAddress, error));  // it stands in the queue
   const InForce faults(planOf("watch=1#4"));
   client.say(pg::startup() + pg::query(request("any", "a")));
   ASSERT_TRUE(rig.until([&] { return client.ended || client.got.find("from ") != std::string::npos; }));
@@ -79,7 +79,7 @@
 TEST(OwnLack, OfAnAcceptLeavesNoClientWaiting) {
   GatewayRig rig;
   const InForce faults(planOf("accept=1#40;interrupt-io=0.2"));
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "a"));
   EXPECT_TRUE(client.answered());
 }
--- a/tests/notifications_test.cpp
+++ b/tests/notifications_test.cpp
@@ -1,27 +1,27 @@
-// When a change counts as told to a driver, term by term, and where two of them cross.
-#include "rig/notifications.h"
+// When a change counts as told to a gateway, term by term, and where two of them cross.
+#include "emulator/notifications.h"
 
 #include <gtest/gtest.h>
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-// A service that is up, and a driver that started long before.
+// A service that is up, and a gateway that started long before.
 struct Told {
   Told() { told.started("n0", -100 * kS); }
-  std::optional<Micros> at(Micros time, const std::string& driver = "n0") const {
-    return told.toldNotReady(driver, "m1", time);
+  std::optional<Micros> at(Micros time, const std::string& gateway = "n0") const {
+    return told.toldNotReady(gateway, "m1", time);
   }
-  // The span in which the member counts as not ready, looked at each 100 ms; nothing outside it.
-  void expectNotReadyWithin(Micros from, Micros until, const std::string& driver = "n0") const {
+  // The span in which the endpoint counts as not ready, looked at each 100 ms; nothing outside it.
+  void expectNotReadyWithin(Micros from, Micros until, const std::string& gateway = "n0") const {
     for (Micros time = 0; time <= 40 * kS; time += 100 * kMs) {
       const bool wanted = time >= from && time < until;
-      EXPECT_EQ(at(time, driver).has_value(), wanted) << driver << " at " << time / kMs << " ms";
+      EXPECT_EQ(at(time, gateway).has_value(), wanted) << gateway << " at " << time / kMs << " ms";
       if (wanted) {
-        EXPECT_EQ(at(time, driver), from);
+        EXPECT_EQ(at(time, gateway), from);
       }
     }
   }
@@ -29,7 +29,7 @@
 };
 constexpr Micros kAlways = 1000 * kS;
 
-TEST(Notified, OfNothingAMemberIsReady) {
+TEST(Notified, OfNothingAnEndpointIsReady) {
   Told site;
   site.expectNotReadyWithin(kAlways, kAlways);
 }
@@ -48,7 +48,7 @@
   site.expectNotReadyWithin(9 * kS, kAlways);
 }
 
-// Calls that fail, are refused, given up or were never made: it is the same.
+// Calls that fail, are rejected, given up or were never made: it is the same.
 TEST(Notified, SixSecondsLaterAtTheLatestOfDrainsAndRemovalsAlike) {
   for (const ListedState state : {ListedState::Draining, ListedState::Gone}) {
     Told site;
@@ -145,7 +145,7 @@
   site.expectNotReadyWithin(3 * kS, 6 * kS);
 }
 
-// The incident's own case: back among the members, but the driver has not been told.
+// The incident's own case: back among the endpoints, but the gateway has not been told.
 TEST(NotifiedOfAReturn, ByTheSameTermsAsOfTheRemoval) {
   Told site;
   site.told.changed("m1", ListedState::Gone, 2 * kS);
@@ -218,7 +218,7 @@
   site.expectNotReadyWithin(5 * kS, kAlways);
 }
 
-// ---- Processes and drivers ----
+// ---- Processes and gateways ----
 
 // The list of its start may be old; from its first failed call on what is 6 s old counts.
 TEST(NotifiedAtAStart, OfWhatWasBeforeItWithTheFirstCallThatFails) {
@@ -268,7 +268,7 @@
   site.expectNotReadyWithin(6500 * kMs, kAlways);
 }
 
-TEST(Notified, EachDriverForItself) {
+TEST(Notified, EachGatewayForItself) {
   Told site;
   site.told.started("n1", -100 * kS);
   site.told.changed("m1", ListedState::Draining, 2 * kS);
@@ -278,4 +278,4 @@
 }
 
 }  // namespace
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/tests/outcome_test.cpp
+++ b/tests/outcome_test.cpp
@@ -17,9 +17,9 @@
 
 constexpr Micros kNow = 1767225601000000;
 
-// Members' clocks that agree with ours, as a primary has told.
-wallclock::MemberTime& agreeingClocks() {
-  static wallclock::MemberTime only;
+// Endpoints' clocks that agree with ours, as a primary has told.
+wallclock::EndpointTime& agreeingClocks() {
+  static wallclock::EndpointTime only;
   only = {};
   (void)only.heard(kNow, kNow, true);
   return only;
@@ -27,64 +27,64 @@
 
 settings::InstanceSettings socketSettings() { return settings::parseSettings(test::settingsText({})); }
 
-// A member's answer to one query, as the client side read it.
+// An endpoint's answer to one query, as the client side read it.
 struct Read {
   explicit Read(const std::string& answerBytes) : bytes(answerBytes) {
     transport::Buffer out(1024);
     client.feed(pg::welcome(), false, out);
     client.dropped();
-    client.askProbe(out);
+    client.askHealthCheck(out);
     client.feed(bytes, false, out);
   }
   ExchangeEnd end(Cause cause = Cause::Answered, Stage stage = Stage::Answering) const {
     return {cause, stage, &client.answer(), bytes};
   }
   std::string bytes;
-  protocol::PgMemberSide client;
+  protocol::PgEndpointSide client;
 };
 
 TEST(OutcomeTable, NothingHasRunBeforeTheLastByteIsWritten) {
   for (const Stage stage : {Stage::Connecting, Stage::PartlyWritten}) {
-    EXPECT_EQ(outcomeOf({Cause::Broken, stage, nullptr, {}}), Outcome::ConnectFailed);
+    EXPECT_EQ(outcomeOf({Cause::Broken, stage, nullptr, {}}), AttemptOutcome::ConnectFailed);
   }
   const Read turnedDown(pg::error("53300", "FATAL"));
-  EXPECT_EQ(outcomeOf(turnedDown.end(Cause::TurnedDown, Stage::Connecting)), Outcome::ConnectFailed);
-  EXPECT_EQ(outcomeOf({Cause::Unwanted, Stage::Connecting, nullptr, {}}), Outcome::NeverSent);
+  EXPECT_EQ(outcomeOf(turnedDown.end(Cause::TurnedDown, Stage::Connecting)), AttemptOutcome::ConnectFailed);
+  EXPECT_EQ(outcomeOf({Cause::Unwanted, Stage::Connecting, nullptr, {}}), AttemptOutcome::NotSent);
 }
 
 TEST(OutcomeTable, ABreakBehindItMayHaveRun) {
   for (const Stage stage : {Stage::Written, Stage::Answering}) {
-    EXPECT_EQ(outcomeOf({Cause::Broken, stage, nullptr, {}}), Outcome::Reset);
+    EXPECT_EQ(outcomeOf({Cause::Broken, stage, nullptr, {}}), AttemptOutcome::ConnectionReset);
   }
 }
 
-// Guards members against being left alone, and then taken for cold, for an answer that can't be read.
+// Guards endpoints against being left alone, and then taken for cold, for an answer that can't be read.
 TEST(OutcomeTable, AMalformedAnswerMayHaveRunAndIsNoReset) {
   for (const Stage stage : {Stage::Written, Stage::Answering}) {
-    EXPECT_EQ(outcomeOf({Cause::Malformed, stage, nullptr, {}}), Outcome::Malformed);
+    EXPECT_EQ(outcomeOf({Cause::Malformed, stage, nullptr, {}}), AttemptOutcome::Malformed);
   }
   for (const Stage stage : {Stage::Connecting, Stage::PartlyWritten}) {
-    EXPECT_EQ(outcomeOf({Cause::Malformed, stage, nullptr, {}}), Outcome::ConnectFailed);
+    EXPECT_EQ(outcomeOf({Cause::Malformed, stage, nullptr, {}}), AttemptOutcome::ConnectFailed);
   }
-  const ProbeEnded probe =
-      probeEndOf(socketSettings(), {Cause::Malformed, Stage::Answering, nullptr, {}}, kNow, agreeingClocks());
-  EXPECT_FALSE(probe.ok);
-  EXPECT_TRUE(probe.turnedAway) << "it lives";
+  const HealthCheckEnded healthCheck = healthCheckEndOf(
+      socketSettings(), {Cause::Malformed, Stage::Answering, nullptr, {}}, kNow, agreeingClocks());
+  EXPECT_FALSE(healthCheck.ok);
+  EXPECT_TRUE(healthCheck.rejected) << "it lives";
 }
 
 TEST(OutcomeTable, AnswersAreToldByTheirCodes) {
   const auto outcome = [](const std::string& bytes) { return outcomeOf(Read(bytes + pg::ready()).end()); };
-  EXPECT_EQ(outcome(pg::row("v")), Outcome::Ok);
-  EXPECT_EQ(outcome(pg::row("")), Outcome::Ok);
-  EXPECT_EQ(outcome(pg::error("25006")), Outcome::Miss);
-  EXPECT_EQ(outcome(pg::error("72000")), Outcome::Miss);
-  EXPECT_EQ(outcome(pg::error("53300")), Outcome::Full);
-  EXPECT_EQ(outcome(pg::error("XX000")), Outcome::Error);
+  EXPECT_EQ(outcome(pg::row("v")), AttemptOutcome::Ok);
+  EXPECT_EQ(outcome(pg::row("")), AttemptOutcome::Ok);
+  EXPECT_EQ(outcome(pg::error("25006")), AttemptOutcome::PreconditionFailed);
+  EXPECT_EQ(outcome(pg::error("72000")), AttemptOutcome::PreconditionFailed);
+  EXPECT_EQ(outcome(pg::error("53300")), AttemptOutcome::Overloaded);
+  EXPECT_EQ(outcome(pg::error("XX000")), AttemptOutcome::Error);
   // Whatever is not in the table may have run.
   for (const char* code : {"57P03", "08P01", "42501", "53301", "", "2500", "99999"}) {
-    EXPECT_EQ(outcome(pg::error(code)), Outcome::Error) << code;
+    EXPECT_EQ(outcome(pg::error(code)), AttemptOutcome::Error) << code;
   }
-  EXPECT_EQ(outcome(pg::complete("SELECT 0")), Outcome::Error);
+  EXPECT_EQ(outcome(pg::complete("SELECT 0")), AttemptOutcome::Error);
 }
 
 TEST(OutcomeTable, AnswersTellRolePositionAndReport) {
@@ -114,7 +114,7 @@
   EXPECT_EQ(readReport(settings, "x1=1", kNow, agreeingClocks()).role, Role::Primary);
   EXPECT_EQ(readReport(settings, "x1=0", kNow, agreeingClocks()).role, Role::Replica);
   for (const char* text : {"", "x0=,x1=", "x0=soon,x1=yes", "y0=1,y1=1", "x0=-5"}) {
-    const Report report = readReport(settings, text, kNow, agreeingClocks());
+    const LoadReport report = readReport(settings, text, kNow, agreeingClocks());
     EXPECT_FALSE(report.position) << text;
     EXPECT_FALSE(report.role) << text;
   }
@@ -126,7 +126,7 @@
   const settings::InstanceSettings settings = socketSettings();
   for (const char* text :
        {"x0=1767225603.000,x1=1", "x0=999999999999,x1=1", "x0=soon,x1=7", "x1=-1", "x0=1e9"}) {
-    const Report report = readReport(settings, text, kNow, agreeingClocks());
+    const LoadReport report = readReport(settings, text, kNow, agreeingClocks());
     EXPECT_FALSE(report.position) << text;
     EXPECT_FALSE(report.role) << text;
   }
@@ -134,7 +134,7 @@
   const Read read(pg::row("v") + pg::parameter("mode", "read-write") +
                   pg::parameter("wal_time", "1999999999999") + pg::parameter("stats", "x0=1999999999,x1=0") +
                   pg::ready());
-  EXPECT_EQ(outcomeOf(read.end()), Outcome::Ok);
+  EXPECT_EQ(outcomeOf(read.end()), AttemptOutcome::Ok);
   AttemptEnded event;
   readNews(settings, read.end(), kNow, agreeingClocks(), event);
   EXPECT_EQ(event.role, Role::Primary);
@@ -149,24 +149,24 @@
   EXPECT_NE(read.client.answer().kind, protocol::Answer::Kind::Value);
 }
 
-TEST(ProbeAnswers, TellAliveTurnedAwayAndDeadApart) {
+TEST(HealthCheckAnswers, TellAliveTurnedAwayAndDeadApart) {
   const settings::InstanceSettings settings = socketSettings();
-  const ProbeEnded alive =
-      probeEndOf(settings, Read(pg::row("x0=1767225600.5,x1=1") + pg::ready()).end(), kNow, agreeingClocks());
+  const HealthCheckEnded alive = healthCheckEndOf(
+      settings, Read(pg::row("x0=1767225600.5,x1=1") + pg::ready()).end(), kNow, agreeingClocks());
   EXPECT_TRUE(alive.ok);
   EXPECT_EQ(alive.report.role, Role::Primary);
   for (const char* code : {"53300", "57P03"}) {
-    const ProbeEnded away =
-        probeEndOf(settings, Read(pg::error(code) + pg::ready()).end(), kNow, agreeingClocks());
+    const HealthCheckEnded away =
+        healthCheckEndOf(settings, Read(pg::error(code) + pg::ready()).end(), kNow, agreeingClocks());
     EXPECT_FALSE(away.ok);
-    EXPECT_TRUE(away.turnedAway) << code;
+    EXPECT_TRUE(away.rejected) << code;
   }
-  const ProbeEnded refused =
-      probeEndOf(settings, Read(pg::error("42501") + pg::ready()).end(), kNow, agreeingClocks());
-  EXPECT_FALSE(refused.ok || refused.turnedAway);
-  const ProbeEnded dead =
-      probeEndOf(settings, {Cause::Broken, Stage::Connecting, nullptr, {}}, kNow, agreeingClocks());
-  EXPECT_FALSE(dead.ok || dead.turnedAway);
+  const HealthCheckEnded rejected =
+      healthCheckEndOf(settings, Read(pg::error("42501") + pg::ready()).end(), kNow, agreeingClocks());
+  EXPECT_FALSE(rejected.ok || rejected.rejected);
+  const HealthCheckEnded dead =
+      healthCheckEndOf(settings, {Cause::Broken, Stage::Connecting, nullptr, {}}, kNow, agreeingClocks());
+  EXPECT_FALSE(dead.ok || dead.rejected);
 }
 
 }  // namespace
--- a/tests/pg_client_test.cpp
+++ b/tests/pg_client_test.cpp
@@ -1,4 +1,4 @@
-// The client side of the protocol: what members answer, in any pieces.
+// The client side of the protocol: what endpoints answer, in any pieces.
 #include "protocol/pg_client.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 using Event = PgClient::Event;
 using Kind = PgAnswer::Kind;
 
-struct Member {
+struct Endpoint {
   PgClient client;
   std::string input;
 
@@ -48,23 +48,23 @@
                             pg::message('N', "Sx" + std::string(2, '\0')) +
                             pg::parameter("mode", "read-only") + pg::ready();
   for (std::size_t at = 0; at < whole.size(); ++at) {
-    Member member;
-    ASSERT_EQ(member.feed(std::string_view(whole).substr(0, at)), Event::NeedMore) << at;
-    ASSERT_EQ(member.feed(std::string_view(whole).substr(at)), Event::Ready) << at;
-    ASSERT_TRUE(member.client.usable());
+    Endpoint endpoint;
+    ASSERT_EQ(endpoint.feed(std::string_view(whole).substr(0, at)), Event::NeedMore) << at;
+    ASSERT_EQ(endpoint.feed(std::string_view(whole).substr(at)), Event::Ready) << at;
+    ASSERT_TRUE(endpoint.client.usable());
   }
 }
 
 TEST(PgClientStart, TellsThatItWasTurnedDown) {
-  Member member;
-  EXPECT_EQ(member.feed(pg::error("53300", "FATAL")), Event::Rejected);
-  EXPECT_EQ(member.of(member.client.answer().code), "53300");
-  EXPECT_FALSE(member.client.usable());
+  Endpoint endpoint;
+  EXPECT_EQ(endpoint.feed(pg::error("53300", "FATAL")), Event::Rejected);
+  EXPECT_EQ(endpoint.of(endpoint.client.answer().code), "53300");
+  EXPECT_FALSE(endpoint.client.usable());
 }
 
-TEST(PgClientStart, RefusesToGiveAPassword) {
-  Member member;
-  EXPECT_EQ(member.feed(pg::message('R', pg::u32(3))), Event::Broken);
+TEST(PgClientStart, RejectsToGiveAPassword) {
+  Endpoint endpoint;
+  EXPECT_EQ(endpoint.feed(pg::message('R', pg::u32(3))), Event::Broken);
 }
 
 TEST(PgClientAnswers, ARowIsKeptByteForByteHoweverItIsSplit) {
@@ -74,90 +74,90 @@
                             pg::dataRow(value) + pg::complete() + pg::parameter("mode", "read-write") +
                             pg::parameter("wal_time", "1767225600123") + pg::ready();
   for (std::size_t at = 0; at < whole.size(); ++at) {
-    Member member;
-    member.ask();
-    ASSERT_EQ(member.feed(std::string_view(whole).substr(0, at)), Event::NeedMore) << at;
-    ASSERT_EQ(member.feed(std::string_view(whole).substr(at)), Event::Answered) << at;
-    const PgAnswer& answer = member.client.answer();
+    Endpoint endpoint;
+    endpoint.ask();
+    ASSERT_EQ(endpoint.feed(std::string_view(whole).substr(0, at)), Event::NeedMore) << at;
+    ASSERT_EQ(endpoint.feed(std::string_view(whole).substr(at)), Event::Answered) << at;
+    const PgAnswer& answer = endpoint.client.answer();
     ASSERT_EQ(answer.kind, Kind::Row);
-    ASSERT_EQ(member.of(answer.value), value);
-    ASSERT_EQ(member.of(answer.rowDescription), pg::rowDescription());
-    ASSERT_EQ(member.of(answer.dataRow), pg::dataRow(value));
-    ASSERT_EQ(member.of(answer.commandComplete), pg::complete());
+    ASSERT_EQ(endpoint.of(answer.value), value);
+    ASSERT_EQ(endpoint.of(answer.rowDescription), pg::rowDescription());
+    ASSERT_EQ(endpoint.of(answer.dataRow), pg::dataRow(value));
+    ASSERT_EQ(endpoint.of(answer.commandComplete), pg::complete());
     ASSERT_EQ(answer.primary, true);
     ASSERT_EQ(answer.positionMs, 1767225600123);
-    ASSERT_EQ(member.client.seen(), whole.size());
-    ASSERT_TRUE(member.client.usable());
+    ASSERT_EQ(endpoint.client.seen(), whole.size());
+    ASSERT_TRUE(endpoint.client.usable());
   }
 }
 
 TEST(PgClientAnswers, OneConnectionCarriesManyAndForgetsTheOneBefore) {
-  Member member;
-  member.ask();
-  ASSERT_EQ(member.feed(pg::row("one") + pg::parameter("mode", "read-only") +
-                        pg::parameter("stats", "x0=1,x1=0") + pg::ready()),
+  Endpoint endpoint;
+  endpoint.ask();
+  ASSERT_EQ(endpoint.feed(pg::row("one") + pg::parameter("mode", "read-only") +
+                          pg::parameter("stats", "x0=1,x1=0") + pg::ready()),
             Event::Answered);
-  EXPECT_EQ(member.client.answer().primary, false);
-  EXPECT_EQ(member.of(member.client.answer().report), "x0=1,x1=0");
-  member.drop();
-  member.client.queried();
-  ASSERT_EQ(member.feed(pg::row("two") + pg::ready()), Event::Answered);
-  EXPECT_EQ(member.of(member.client.answer().value), "two");
-  EXPECT_EQ(member.client.answer().primary, std::nullopt);
-  EXPECT_TRUE(member.of(member.client.answer().report).empty());
+  EXPECT_EQ(endpoint.client.answer().primary, false);
+  EXPECT_EQ(endpoint.of(endpoint.client.answer().report), "x0=1,x1=0");
+  endpoint.drop();
+  endpoint.client.queried();
+  ASSERT_EQ(endpoint.feed(pg::row("two") + pg::ready()), Event::Answered);
+  EXPECT_EQ(endpoint.of(endpoint.client.answer().value), "two");
+  EXPECT_EQ(endpoint.client.answer().primary, std::nullopt);
+  EXPECT_TRUE(endpoint.of(endpoint.client.answer().report).empty());
 }
 
 TEST(PgClientAnswers, AnErrorTellsItsCode) {
-  Member member;
-  member.ask();
-  EXPECT_EQ(member.feed(pg::error("25006") + pg::parameter("mode", "read-only")), Event::NeedMore);
-  EXPECT_EQ(member.feed(pg::ready()), Event::Answered);
-  EXPECT_EQ(member.client.answer().kind, Kind::Error);
-  EXPECT_EQ(member.of(member.client.answer().code), "25006");
-  EXPECT_EQ(member.client.answer().primary, false);
+  Endpoint endpoint;
+  endpoint.ask();
+  EXPECT_EQ(endpoint.feed(pg::error("25006") + pg::parameter("mode", "read-only")), Event::NeedMore);
+  EXPECT_EQ(endpoint.feed(pg::ready()), Event::Answered);
+  EXPECT_EQ(endpoint.client.answer().kind, Kind::Error);
+  EXPECT_EQ(endpoint.of(endpoint.client.answer().code), "25006");
+  EXPECT_EQ(endpoint.client.answer().primary, false);
 }
 
 TEST(PgClientAnswers, AFatalErrorIsWholeAtOnceAndEndsTheConnection) {
-  Member member;
-  member.ask();
-  EXPECT_EQ(member.feed(pg::error("XX000", "FATAL")), Event::Answered);
-  EXPECT_FALSE(member.client.usable());
+  Endpoint endpoint;
+  endpoint.ask();
+  EXPECT_EQ(endpoint.feed(pg::error("XX000", "FATAL")), Event::Answered);
+  EXPECT_FALSE(endpoint.client.usable());
 }
 
 TEST(PgClientAnswers, AreWholeAtTheEndOnceNothingCanChangeThem) {
-  Member member;
-  member.ask();
-  EXPECT_FALSE(member.client.wholeAtEnd());
-  member.feed(pg::rowDescription() + pg::dataRow("v"));
-  EXPECT_TRUE(member.client.answering());
-  EXPECT_FALSE(member.client.wholeAtEnd());
-  member.feed(pg::complete());
-  EXPECT_TRUE(member.client.wholeAtEnd());
-  EXPECT_EQ(member.client.answer().kind, Kind::Row);
+  Endpoint endpoint;
+  endpoint.ask();
+  EXPECT_FALSE(endpoint.client.wholeAtEnd());
+  endpoint.feed(pg::rowDescription() + pg::dataRow("v"));
+  EXPECT_TRUE(endpoint.client.answering());
+  EXPECT_FALSE(endpoint.client.wholeAtEnd());
+  endpoint.feed(pg::complete());
+  EXPECT_TRUE(endpoint.client.wholeAtEnd());
+  EXPECT_EQ(endpoint.client.answer().kind, Kind::Row);
 }
 
 // Guards a row against an error that only tells why the connection goes.
-TEST(PgClientAnswers, ARowStaysOneWhenTheMemberEndsBehindIt) {
-  Member member;
-  member.ask();
-  EXPECT_EQ(member.feed(pg::row("v") + pg::error("57P01", "FATAL")), Event::Answered);
-  EXPECT_EQ(member.client.answer().kind, Kind::Row);
-  EXPECT_FALSE(member.client.usable());
+TEST(PgClientAnswers, ARowStaysOneWhenTheEndpointEndsBehindIt) {
+  Endpoint endpoint;
+  endpoint.ask();
+  EXPECT_EQ(endpoint.feed(pg::row("v") + pg::error("57P01", "FATAL")), Event::Answered);
+  EXPECT_EQ(endpoint.client.answer().kind, Kind::Row);
+  EXPECT_FALSE(endpoint.client.usable());
 }
 
 TEST(PgClientAnswers, WithoutAValueAreNoRow) {
-  Member member;
-  member.ask();
-  EXPECT_EQ(member.feed(pg::complete("SELECT 0") + pg::ready()), Event::Answered);
-  EXPECT_EQ(member.client.answer().kind, Kind::Empty);
+  Endpoint endpoint;
+  endpoint.ask();
+  EXPECT_EQ(endpoint.feed(pg::complete("SELECT 0") + pg::ready()), Event::Answered);
+  EXPECT_EQ(endpoint.client.answer().kind, Kind::Empty);
 }
 
 // Guards the next request on the connection: bytes that nobody asked for are not its answer.
 TEST(PgClientAnswers, BytesThatNobodyAskedForBreakTheConnection) {
-  Member member;
-  EXPECT_EQ(member.feed(pg::welcome()), Event::Ready);
-  member.drop();
-  EXPECT_EQ(member.feed(pg::row("stray")), Event::Broken);
+  Endpoint endpoint;
+  EXPECT_EQ(endpoint.feed(pg::welcome()), Event::Ready);
+  endpoint.drop();
+  EXPECT_EQ(endpoint.feed(pg::row("stray")), Event::Broken);
 }
 
 TEST(PgClientAnswers, OutOfOrderOrOfTheWrongShapeBreakTheConnection) {
@@ -169,19 +169,19 @@
         pg::rowDescription() + wrongSize, pg::rowDescription() + pg::rowDescription(),
         pg::rowDescription() + pg::dataRow("a") + pg::dataRow("b"), pg::row("a") + pg::row("b"),
         pg::message('G', ""), "T" + pg::u32(2), "D" + pg::u32(1 << 30)}) {
-    Member member;
-    member.ask();
-    EXPECT_EQ(member.feed(bytes), Event::Broken) << bytes;
-    EXPECT_FALSE(member.client.usable());
+    Endpoint endpoint;
+    endpoint.ask();
+    EXPECT_EQ(endpoint.feed(bytes), Event::Broken) << bytes;
+    EXPECT_FALSE(endpoint.client.usable());
   }
 }
 
 TEST(PgClientAnswers, PositionsThatAreNoNumbersAreSkipped) {
   for (const char* value : {"", "soon", "12x", "-5", "99999999999999999999"}) {
-    Member member;
-    member.ask();
-    EXPECT_EQ(member.feed(pg::row("v") + pg::parameter("wal_time", value) + pg::ready()), Event::Answered);
-    EXPECT_EQ(member.client.answer().positionMs, std::nullopt) << value;
+    Endpoint endpoint;
+    endpoint.ask();
+    EXPECT_EQ(endpoint.feed(pg::row("v") + pg::parameter("wal_time", value) + pg::ready()), Event::Answered);
+    EXPECT_EQ(endpoint.client.answer().positionMs, std::nullopt) << value;
   }
 }
 
@@ -194,14 +194,14 @@
   for (int round = 0; round < 3000; ++round) {
     std::string bytes = whole;
     for (int i = 0; i < 1 + round % 3; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
-    Member member;
-    member.ask();
-    const Event event = member.feed(bytes);
+    Endpoint endpoint;
+    endpoint.ask();
+    const Event event = endpoint.feed(bytes);
     broken += event == Event::Broken ? 1 : 0;
-    ASSERT_LE(member.client.seen(), bytes.size());
-    if (event != Event::Answered || member.client.answer().kind != Kind::Row) continue;
+    ASSERT_LE(endpoint.client.seen(), bytes.size());
+    if (event != Event::Answered || endpoint.client.answer().kind != Kind::Row) continue;
     ++rows;
-    const PgAnswer& answer = member.client.answer();
+    const PgAnswer& answer = endpoint.client.answer();
     for (const Slice& slice : {answer.rowDescription, answer.dataRow, answer.commandComplete, answer.value}) {
       ASSERT_LE(slice.at + slice.size, bytes.size());
     }
--- a/tests/pipelining_test.cpp
+++ b/tests/pipelining_test.cpp
@@ -21,10 +21,10 @@
 // A timer may be due a moment after its time, never before.
 constexpr Micros kNextTurn = kMillis;
 
-// One client, whose requests the one member leaves open until the test has them answered.
+// One client, whose requests the one endpoint leaves open until the test has them answered.
 class PipeliningRule : public testing::TestWithParam<Speaks> {
  protected:
-  PipeliningRule() : rig_(options(), 1), client_(rig_.loop, rig_.endpoint) {
+  PipeliningRule() : rig_(options(), 1), client_(rig_.loop, rig_.socketAddress) {
     rig_.answerAll([this](Line& line, const std::string&) { open_ = &line; });
   }
   static GatewayOptions options() {
@@ -36,11 +36,11 @@
   std::string asking(const std::string& id, long timeoutMs) const {
     return askingOf(GetParam(), request("save", id, "", timeoutMs));
   }
-  // Waits until the member has been asked for so many requests.
+  // Waits until the endpoint has been asked for so many requests.
   bool asked(std::size_t count) {
-    return rig_.until([&] { return rig_.members[0]->statements.size() == count; });
+    return rig_.until([&] { return rig_.endpoints[0]->statements.size() == count; });
   }
-  void answer(const std::string& value) { open_->say(rig_.members[0]->value(value)); }
+  void answer(const std::string& value) { open_->say(rig_.endpoints[0]->value(value)); }
   // Lets time go by up to there.
   bool passes(Micros at) {
     return rig_.until([&] { return rig_.loop.now() >= at; });
@@ -53,10 +53,10 @@
   }
   std::uint64_t answered() const {
     const routing::Counters& counters = rig_.counters();
-    return counters.requestsServed + counters.requestsRefused + counters.requestsFailed;
+    return counters.requestsServed + counters.requestsRejected + counters.requestsFailed;
   }
   bool everAsked(const std::string& id) const {
-    for (const std::string& statement : rig_.members[0]->statements) {
+    for (const std::string& statement : rig_.endpoints[0]->statements) {
       if (statement.find("id=" + id + ",") != std::string::npos) return true;
     }
     return false;
@@ -169,14 +169,14 @@
 }
 
 // The same where the first one hangs and the longest deadline is 0.4 s: the kill comes 1.1 s after the
-// signal, and by then all have an answer, those that waited a refusal without being sent on.
+// signal, and by then all have an answer, those that waited a rejection without being sent on.
 TEST_P(PipeliningRule, WhatWaitsBehindOneThatHangsIsAnsweredBeforeTheKill) {
   GatewayOptions brief = options();
   brief.aimMs = 200;
   brief.deadlineMs = 400;
   GatewayRig rig(brief, 1);
   rig.answerAll([](Line&, const std::string&) {});
-  PlainSocket client(rig.loop, rig.endpoint);
+  PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(
       client.send(openingOf(GetParam()) + asking("1", 60'000) + asking("2", 60'000) + asking("3", 60'000)));
   ASSERT_TRUE(rig.until([&] { return rig.statements().size() == 1; }));
@@ -187,7 +187,7 @@
   EXPECT_LE(rig.loop.now(), told + 1'100 * kMillis);
   EXPECT_EQ(rig.statements().size(), 1U);
   // In Bolt a failure has what stands behind it ignored.
-  EXPECT_EQ(rig.counters().requestsRefused + rig.counters().requestsFailed,
+  EXPECT_EQ(rig.counters().requestsRejected + rig.counters().requestsFailed,
             GetParam() == Speaks::Bolt ? 1U : 3U);
 }
 
@@ -198,9 +198,9 @@
   ASSERT_TRUE(asked(1));
   const Micros whole = rig_.loop.now();
   DiscoveryStandIn place(rig_.loop);
-  place.members = rig_.discovery.members;
+  place.endpoints = rig_.discovery.endpoints;
   program::Config fresh = rig_.config;
-  fresh.discovery = place.endpoint();
+  fresh.discovery = place.socketAddress();
   rig_.gateway->reload(fresh);
   ASSERT_TRUE(rig_.until([&] { return place.waiting != nullptr; }));
   ASSERT_TRUE(passes(whole + kAhead));
--- a/tests/process_site.h
+++ b/tests/process_site.h
@@ -1,4 +1,4 @@
-// The built program's surroundings: a list service and one member that leads.
+// The built program's surroundings: a list service and one endpoint that leads.
 #pragma once
 
 #include <string>
@@ -10,18 +10,18 @@
 namespace heathflow::test {
 
 struct ProcessSite {
-  ProcessSite() : discovery(loop), member(loop) {
-    member.primary = true;
-    discovery.members = "[" + entry("m0", member.address(), true) + "]";
+  ProcessSite() : discovery(loop), endpoint(loop) {
+    endpoint.primary = true;
+    discovery.endpoints = "[" + entry("m0", endpoint.address(), true) + "]";
   }
-  std::string config() const { return configText({}, discovery.address(), discovery.members); }
+  std::string config() const { return configText({}, discovery.address(), discovery.endpoints); }
   template <typename Condition>
   bool until(Condition&& condition) {
     return test::until(loop, std::forward<Condition>(condition));
   }
   transport::EventLoop loop;
   DiscoveryStandIn discovery;
-  MemberStandIn member;
+  EndpointStandIn endpoint;
 };
 
 }  // namespace heathflow::test
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -49,7 +49,7 @@
   ProcessSite site;
   std::string config = site.config();
   const std::string listen = "127.0.0.1:0";
-  config.replace(config.find(listen), listen.size(), site.member.address());
+  config.replace(config.find(listen), listen.size(), site.endpoint.address());
   Process process(config);
   ASSERT_TRUE(site.until([&] { return process.over(); }));
   EXPECT_GT(process.status(), 0);
@@ -59,16 +59,16 @@
 TEST(ProgramSignals, TermServesWhatIsOutAndEndsWell) {
   ProcessSite site;
   Line* held = nullptr;
-  site.member.answer = [&](Line& line, const std::string&) { held = &line; };
+  site.endpoint.answer = [&](Line& line, const std::string&) { held = &line; };
   Process process(site.config());
   ASSERT_TRUE(site.until([&] { return process.says("serves at"); }));
-  ClientStandIn client(site.loop, process.endpoint());
+  ClientStandIn client(site.loop, process.socketAddress());
   client.ask(request("save", "1"));
   ASSERT_TRUE(site.until([&] { return held != nullptr; }));
   process.signal(SIGTERM);
   ASSERT_TRUE(site.until([&] { return process.says("told to end"); }));
   EXPECT_FALSE(process.over());
-  held->say(site.member.value("the last"));
+  held->say(site.endpoint.value("the last"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "the last");
   ASSERT_TRUE(site.until([&] { return process.over(); }));
@@ -77,13 +77,13 @@
 }
 
 // Guards what is out when the kill comes: it gets its answer before, and the process ends by itself.
-TEST(ProgramSignals, TermAnswersWhatNoMemberAnswersInTime) {
+TEST(ProgramSignals, TermAnswersWhatNoEndpointAnswersInTime) {
   ProcessSite site;
   bool asked = false;
-  site.member.answer = [&](Line&, const std::string&) { asked = true; };
+  site.endpoint.answer = [&](Line&, const std::string&) { asked = true; };
   Process process(site.config());
   ASSERT_TRUE(site.until([&] { return process.says("serves at"); }));
-  ClientStandIn unsafe(site.loop, process.endpoint());
+  ClientStandIn unsafe(site.loop, process.socketAddress());
   unsafe.ask(request("save", "1"));
   ASSERT_TRUE(site.until([&] { return asked; }));
   process.signal(SIGTERM);
@@ -99,7 +99,7 @@
   Process process(site.config());
   ASSERT_TRUE(site.until([&] { return process.says("serves at"); }));
   process.signal(SIGPIPE);
-  ClientStandIn client(site.loop, process.endpoint());
+  ClientStandIn client(site.loop, process.socketAddress());
   client.ask(request("save", "1"));
   ASSERT_TRUE(client.answered());
   process.signal(SIGUSR1);
@@ -109,27 +109,27 @@
   EXPECT_FALSE(process.over());
 }
 
-// Guards drivers whose discovery moves: the call that is out ends, the whole list comes from the new place,
+// Guards gateways whose discovery moves: the call that is out ends, the whole list comes from the new place,
 // and what was asked meanwhile is served.
 TEST(ProgramSignals, HupMovesDiscoveryAndCostsNoRequest) {
   ProcessSite site;
   Line* held = nullptr;
-  site.member.answer = [&](Line& line, const std::string&) { held = &line; };
+  site.endpoint.answer = [&](Line& line, const std::string&) { held = &line; };
   Process process(site.config());
   ASSERT_TRUE(site.until([&] { return process.says("serves at") && site.discovery.waiting != nullptr; }));
-  ClientStandIn client(site.loop, process.endpoint());
+  ClientStandIn client(site.loop, process.socketAddress());
   client.ask(request("save", "1"));
   ASSERT_TRUE(site.until([&] { return held != nullptr; }));
-  MemberStandIn added(site.loop, kLoopback + 1);
+  EndpointStandIn added(site.loop, kLoopback + 1);
   added.primary = true;
   DiscoveryStandIn second(site.loop);
-  second.members = "[" + entry("m1", added.address(), true) + "]";
-  process.configure(configText({}, second.address(), site.discovery.members));
+  second.endpoints = "[" + entry("m1", added.address(), true) + "]";
+  process.configure(configText({}, second.address(), site.discovery.endpoints));
   process.signal(SIGHUP);
   ASSERT_TRUE(site.until([&] { return second.waiting != nullptr; }));
   EXPECT_EQ(second.calls[0], "GET /v1/endpoints HTTP/1.1") << "the whole list";
   EXPECT_TRUE(site.until([&] { return site.discovery.openLines() == 0; }));
-  held->say(site.member.value("as it was"));
+  held->say(site.endpoint.value("as it was"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "as it was");
   client.ask(request("save", "2"));
@@ -137,8 +137,8 @@
   EXPECT_EQ(client.value(1), "from " + added.address());
   // And once more, on the way to the end.
   DiscoveryStandIn third(site.loop);
-  third.members = second.members;
-  process.configure(configText({}, third.address(), site.discovery.members));
+  third.endpoints = second.endpoints;
+  process.configure(configText({}, third.address(), site.discovery.endpoints));
   process.signal(SIGHUP);
   ASSERT_TRUE(site.until([&] { return third.waiting != nullptr; }));
   process.signal(SIGTERM);
@@ -152,7 +152,7 @@
   ASSERT_TRUE(site.until([&] { return process.says("serves at") && site.discovery.waiting != nullptr; }));
   const std::size_t calls = site.discovery.calls.size();
   DiscoveryStandIn second(site.loop);
-  std::string lacking = configText({}, second.address(), site.discovery.members);
+  std::string lacking = configText({}, second.address(), site.discovery.endpoints);
   const std::string key = "\"MaxAttempts\":10,";
   lacking.erase(lacking.find(key), key.size());
   const std::vector<std::pair<std::string, std::string>> cases = {
@@ -171,7 +171,7 @@
   process.signal(SIGHUP);
   ASSERT_TRUE(site.until([&] { return linesOf(process.log()) > lines; }));
   EXPECT_TRUE(process.says("NODE_CONFIG"));
-  ClientStandIn client(site.loop, process.endpoint());
+  ClientStandIn client(site.loop, process.socketAddress());
   client.ask(request("save", "1"));
   EXPECT_TRUE(client.answered());
   EXPECT_TRUE(second.calls.empty());
@@ -182,8 +182,8 @@
   ProcessSite site;
   auto first = std::make_unique<Process>(site.config());
   ASSERT_TRUE(site.until([&] { return first->says("serves at"); }));
-  const transport::Endpoint endpoint = first->endpoint();
-  ClientStandIn client(site.loop, endpoint);
+  const transport::SocketAddress socketAddress = first->socketAddress();
+  ClientStandIn client(site.loop, socketAddress);
   client.ask(request("save", "1"));
   ASSERT_TRUE(client.answered());
   first->signal(SIGKILL);
@@ -191,10 +191,10 @@
   EXPECT_TRUE(client.gone());
   std::string config = site.config();
   const std::string listen = "127.0.0.1:0";
-  config.replace(config.find(listen), listen.size(), toText(endpoint));
+  config.replace(config.find(listen), listen.size(), toText(socketAddress));
   Process second(config);
   ASSERT_TRUE(site.until([&] { return second.says("serves at") || second.over(); }));
-  ClientStandIn again(site.loop, endpoint);
+  ClientStandIn again(site.loop, socketAddress);
   again.ask(request("save", "2"));
   EXPECT_TRUE(again.answered());
   EXPECT_EQ(again.types(), "TDCZ");
--- a/tests/program_process.h
+++ b/tests/program_process.h
@@ -5,17 +5,19 @@
 #include <utility>
 #include <vector>
 
-#include "rig/child.h"
+#include "emulator/child.h"
 
 namespace heathflow::test {
 
-class Process : public rig::Child {
+class Process : public emulator::Child {
  public:
   explicit Process(const std::string& config, std::vector<std::string> arguments = {},
-                   rig::Environment environment = {})
+                   emulator::Environment environment = {})
       : Child(HEATHFLOW_PROGRAM, config, std::move(arguments), std::move(environment)) {}
   // Once it has said where it serves.
-  transport::Endpoint endpoint() { return Child::endpoint().value_or(transport::Endpoint{}); }
+  transport::SocketAddress socketAddress() {
+    return Child::socketAddress().value_or(transport::SocketAddress{});
+  }
 };
 
 }  // namespace heathflow::test
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,7 +1,7 @@
 // The log and the counters.
 #include <gtest/gtest.h>
 
-#include "logic.h"
+#include "policy/routing_policy.h"
 #include "program/counters.h"
 #include "program/log.h"
 
@@ -13,10 +13,10 @@
   std::int64_t second = 100;
   Log log([&] { return second; });
   testing::internal::CaptureStderr();
-  for (int i = 0; i < 1000; ++i) log.note(routing::Topic::Members, "line " + std::to_string(i));
+  for (int i = 0; i < 1000; ++i) log.note(routing::Topic::Endpoints, "line " + std::to_string(i));
   log.note(routing::Topic::Discovery, "another topic");
   ++second;
-  log.note(routing::Topic::Members, "the next second");
+  log.note(routing::Topic::Endpoints, "the next second");
   EXPECT_EQ(testing::internal::GetCapturedStderr(),
             "heathflow: members: line 0\nheathflow: members: line 1\nheathflow: members: line 2\n"
             "heathflow: members: line 3\nheathflow: members: line 4\nheathflow: discovery: another topic\n"
@@ -26,7 +26,7 @@
 TEST(CounterLines, NameEveryGroup) {
   routing::Counters counters;
   counters.requestsTaken = 7;
-  counters.attemptsEnded[static_cast<std::size_t>(heathflow::Outcome::Miss)] = 3;
+  counters.attemptsEnded[static_cast<std::size_t>(heathflow::AttemptOutcome::PreconditionFailed)] = 3;
   counters.descriptorsPeak = 9;
   const std::string text = describe(counters);
   EXPECT_NE(text.find("requests: taken=7 "), std::string::npos);
--- a/tests/readiness_test.cpp
+++ b/tests/readiness_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 // What discovery does with every call.
-enum class Discovery { Silent, Refuses, TurnsAway, Resets, StopsHalfway };
+enum class Discovery { Silent, Rejects, TurnsAway, Resets, StopsHalfway };
 
 struct Start {
   Discovery discovery;
@@ -24,7 +24,7 @@
   void act(Line& line) {
     switch (GetParam().discovery) {
       case Discovery::Silent:
-      case Discovery::Refuses:
+      case Discovery::Rejects:
         return;
       case Discovery::TurnsAway:
         return line.say(DiscoveryStandIn::response("", 503));
@@ -50,18 +50,19 @@
 
 TEST_P(Readiness, DoesNotWaitForDiscovery) {
   transport::EventLoop loop;
-  MemberStandIn member(loop, kLoopback);
-  member.primary = true;
+  EndpointStandIn endpoint(loop, kLoopback);
+  endpoint.primary = true;
   ScriptedDiscovery discovery(loop, [this](Line& line) { act(line); });
-  if (GetParam().discovery == Discovery::Refuses) discovery.shut();
+  if (GetParam().discovery == Discovery::Rejects) discovery.shut();
   GatewayOptions options;
   options.discovery = GetParam().lists;
-  options.drivers = 300;
-  Process process(configText(options, discovery.address(), "[" + entry("m0", member.address(), true) + "]"));
+  options.gateways = 300;
+  Process process(
+      configText(options, discovery.address(), "[" + entry("m0", endpoint.address(), true) + "]"));
   // Three lives: a start, and restarts after kills.
   for (unsigned life = 1; life <= 3; ++life) {
-    ASSERT_TRUE(until(loop, [&] { return process.endpoint().port != 0; })) << process.log();
-    ClientStandIn front(loop, process.endpoint());
+    ASSERT_TRUE(until(loop, [&] { return process.socketAddress().port != 0; })) << process.log();
+    ClientStandIn front(loop, process.socketAddress());
     front.ask("");
     ASSERT_TRUE(front.answered());
     EXPECT_EQ(front.types(), "IZ") << "an empty query";
@@ -69,11 +70,11 @@
     front.ask(request("save", "life" + std::to_string(life)));
     ASSERT_TRUE(front.answered());
     if (std::string(GetParam().lists) == "push") {
-      // What the agent has counts from the first moment, and it has told nothing: refused at once.
+      // What the agent has counts from the first moment, and it has told nothing: rejected at once.
       EXPECT_EQ(front.types(), "EZ");
-      EXPECT_TRUE(member.statements.empty());
+      EXPECT_TRUE(endpoint.statements.empty());
     } else {
-      EXPECT_EQ(front.value(), "from " + member.address());
+      EXPECT_EQ(front.value(), "from " + endpoint.address());
     }
     if (life == 3) break;
     process.kill();
@@ -85,7 +86,7 @@
   switch (discovery) {
     case Discovery::Silent:
       return "Silent";
-    case Discovery::Refuses:
+    case Discovery::Rejects:
       return "Refuses";
     case Discovery::TurnsAway:
       return "TurnsAway";
@@ -98,10 +99,10 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Starts, Readiness,
-                         testing::Values(Start{Discovery::Silent, "ask"}, Start{Discovery::Refuses, "ask"},
+                         testing::Values(Start{Discovery::Silent, "ask"}, Start{Discovery::Rejects, "ask"},
                                          Start{Discovery::TurnsAway, "ask"}, Start{Discovery::Resets, "ask"},
                                          Start{Discovery::StopsHalfway, "ask"},
-                                         Start{Discovery::Silent, "push"}, Start{Discovery::Refuses, "push"},
+                                         Start{Discovery::Silent, "push"}, Start{Discovery::Rejects, "push"},
                                          Start{Discovery::TurnsAway, "push"}),
                          [](const testing::TestParamInfo<Start>& start) {
                            return std::string(nameOf(start.param.discovery)) +
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "logic.h"
+#include "policy/routing_policy.h"
 
 namespace heathflow::test {
 
@@ -16,69 +16,69 @@
 
 enum Class : std::uint32_t { kBounded, kAny, kFresh, kSession, kUnsafeWrite, kKeyedWrite };
 
-inline ClassSettings makeClass(Consistency consistency, Effect effect, Micros aim, Micros deadline,
-                               double late) {
-  ClassSettings out;
+inline RequestClassSettings makeClass(Consistency consistency, Idempotency effect, Micros aim,
+                                      Micros deadline, double late) {
+  RequestClassSettings out;
   out.consistency = consistency;
-  out.effect = effect;
-  out.aim = aim;
+  out.idempotency = effect;
+  out.latencyObjective = aim;
   out.deadline = deadline;
-  out.lateShare = late;
-  out.scope = effect == Effect::Safe ? KeyScope::Everywhere : KeyScope::Group;
-  out.window = 5 * kS;
-  if (consistency == Consistency::Bounded) out.maxAge = 3 * kS;
+  out.lateValueShare = late;
+  out.keyScope = effect == Idempotency::Idempotent ? KeyScope::Global : KeyScope::Group;
+  out.keyWindow = 5 * kS;
+  if (consistency == Consistency::BoundedStaleness) out.maxStaleness = 3 * kS;
   return out;
 }
 
-inline Settings makeSettings() {
-  Settings s;
-  s.classes = {makeClass(Consistency::Bounded, Effect::Safe, 300 * kMs, 750 * kMs, 0),
-               makeClass(Consistency::Any, Effect::Safe, 300 * kMs, kS, 0.2),
-               makeClass(Consistency::Fresh, Effect::Safe, 300 * kMs, kS, 0),
-               makeClass(Consistency::Session, Effect::Safe, 400 * kMs, kS, 0),
-               makeClass(Consistency::Write, Effect::Unsafe, 400 * kMs, 5 * kS, 0.5),
-               makeClass(Consistency::Write, Effect::Keyed, 400 * kMs, 8 * kS, 0.5)};
-  s.drivers = 2;
-  s.tick = 5 * kMs;
-  s.tokens = TokenMode::Carried;
-  s.mustAsk = false;
-  s.askWithin = 10 * kS;
-  s.mayProbe = true;
-  s.mayCancel = true;
-  s.mayAdviseRetry = true;
+inline PolicySettings makeSettings() {
+  PolicySettings s;
+  s.classes = {makeClass(Consistency::BoundedStaleness, Idempotency::Idempotent, 300 * kMs, 750 * kMs, 0),
+               makeClass(Consistency::Eventual, Idempotency::Idempotent, 300 * kMs, kS, 0.2),
+               makeClass(Consistency::Strong, Idempotency::Idempotent, 300 * kMs, kS, 0),
+               makeClass(Consistency::Session, Idempotency::Idempotent, 400 * kMs, kS, 0),
+               makeClass(Consistency::Write, Idempotency::None, 400 * kMs, 5 * kS, 0.5),
+               makeClass(Consistency::Write, Idempotency::WithKey, 400 * kMs, 8 * kS, 0.5)};
+  s.gatewayCount = 2;
+  s.timerResolution = 5 * kMs;
+  s.sessionTokens = SessionTokenSource::Client;
+  s.discoveryIsPolled = false;
+  s.maxPollInterval = 10 * kS;
+  s.healthChecksAllowed = true;
+  s.cancellationAllowed = true;
+  s.retryAfterAllowed = true;
   s.maxRetryAfter = 500 * kMs;
   s.maxAttempts = 6;
   s.connectTimeout = 250 * kMs;
-  s.answerSlack = 20 * kMs;
-  s.coldFrom = 0.2;
-  s.warmUp = 10 * kS;
-  s.fallWindow = 2 * kS;
-  s.fallMultiple = 3;
+  s.responseSlack = 20 * kMs;
+  s.slowStartInitialShare = 0.2;
+  s.slowStartDuration = 10 * kS;
+  s.overloadWindow = 2 * kS;
+  s.overloadMultiple = 3;
   return s;
 }
 
-inline Member makeMember(MemberId id, bool leads = false, MemberState state = MemberState::Ready,
-                         Micros launched = 0) {
-  Member m;
+inline Endpoint makeEndpoint(EndpointId id, bool leads = false, EndpointStatus state = EndpointStatus::Ready,
+                             Micros launched = 0) {
+  Endpoint m;
   m.id = id;
   m.group = 1;
-  m.leads = leads;
-  m.state = state;
-  m.launched = launched;
+  m.listedPrimary = leads;
+  m.status = state;
+  m.startedAt = launched;
   return m;
 }
 
 class Rig {
  public:
-  explicit Rig(Settings settings = makeSettings(), std::uint64_t seed = 7)
+  explicit Rig(PolicySettings settings = makeSettings(), std::uint64_t seed = 7)
       : logic(std::move(settings), seed, now, out) {}
 
   void feed(const Event& event) { logic.handle(now, event, out); }
-  void list(std::vector<Member> members, MembersChanged::Scope scope = MembersChanged::Scope::Full) {
-    feed(MembersChanged{scope, std::move(members)});
+  void list(std::vector<Endpoint> endpoints, EndpointsChanged::Scope scope = EndpointsChanged::Scope::Full) {
+    feed(EndpointsChanged{scope, std::move(endpoints)});
   }
-  // Members 1 (the primary), 2 and 3.
-  void usualGroup() { list({makeMember(1, true), makeMember(2), makeMember(3)}); }
+  // Endpoints 1 (the primary), 2 and 3.
+  void usualGroup() { list({makeEndpoint(1, true), makeEndpoint(2), makeEndpoint(3)}); }
 
   RequestId ask(std::uint32_t index, Micros patience = 0, std::optional<Micros> sinceLastWrite = {},
                 std::uint64_t session = 0, GroupId group = 1) {
@@ -87,39 +87,40 @@
     r.group = group;
     r.classIndex = index;
     r.session = session;
-    r.sinceLastWrite = sinceLastWrite;
+    r.timeSinceLastWrite = sinceLastWrite;
     r.deadline = now + (patience != 0 ? patience : 5 * kS);
     feed(RequestArrived{r});
     return r.id;
   }
-  void probed(MemberId member, Role role, Position position) {
-    Report report;
+  void healthChecked(EndpointId endpoint, Role role, LogPosition position) {
+    LoadReport report;
     report.role = role;
     report.position = position;
-    feed(ProbeEnded{member, true, kMs, report});
+    feed(HealthCheckEnded{endpoint, true, kMs, report});
   }
-  // Answers every probe of late, and those that the answers lead to.
-  void answerProbes(Role role, Position position) {
+  // Answers every health check of late, and those that the answers lead to.
+  void answerHealthChecks(Role role, LogPosition position) {
     for (std::size_t i = 0; i < out.size(); ++i) {
-      if (const auto* probe = std::get_if<Probe>(&out[i])) probed(probe->member, role, position);
+      if (const auto* healthCheck = std::get_if<StartHealthCheck>(&out[i]))
+        healthChecked(healthCheck->endpoint, role, position);
     }
   }
-  void probeFailed(MemberId member) { feed(ProbeEnded{member, false, 250 * kMs, {}}); }
+  void healthCheckFailed(EndpointId endpoint) { feed(HealthCheckEnded{endpoint, false, 250 * kMs, {}}); }
   // All three roles and positions are known and recent.
   void usualRecord() {
-    probed(1, Role::Primary, now);
-    probed(2, Role::Replica, now - 100 * kMs);
-    probed(3, Role::Replica, now - 100 * kMs);
+    healthChecked(1, Role::Primary, now);
+    healthChecked(2, Role::Replica, now - 100 * kMs);
+    healthChecked(3, Role::Replica, now - 100 * kMs);
     forget();
   }
-  void end(RequestId id, std::uint32_t attempt, Outcome outcome, std::optional<Role> role = {},
-           std::optional<Position> position = {}, Micros elapsed = 50 * kMs) {
+  void end(RequestId id, std::uint32_t attempt, AttemptOutcome outcome, std::optional<Role> role = {},
+           std::optional<LogPosition> position = {}, Micros elapsed = 50 * kMs) {
     AttemptEnded e;
     e.request = id;
     e.attempt = attempt;
     e.outcome = outcome;
     e.elapsed = elapsed;
-    e.finished = outcome == Outcome::Ok;
+    e.requestFinished = outcome == AttemptOutcome::Ok;
     e.role = role;
     e.position = position;
     feed(e);
@@ -147,30 +148,30 @@
     }
     return found;
   }
-  std::vector<MemberId> sentTo(RequestId id) const {
-    std::vector<MemberId> found;
-    for (const Attempt& a : all<Attempt>()) {
-      if (a.request == id) found.push_back(a.member);
+  std::vector<EndpointId> sentTo(RequestId id) const {
+    std::vector<EndpointId> found;
+    for (const SendAttempt& a : all<SendAttempt>()) {
+      if (a.request == id) found.push_back(a.endpoint);
     }
     return found;
   }
-  int refusals(RequestId id) const {
-    const auto found = all<Refuse>();
+  int rejections(RequestId id) const {
+    const auto found = all<RejectRequest>();
     return static_cast<int>(
         std::count_if(found.begin(), found.end(), [id](auto& a) { return a.request == id; }));
   }
   int failures(RequestId id) const {
-    const auto found = all<Fail>();
+    const auto found = all<FailRequest>();
     return static_cast<int>(
         std::count_if(found.begin(), found.end(), [id](auto& a) { return a.request == id; }));
   }
-  std::size_t probes() const { return all<Probe>().size(); }
+  std::size_t healthChecks() const { return all<StartHealthCheck>().size(); }
 
   Micros now = kStart;
   std::vector<Action> out;
   std::vector<std::pair<Micros, std::uint64_t>> timers;
   RequestId lastId = 0;
-  Logic logic;
+  RoutingPolicy logic;
 
   // Drops the actions so far; their timers stay.
   void forget() {
@@ -192,7 +193,7 @@
 // One whose usual group, its roles and its positions are known.
 class KnownRig : public Rig {
  public:
-  explicit KnownRig(Settings settings = makeSettings(), std::uint64_t seed = 7)
+  explicit KnownRig(PolicySettings settings = makeSettings(), std::uint64_t seed = 7)
       : Rig(std::move(settings), seed) {
     usualGroup();
     usualRecord();
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -1,5 +1,5 @@
-// The rig: weather on paths, the emulated list service, the judge, children, and several real drivers between
-// them.
+// The rig: weather on paths, the emulated list service, the judge, children, and several real gateways
+// between them.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <signal.h>
@@ -7,24 +7,24 @@
 
 #include <algorithm>
 
+#include "emulator/faults.h"
+#include "emulator/judge.h"
+#include "emulator/link.h"
+#include "emulator/list_model.h"
+#include "emulator/list_service.h"
 #include "program_process.h"
-#include "rig/faults.h"
-#include "rig/judge.h"
-#include "rig/link.h"
-#include "rig/list_model.h"
-#include "rig/list_service.h"
 #include "standins/gateway_rig.h"
 
 namespace heathflow::test {
 namespace {
 
-using rig::Answered;
-using rig::Fault;
-using rig::Judge;
-using rig::ListModel;
-using rig::Rule;
-using rig::Way;
-using rig::Weather;
+using emulator::Answered;
+using emulator::Fault;
+using emulator::Judge;
+using emulator::ListModel;
+using emulator::Rule;
+using emulator::Way;
+using emulator::Weather;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
@@ -73,8 +73,8 @@
 
 // ---- The list service's model ----
 
-std::vector<rig::ListedEntry> threeEntries() {
-  std::vector<rig::ListedEntry> out(3);
+std::vector<emulator::ListedEntry> threeEntries() {
+  std::vector<emulator::ListedEntry> out(3);
   for (std::size_t i = 0; i < out.size(); ++i) {
     out[i].id = "m" + std::to_string(i);
     out[i].hostPort = "127.0.0.1:" + std::to_string(7000 + i);
@@ -136,7 +136,7 @@
 Judge::Asked read(const std::string& id, Micros at = 0) {
   Judge::Asked out;
   out.id = id;
-  out.driver = "n0";
+  out.gateway = "n0";
   out.at = at;
   out.patience = 500 * kMs;
   out.bound = 3 * kS;
@@ -157,9 +157,9 @@
   Judge judge;
   judge.asked(read("missing"));
   judge.asked(read("late"));
-  judge.answered("late", kS, Answered::Refused);
+  judge.answered("late", kS, Answered::Rejected);
   judge.asked(read("double"));
-  judge.answered("double", kMs, Answered::Refused);
+  judge.answered("double", kMs, Answered::Rejected);
   judge.answered("double", 2 * kMs, Answered::Failed);
   judge.answered("unasked", kMs, Answered::Served);
   judge.asked(read("broken"));
@@ -172,7 +172,7 @@
   EXPECT_EQ(judge.count(Rule::OneAnswer), 6U) << judge.verdict();
 }
 
-TEST(Judged, WhatAKilledDriverHeldIsNotItsFault) {
+TEST(Judged, WhatAKilledGatewayHeldIsNotItsFault) {
   Judge judge;
   judge.asked(read("held", kS));
   judge.killed("n0", 2 * kS);
@@ -182,29 +182,29 @@
   EXPECT_NE(judge.breaches()[0].what.find("after"), std::string::npos);
 }
 
-TEST(Judged, SecondEffectsAndRefusalsOfWhatMayHaveRun) {
+TEST(Judged, SecondEffectsAndRejectionsOfWhatMayHaveRun) {
   Judge judge;
   Judge::Asked write = read("w");
   write.bound.reset();
-  write.repeatable = write.refusable = false;
+  write.repeatable = write.rejectable = false;
   judge.asked(write);
   judge.reached("w", "m0", kMs, 0);
   judge.ran("w", "m0", 2 * kMs);
-  judge.answered("w", 3 * kMs, Answered::Refused);
+  judge.answered("w", 3 * kMs, Answered::Rejected);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 1U);
   judge.reached("w", "m1", 4 * kMs, 0);
   judge.ran("w", "m1", 5 * kMs);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 2U);
 }
 
-// A refusal promises that there will be no effect either.
-TEST(Judged, WhatReachesAMemberAfterItsRefusal) {
+// A rejection promises that there will be no effect either.
+TEST(Judged, WhatReachesAnEndpointAfterItsRejection) {
   Judge judge;
   Judge::Asked write = read("w");
   write.bound.reset();
-  write.repeatable = write.refusable = false;
+  write.repeatable = write.rejectable = false;
   judge.asked(write);
-  judge.answered("w", kMs, Answered::Refused);
+  judge.answered("w", kMs, Answered::Rejected);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 0U);
   judge.reached("w", "m0", 2 * kMs, 0);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 1U);
@@ -227,17 +227,17 @@
   EXPECT_EQ(judge.count(Rule::TimeTold), 1U);
 }
 
-TEST(Judged, WhatADriverOwesAtItsEndIsItsFault) {
+TEST(Judged, WhatAGatewayOwesAtItsEndIsItsFault) {
   Judge judge;
   judge.asked(read("a"));
-  judge.endedOwing(read("a").driver, kMs);
+  judge.endedOwing(read("a").gateway, kMs);
   EXPECT_EQ(judge.count(Rule::OneAnswer), 1U);
 }
 
-TEST(Judged, SendsToDrainingMembersStaleReadsAndColdMembersPushedOver) {
+TEST(Judged, SendsToDrainingEndpointsStaleReadsAndColdEndpointsPushedOver) {
   Judge judge;
   judge.notifications().started("n0", 0);
-  judge.notifications().changed("m1", rig::ListedState::Draining, kS);
+  judge.notifications().changed("m1", emulator::ListedState::Draining, kS);
   judge.notifications().written("n0", kS);
   judge.asked(read("d", kS));
   judge.reached("d", "m1", kS + 200 * kMs, kS);
@@ -260,31 +260,31 @@
 
 struct EchoSite {
   EchoSite() {
-    member.answer = [this](Line& line, const std::string&) { line.say(member.value("echo")); };
+    endpoint.answer = [this](Line& line, const std::string&) { line.say(endpoint.value("echo")); };
   }
   transport::EventLoop loop;
-  MemberStandIn member{loop};
-  transport::Endpoint any{kLoopback, 0};
+  EndpointStandIn endpoint{loop};
+  transport::SocketAddress any{kLoopback, 0};
 };
 
 TEST(StreamLinks, PassOnWhatComesAndDelayIt) {
   EchoSite site;
   Fault slow;
   slow.delay = 20 * kMs;
-  rig::StreamLink link(site.loop, site.any, site.member.endpoint(), Weather({slow}, 1));
+  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), Weather({slow}, 1));
   const Micros before = site.loop.now();
-  ClientStandIn client(site.loop, link.endpoint());
+  ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered(1));
   EXPECT_GE(site.loop.now() - before, 40 * kMs);
-  EXPECT_EQ(site.member.statements.size(), 1U);
+  EXPECT_EQ(site.endpoint.statements.size(), 1U);
 }
 
 // What crosses a cut waits there, the other way goes on, and it arrives whole and in order once it heals.
 TEST(StreamLinks, HoldOneWayOnlyAndLoseNothing) {
   EchoSite site;
-  rig::StreamLink link(site.loop, site.any, site.member.endpoint(), Weather({}, 1));
-  ClientStandIn client(site.loop, link.endpoint());
+  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), Weather({}, 1));
+  ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "0"));
   ASSERT_TRUE(client.answered(1));
   client.forget();
@@ -293,7 +293,7 @@
   link.change(Weather({cut}, 1));
   client.ask(request("any", "1"));
   client.ask(request("any", "2"));
-  ASSERT_TRUE(until(site.loop, [&] { return site.member.statements.size() == 3; }));
+  ASSERT_TRUE(until(site.loop, [&] { return site.endpoint.statements.size() == 3; }));
   const Micros mark = site.loop.now();
   ASSERT_TRUE(until(site.loop, [&] { return site.loop.now() > mark + 50 * kMs; }));
   EXPECT_EQ(client.types().find('D'), std::string::npos);
@@ -301,27 +301,27 @@
   ASSERT_TRUE(client.answered(2));
 }
 
-TEST(StreamLinks, ResetWhatStandsAndRefuseWhatComes) {
+TEST(StreamLinks, ResetWhatStandsAndRejectWhatComes) {
   EchoSite site;
-  rig::StreamLink link(site.loop, site.any, site.member.endpoint(), Weather({}, 1));
-  ClientStandIn client(site.loop, link.endpoint());
+  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), Weather({}, 1));
+  ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "0"));
   ASSERT_TRUE(client.answered(1));
   Fault broken;
-  broken.resets = broken.refuses = true;
+  broken.resets = broken.rejects = true;
   link.change(Weather({broken}, 1));
   ASSERT_TRUE(client.gone());
   try {
-    ClientStandIn other(site.loop, link.endpoint());
+    ClientStandIn other(site.loop, link.socketAddress());
     EXPECT_TRUE(other.gone());
   } catch (const std::runtime_error&) {
     // It did not even see the connection come up.
   }
-  EXPECT_GE(link.refused(), 1U);
+  EXPECT_GE(link.rejected(), 1U);
   EXPECT_EQ(link.passing(), 0U);
 }
 
-transport::UniqueFd datagrams(transport::Endpoint& at) {
+transport::UniqueFd datagrams(transport::SocketAddress& at) {
   transport::UniqueFd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -333,17 +333,17 @@
 
 TEST(DatagramLinks, LoseDoubleAndCutAndCarryAnswersBack) {
   transport::EventLoop loop;
-  transport::Endpoint a, b;
+  transport::SocketAddress a, b;
   const auto from = datagrams(a);
   const auto to = datagrams(b);
   Fault bad;
   bad.loss = 0.5;
   bad.twice = 0.5;
-  rig::DatagramLink link(loop, {kLoopback, 0}, b, Weather({bad}, 3));
+  emulator::DatagramLink link(loop, {kLoopback, 0}, b, Weather({bad}, 3));
   sockaddr_in address{};
   address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(link.endpoint().address);
-  address.sin_port = htons(link.endpoint().port);
+  address.sin_addr.s_addr = htonl(link.socketAddress().address);
+  address.sin_port = htons(link.socketAddress().port);
   constexpr int kSent = 100;
   for (int i = 0; i < kSent; ++i) {
     ASSERT_EQ(::sendto(from.get(), "x", 1, 0, reinterpret_cast<sockaddr*>(&address), sizeof address), 1);
@@ -368,23 +368,23 @@
   ASSERT_TRUE(until(loop, [&] { return ::recv(from.get(), &byte, 1, 0) == 1 && byte == 'a'; }));
 }
 
-// ---- Several drivers ----
+// ---- Several gateways ----
 
-// A list service and one member behind paths of their own, and drivers that start from a list that names
+// A list service and one endpoint behind paths of their own, and gateways that start from a list that names
 // nobody.
 struct FleetSite {
-  explicit FleetSite(rig::ListCosts costs, std::size_t drivers) : service(loop, costs) {
-    member.primary = true;
-    service.model().goBackTo(100);  // the drivers know revision 1
-    service.set({entryOfMember()});
-    for (std::size_t i = 0; i < drivers; ++i)
-      paths.push_back(std::make_unique<rig::StreamLink>(loop, transport::Endpoint{kLoopback, 0},
-                                                        service.endpoint(), Weather({}, i)));
+  explicit FleetSite(emulator::ListCosts costs, std::size_t gateways) : service(loop, costs) {
+    endpoint.primary = true;
+    service.model().goBackTo(100);  // the gateways know revision 1
+    service.set({entryOfEndpoint()});
+    for (std::size_t i = 0; i < gateways; ++i)
+      paths.push_back(std::make_unique<emulator::StreamLink>(loop, transport::SocketAddress{kLoopback, 0},
+                                                             service.socketAddress(), Weather({}, i)));
   }
-  rig::ListedEntry entryOfMember() const {
-    rig::ListedEntry out;
+  emulator::ListedEntry entryOfEndpoint() const {
+    emulator::ListedEntry out;
     out.id = "m0";
-    out.hostPort = member.address();
+    out.hostPort = endpoint.address();
     out.primary = true;
     return out;
   }
@@ -392,18 +392,18 @@
     for (const auto& path : paths) {
       GatewayOptions options;
       options.connectTimeoutMs = 250;
-      children.push_back(std::make_unique<Process>(configText(options, toText(path->endpoint()), "[]")));
+      children.push_back(std::make_unique<Process>(configText(options, toText(path->socketAddress()), "[]")));
     }
   }
   template <typename Condition>
   bool until(Condition&& condition) {
     return test::until(loop, std::forward<Condition>(condition));
   }
-  // Whether a driver serves by the list: it answers a request with what the member gave.
+  // Whether a gateway serves by the list: it answers a request with what the endpoint gave.
   bool serves(Process& child) {
-    if (!until([&] { return child.endpoint().port != 0; })) return false;
+    if (!until([&] { return child.socketAddress().port != 0; })) return false;
     return until([&] {
-      ClientStandIn client(loop, child.endpoint());
+      ClientStandIn client(loop, child.socketAddress());
       client.ask(request("status", std::to_string(++ids)));
       return client.answered() && client.types().find('D') != std::string::npos;
     });
@@ -413,21 +413,21 @@
   }
 
   transport::EventLoop loop;
-  MemberStandIn member{loop};
-  rig::ListService service;
-  std::vector<std::unique_ptr<rig::StreamLink>> paths;
+  EndpointStandIn endpoint{loop};
+  emulator::ListService service;
+  std::vector<std::unique_ptr<emulator::StreamLink>> paths;
   std::vector<std::unique_ptr<Process>> children;
   std::uint64_t ids = 0;
 };
 
-TEST(Drivers, AllStartAtOnceWithASlowListService) {
+TEST(Gateways, AllStartAtOnceWithASlowListService) {
   FleetSite site({20 * kMs, 0, kS, {}}, 6);
   site.start();
   EXPECT_TRUE(site.allServe());
   EXPECT_GE(site.service.model().calls(), 6U);
 }
 
-TEST(Drivers, StartWhileEverySecondCallIsReset) {
+TEST(Gateways, StartWhileEverySecondCallIsReset) {
   FleetSite site({kMs, 0, kS, {}}, 5);
   site.service.model().resetShare(0.5, 3);
   site.start();
@@ -435,7 +435,7 @@
   EXPECT_GE(site.service.model().resets(), 1U);
 }
 
-TEST(Drivers, StartWithTheServiceDownAndServeOnceItIsBack) {
+TEST(Gateways, StartWithTheServiceDownAndServeOnceItIsBack) {
   FleetSite site({kMs, 0, kS, {}}, 5);
   site.service.goDown();
   site.start();
@@ -447,7 +447,7 @@
   EXPECT_TRUE(site.allServe());
 }
 
-TEST(Drivers, ComeBackAfterAKillOfMostOfThem) {
+TEST(Gateways, ComeBackAfterAKillOfMostOfThem) {
   FleetSite site({kMs, 0, kS, {}}, 6);
   site.start();
   ASSERT_TRUE(site.allServe());
@@ -456,7 +456,7 @@
   EXPECT_TRUE(site.allServe());
 }
 
-TEST(Drivers, ADriverPausedBetweenItsCallAndTheAnswerGoesOn) {
+TEST(Gateways, AGatewayPausedBetweenItsCallAndTheAnswerGoesOn) {
   FleetSite site({kMs, 0, kS, {}}, 2);
   Fault held;
   held.cutBack = true;
@@ -473,10 +473,10 @@
   EXPECT_FALSE(site.children[0]->over());
 }
 
-TEST(Drivers, AServiceThatAnswersWithAnOlderRevisionIsBelievedAsAWhole) {
+TEST(Gateways, AServiceThatAnswersWithAnOlderRevisionIsBelievedAsAWhole) {
   FleetSite site({kMs, 0, kS, {}}, 1);
-  site.service.set({site.entryOfMember()});
-  site.service.set({site.entryOfMember()});
+  site.service.set({site.entryOfEndpoint()});
+  site.service.set({site.entryOfEndpoint()});
   site.start();
   ASSERT_TRUE(site.serves(*site.children[0]));
   site.service.goDown();
@@ -486,7 +486,7 @@
   EXPECT_TRUE(site.serves(*site.children[0]));
 }
 
-TEST(Drivers, CountersAreReadAsNumbersAndNothingStaysBehind) {
+TEST(Gateways, CountersAreReadAsNumbersAndNothingStaysBehind) {
   pid_t pid = 0;
   {
     FleetSite site({kMs, 0, kS, {}}, 1);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,6 +1,6 @@
-// Scale runs in their small form: hollow drivers beside real ones, what they call and carry by count, and the
-// figures that come of it.
-#include "rig/scale.h"
+// Scale runs in their small form: hollow gateways beside real ones, what they call and carry by count, and
+// the figures that come of it.
+#include "emulator/scale.h"
 
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 #include "standins/loopback.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 const std::string kProgram = HEATHFLOW_PROGRAM;
@@ -29,12 +29,12 @@
   FleetPlan out;
   out.hollow = hollow;
   out.real = real;
-  out.askWithin = kAskWithin;
+  out.maxPollInterval = kAskWithin;
   out.program = kProgram;
   return out;
 }
 
-bool allUpToDate(transport::EventLoop& loop, DriverFleet& fleet) {
+bool allUpToDate(transport::EventLoop& loop, GatewayFleet& fleet) {
   return test::until(loop, [&] { return fleet.upToDate() == fleet.size(); });
 }
 
@@ -76,8 +76,8 @@
   std::vector<xml::Problem> problems;
   const auto plan = loadScalePlan(kSource + "/scenarios/scale/scale.xml", problems);
   ASSERT_TRUE(plan) << toText(problems.at(0));
-  EXPECT_EQ(plan->drivers->sizes, (Sizes{10, 100, 1000, 3300}));
-  EXPECT_EQ(plan->members->sizes, (Sizes{100, 1000, 10'000, 33'000}));
+  EXPECT_EQ(plan->gateways->sizes, (Sizes{10, 100, 1000, 3300}));
+  EXPECT_EQ(plan->endpoints->sizes, (Sizes{100, 1000, 10'000, 33'000}));
   EXPECT_GE(plan->changes->sizes.size(), 4U);
   EXPECT_GE(plan->clients->sizes.size(), 4U);
   EXPECT_EQ(plan->faults->burst, 100U);
@@ -113,13 +113,13 @@
 }
 
 TEST(ScalePlan, WithTooFewDescriptorsIsTurnedDownWithTheirNumber) {
-  const std::string out = outputOf("ulimit -n 300; " HEATHFLOW_RIG " scale " + kSource +
+  const std::string out = outputOf("ulimit -n 300; " HEATHFLOW_EMULATOR " scale " + kSource +
                                    "/scenarios/scale/scale-small.xml --program " + kProgram);
   EXPECT_NE(out.find("descriptors are needed and "), std::string::npos) << out;
   EXPECT_NE(out.find("status 2"), std::string::npos) << out;
 }
 
-// ---- Hollow drivers are no toy ----
+// ---- Hollow gateways are no toy ----
 
 // The paths of all calls. A watch that ended with nothing new is called again, by the machine's pace: equal
 // calls in a row count once.
@@ -129,16 +129,16 @@
   return out;
 }
 
-// One driver through the same schedule: start, changes, the service gone and back with news, a further life.
+// One gateway through the same schedule: start, changes, the service gone and back with news, a further life.
 std::vector<std::string> callsUnderTheSchedule(const FleetPlan& plan, std::uint64_t& bytesOut) {
   transport::EventLoop loop;
-  DriverFleet fleet(loop, plan, listOf(40));
+  GatewayFleet fleet(loop, plan, listOf(40));
   ListFeed& feed = fleet.feed();
   feed.keepsCalls = true;
   fleet.start();
   EXPECT_TRUE(allUpToDate(loop, fleet));
-  for (std::size_t member = 0; member < 3; ++member) {
-    feed.change(member);
+  for (std::size_t endpoint = 0; endpoint < 3; ++endpoint) {
+    feed.change(endpoint);
     EXPECT_TRUE(allUpToDate(loop, fleet));
   }
   feed.goDown();
@@ -155,7 +155,7 @@
 
 TEST(ListFeed, KnowsForHowLongTheWatchesThatStandAskedToWait) {
   transport::EventLoop loop;
-  DriverFleet fleet(loop, planOf(2, 0), listOf(20));
+  GatewayFleet fleet(loop, planOf(2, 0), listOf(20));
   EXPECT_EQ(fleet.feed().meanWait(), 0);
   fleet.start();
   EXPECT_TRUE(allUpToDate(loop, fleet));
@@ -164,7 +164,7 @@
   EXPECT_EQ(fleet.feed().meanWait(), 0);
 }
 
-TEST(HollowDriver, CallsTheListServiceAsARealOneDoesUnderTheSameSchedule) {
+TEST(HollowGateway, CallsTheListServiceAsARealOneDoesUnderTheSameSchedule) {
   std::uint64_t hollowBytes = 0, realBytes = 0;
   const auto hollow = callsUnderTheSchedule(planOf(1, 0), hollowBytes);
   const auto real = callsUnderTheSchedule(planOf(0, 1), realBytes);
@@ -181,13 +181,13 @@
   EXPECT_EQ(real, expected);
 }
 
-// ---- Drivers that are cut off ----
+// ---- Gateways that are cut off ----
 
-TEST(DriverFleet, ThatIsHealedHearsAtOnceHoweverLongItsPathHasStood) {
+TEST(GatewayFleet, ThatIsHealedHearsAtOnceHoweverLongItsPathHasStood) {
   transport::EventLoop loop(transport::Clock::byHand(transport::Clock().now()));
   FleetPlan plan = planOf(1, 0);
   plan.cuttable = true;
-  DriverFleet fleet(loop, plan, listOf(20));
+  GatewayFleet fleet(loop, plan, listOf(20));
   const Micros start = loop.now();
   fleet.start();
   ASSERT_TRUE(allUpToDate(loop, fleet));
@@ -225,7 +225,7 @@
   ASSERT_TRUE(test::until(loop, [&] { return !tenSeconds.armed(); }));
   sockaddr_in entrance{};
   entrance.sin_family = AF_INET;
-  entrance.sin_port = htons(link.endpoint().port);
+  entrance.sin_port = htons(link.socketAddress().port);
   entrance.sin_addr.s_addr = htonl(test::kLoopback);
   ASSERT_EQ(::sendto(from.get(), "x", 1, 0, reinterpret_cast<const sockaddr*>(&entrance), sizeof entrance),
             1);
@@ -247,9 +247,9 @@
   ListFeed::Traffic change;  // more with one change
 };
 
-Counted countOf(unsigned drivers, unsigned members) {
+Counted countOf(unsigned gateways, unsigned endpoints) {
   transport::EventLoop loop;
-  DriverFleet fleet(loop, planOf(drivers, 0), listOf(members));
+  GatewayFleet fleet(loop, planOf(gateways, 0), listOf(endpoints));
   Counted out;
   fleet.start();
   EXPECT_TRUE(allUpToDate(loop, fleet));
@@ -263,7 +263,7 @@
   return out;
 }
 
-TEST(ScaleBounds, AStartCostsEachDriverOneWholeListAndTwoCalls) {
+TEST(ScaleBounds, AStartCostsEachGatewayOneWholeListAndTwoCalls) {
   const Counted counted = countOf(6, 50);
   EXPECT_EQ(counted.start.wholeLists, 6U);
   EXPECT_GE(counted.start.calls, 12U);
@@ -272,7 +272,7 @@
   EXPECT_LE(counted.start.bytesIn, counted.start.calls * 160);  // of a call
 }
 
-TEST(ScaleBounds, AChangeCostsEachDriverOneCallAndTheSameBytesWhateverTheListsSize) {
+TEST(ScaleBounds, AChangeCostsEachGatewayOneCallAndTheSameBytesWhateverTheListsSize) {
   const Counted small = countOf(4, 20);
   const Counted large = countOf(4, 400);
   for (const Counted& counted : {small, large}) {
@@ -309,7 +309,8 @@
   EXPECT_EQ(figures.at("clients.8.held"), 8);
   EXPECT_EQ(figures.at("statements.count"), 50);
   EXPECT_EQ(figures.at("statements.failed"), 0);
-  EXPECT_GE(figures.at("gossip.20.messages_per_s"), 2);  // a probe and an answer in each period of a second
+  EXPECT_GE(figures.at("gossip.20.messages_per_s"),
+            2);  // a health check and an answer in each period of a second
   EXPECT_GT(figures.at("gossip.20.death_known_s"), 0);
   EXPECT_LT(figures.at("subsets.40.rendezvous_moved_share"), figures.at("subsets.40.dealt_moved_share"));
   EXPECT_LE(figures.at("subsets.40.dealt_most_over_mean"),
@@ -338,4 +339,4 @@
 }
 
 }  // namespace
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
