--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -29,24 +29,24 @@
 
 TEST(SettingsText, IsReadInFull) {
   const auto settings = parseSettings(kSettingsText);
-  const Settings& logic = settings.logic;
+  const PolicySettings& logic = settings.logic;
   ASSERT_EQ(logic.classes.size(), 2U);
-  EXPECT_EQ(logic.classes[0].consistency, Consistency::Bounded);
-  EXPECT_EQ(logic.classes[0].maxAge, 3000000);
-  EXPECT_EQ(logic.classes[0].effect, Effect::Safe);
+  EXPECT_EQ(logic.classes[0].consistency, Consistency::BoundedStaleness);
+  EXPECT_EQ(logic.classes[0].maxStaleness, 3000000);
+  EXPECT_EQ(logic.classes[0].idempotency, Idempotency::Idempotent);
   EXPECT_EQ(logic.classes[1].consistency, Consistency::Write);
-  EXPECT_EQ(logic.classes[1].effect, Effect::Keyed);
-  EXPECT_EQ(logic.classes[1].scope, KeyScope::Group);
-  EXPECT_EQ(logic.classes[1].window, 5000000);
-  EXPECT_EQ(logic.drivers, 3U);
-  EXPECT_EQ(logic.tick, 5000);
-  EXPECT_EQ(logic.tokens, TokenMode::Remembered);
-  EXPECT_TRUE(logic.mustAsk);
-  EXPECT_TRUE(logic.mayProbe);
-  EXPECT_FALSE(logic.parallelTries);
+  EXPECT_EQ(logic.classes[1].idempotency, Idempotency::WithKey);
+  EXPECT_EQ(logic.classes[1].keyScope, KeyScope::Group);
+  EXPECT_EQ(logic.classes[1].keyWindow, 5000000);
+  EXPECT_EQ(logic.gatewayCount, 3U);
+  EXPECT_EQ(logic.timerResolution, 5000);
+  EXPECT_EQ(logic.sessionTokens, SessionTokenSource::Gateway);
+  EXPECT_TRUE(logic.discoveryIsPolled);
+  EXPECT_TRUE(logic.healthChecksAllowed);
+  EXPECT_FALSE(logic.hedgingAllowed);
   EXPECT_EQ(logic.maxAttempts, 10U);
-  EXPECT_DOUBLE_EQ(logic.coldFrom, 0.15);
-  EXPECT_DOUBLE_EQ(logic.fallMultiple, 2.5);
+  EXPECT_DOUBLE_EQ(logic.slowStartInitialShare, 0.15);
+  EXPECT_DOUBLE_EQ(logic.overloadMultiple, 2.5);
   EXPECT_EQ(settings.positionZero, 290469390756);
   EXPECT_EQ(settings.report.position, 1);
   EXPECT_EQ(settings.report.role, 2);
@@ -54,9 +54,9 @@
 }
 
 TEST(SettingsText, GoneIsAdviceOnlyWhereItIsSaid) {
-  EXPECT_FALSE(parseSettings(kSettingsText).logic.goneIsAdvice);
+  EXPECT_FALSE(parseSettings(kSettingsText).logic.removalIsAdvisory);
   const auto said = replaced(kSettingsText, "\"Contract\": {", "\"Contract\": {\"GoneIsAdvice\": true, ");
-  EXPECT_TRUE(parseSettings(said).logic.goneIsAdvice);
+  EXPECT_TRUE(parseSettings(said).logic.removalIsAdvisory);
 }
 
 TEST(SettingsText, UnknownKeysAreSkipped) {
@@ -64,16 +64,17 @@
 }
 
 TEST(SettingsText, UnknownWordsTakeTheMostCautiousMeaning) {
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"dedup\"", "\"odd\"")).logic.classes[1].effect,
-            Effect::Unsafe);
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"dedup\"", "\"odd\"")).logic.classes[1].idempotency,
+            Idempotency::None);
   EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"bounded\"", "\"odd\"")).logic.classes[0].consistency,
             Consistency::Write);
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"cell\"", "\"odd\"")).logic.classes[1].scope,
-            KeyScope::Member);
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"remembered\"", "\"odd\"")).logic.tokens,
-            TokenMode::Unknown);
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"silent\"", "\"odd\"")).logic.guard, Guard::Silent);
-  EXPECT_TRUE(parseSettings(replaced(kSettingsText, "\"ask\"", "\"odd\"")).logic.mustAsk);
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"cell\"", "\"odd\"")).logic.classes[1].keyScope,
+            KeyScope::Endpoint);
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"remembered\"", "\"odd\"")).logic.sessionTokens,
+            SessionTokenSource::None);
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"silent\"", "\"odd\"")).logic.staleReads,
+            StaleReadBehavior::ServesStale);
+  EXPECT_TRUE(parseSettings(replaced(kSettingsText, "\"ask\"", "\"odd\"")).logic.discoveryIsPolled);
 }
 
 // Guards a deployment against another's values, and against none at all, where a key is missing.
--- a/tests/short_transfer_test.cpp
+++ b/tests/short_transfer_test.cpp
@@ -18,7 +18,7 @@
 TEST_P(ShortTransfer, LeavesNoRequestUnansweredWhereEveryReadAndWriteIsShort) {
   GatewayRig rig(speaking());
   const InForce faults(planOf("seed=3;short-read=1;short-write=1;interrupt=0.2;interrupt-io=0.2"));
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   for (int i = 0; i < 20; ++i) client.ask(request("any", "id" + std::to_string(i)));
   EXPECT_TRUE(client.answered(20));
   EXPECT_EQ(rig.counters().requestsServed, 20U);
@@ -29,7 +29,7 @@
   GatewayRig rig(speaking());
   const InForce faults(planOf("seed=11;short-read=0.1"));
   std::vector<std::unique_ptr<ClientStandIn>> clients;
-  for (int i = 0; i < 8; ++i) clients.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.endpoint));
+  for (int i = 0; i < 8; ++i) clients.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
   for (int round = 0; round < 10; ++round) {
     for (std::size_t i = 0; i < clients.size(); ++i)
       clients[i]->ask(request("any", "id" + std::to_string(round) + "-" + std::to_string(i)));
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -21,14 +21,14 @@
   options.sockets = 1024;
   options.byHand = true;
   GatewayRig rig(options);
-  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.members[0]->value("served")); });
+  rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("served")); });
   bool done = false;
   const transport::Micros told = rig.loop.now();
   rig.gateway->drain([&] { done = true; });
   // No turn of the loop until the listener is due to shut: it finds the queue full in that very turn.
   std::vector<std::unique_ptr<PlainSocket>> queued;
   for (std::size_t i = 0; i < kQueued; ++i) {
-    queued.push_back(std::make_unique<PlainSocket>(rig.loop, rig.endpoint));
+    queued.push_back(std::make_unique<PlainSocket>(rig.loop, rig.socketAddress));
     ASSERT_TRUE(queued.back()->send(pg::startup() + pg::query(request("any", std::to_string(i)))));
   }
   ASSERT_EQ(rig.loop.now(), told) << "the loop has turned meanwhile";
@@ -47,7 +47,7 @@
 // sent on.
 TEST(CrossingEnd, AClientThatNeverAskedIsToldThatTheGatewayEnds) {
   GatewayRig rig;
-  PlainSocket silent(rig.loop, rig.endpoint);
+  PlainSocket silent(rig.loop, rig.socketAddress);
   ASSERT_TRUE(silent.send(pg::startup()));
   ASSERT_TRUE(silent.reads(pg::ready()));
   bool done = false;
@@ -69,7 +69,7 @@
   GatewayRig rig(options);
   Line* held = nullptr;
   rig.answerAll([&](Line& line, const std::string&) { held = &line; });
-  ClientStandIn busy(rig.loop, rig.endpoint);
+  ClientStandIn busy(rig.loop, rig.socketAddress);
   busy.ask(request("any", "1"));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
   int done = 0;
@@ -82,14 +82,14 @@
     return !opened.fd || transport::pendingError(opened.fd.get()) != 0;
   }));
   rig.gateway->drain([&] { ++done; });
-  held->say(rig.members[0]->value("at last"));
+  held->say(rig.endpoints[0]->value("at last"));
   ASSERT_TRUE(busy.answered());
   EXPECT_TRUE(busy.gone());
   EXPECT_TRUE(rig.until([&] { return done > 0; }));
   EXPECT_EQ(done, 1);
 }
 
-// Deadlines so short that the kill comes a second after the word to end, members that hang just then, a
+// Deadlines so short that the kill comes a second after the word to end, endpoints that hang just then, a
 // request held for a primary that is not there, and a client that goes on asking: each has its one answer and
 // the process is done before the kill (the longest deadline and 0.7 s).
 TEST_P(ClosingRule, WhatHangsOrIsHeldIsAnsweredBeforeTheKill) {
@@ -101,8 +101,8 @@
     GatewayRig rig(options, 1);
     std::size_t asked = 0;
     rig.answerAll([&](Line&, const std::string&) { ++asked; });
-    if (held) rig.members[0]->shut();
-    ClientStandIn client(rig.loop, rig.endpoint);
+    if (held) rig.endpoints[0]->shut();
+    ClientStandIn client(rig.loop, rig.socketAddress);
     client.ask(request("save", "1", "", 60'000));
     ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 1 && (held || asked == 1); }));
     const transport::Micros told = rig.loop.now();
@@ -120,13 +120,13 @@
 
 // A request that comes on an open connection after all others had their answer, and one behind it: the first
 // is answered at once, nothing is begun any more.
-TEST_P(ClosingRule, WhatIsAskedAfterTheLastAnswersIsRefusedAtOnce) {
+TEST_P(ClosingRule, WhatIsAskedAfterTheLastAnswersIsRejectedAtOnce) {
   GatewayOptions options = speaking();
   options.byHand = true;
   options.deadlineMs = 400;
   options.aimMs = 200;
   GatewayRig rig(options, 1);
-  PlainSocket late(rig.loop, rig.endpoint);
+  PlainSocket late(rig.loop, rig.socketAddress);
   ASSERT_TRUE(late.send(openingOf(GetParam())));
   // It has begun a message, so that it is not let go at the last call.
   const std::string asks = askingOf(GetParam(), request("save", "1"));
@@ -140,16 +140,16 @@
   EXPECT_FALSE(late.reset);
   EXPECT_TRUE(rig.statements().empty());
   // In Bolt a failure has what stands behind it ignored.
-  EXPECT_EQ(rig.counters().requestsRefused, GetParam() == Speaks::Bolt ? 1U : 2U);
+  EXPECT_EQ(rig.counters().requestsRejected, GetParam() == Speaks::Bolt ? 1U : 2U);
 }
 
 // The program itself, told to end at its very start: it ends at once or as it always does, and never hangs.
 TEST(CrossingProcess, ToldToEndBeforeItIsReady) {
   transport::EventLoop loop;
-  MemberStandIn member(loop, kLoopback);
-  member.primary = true;
+  EndpointStandIn endpoint(loop, kLoopback);
+  endpoint.primary = true;
   PlainListener silent(loop);  // discovery that takes connections and never answers
-  const std::string known = "[" + entry("m0", member.address(), true) + "]";
+  const std::string known = "[" + entry("m0", endpoint.address(), true) + "]";
   for (int i = 0; i < 20; ++i) {
     Process process(configText({}, silent.address(), known));
     // From before the program's first line to well behind it.
@@ -168,21 +168,21 @@
 TEST(CrossingProcess, IsReadyWhileDiscoveryIsSilentOrAway) {
   for (const bool away : {false, true}) {
     transport::EventLoop loop;
-    MemberStandIn member(loop, kLoopback);
-    member.primary = true;
+    EndpointStandIn endpoint(loop, kLoopback);
+    endpoint.primary = true;
     auto discovery = std::make_unique<PlainListener>(loop);
     const std::string config =
-        configText({}, discovery->address(), "[" + entry("m0", member.address(), true) + "]");
+        configText({}, discovery->address(), "[" + entry("m0", endpoint.address(), true) + "]");
     if (away) discovery.reset();
     Process process(config);
     ASSERT_TRUE(until(loop, [&] { return process.says("serves at"); }));
-    ClientStandIn client(loop, process.endpoint());
+    ClientStandIn client(loop, process.socketAddress());
     client.ask(request("save", "1"));
     ASSERT_TRUE(client.answered());
-    EXPECT_EQ(client.value(), "from " + member.address());
+    EXPECT_EQ(client.value(), "from " + endpoint.address());
     // Told twice to end, and to read its configuration again between the two, with a request out.
     Line* held = nullptr;
-    member.answer = [&](Line& line, const std::string&) { held = &line; };
+    endpoint.answer = [&](Line& line, const std::string&) { held = &line; };
     client.ask(request("save", "2"));
     ASSERT_TRUE(until(loop, [&] { return held != nullptr; }));
     process.signal(SIGTERM);
@@ -190,7 +190,7 @@
     process.signal(SIGHUP);
     ASSERT_TRUE(until(loop, [&] { return process.says("was read again"); }));
     process.signal(SIGTERM);
-    held->say(member.value("the last"));
+    held->say(endpoint.value("the last"));
     ASSERT_TRUE(client.answered(2));
     EXPECT_EQ(client.value(1), "the last");
     ASSERT_TRUE(until(loop, [&] { return process.over(); }));
--- a/tests/site_play.h
+++ b/tests/site_play.h
@@ -3,10 +3,10 @@
 
 #include <gtest/gtest.h>
 
-#include "rig/site.h"
+#include "emulator/site.h"
 #include "transport/event_loop.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
@@ -27,13 +27,13 @@
   Scenario out;
   out.name = "quiet";
   out.length = 5 * kS;
-  out.drivers = 4;
+  out.gateways = 4;
   out.groups = 2;
-  out.perDriver = 20;
+  out.perGateway = 20;
   out.patience = 2 * kS;
-  out.member.warmUp = 2 * kS;
+  out.endpoint.slowStartDuration = 2 * kS;
   out.hardStops = true;
   return out;
 }
 
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/tests/site_test.cpp
+++ b/tests/site_test.cpp
@@ -1,6 +1,6 @@
-// The rig's emulated parts, its scenarios, and whole installations of real drivers through the hard cases of
+// The rig's emulated parts, its scenarios, and whole installations of real gateways through the hard cases of
 // a cold start.
-#include "rig/site.h"
+#include "emulator/site.h"
 
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -8,12 +8,12 @@
 #include <filesystem>
 #include <fstream>
 
-#include "rig/arrivals.h"
-#include "rig/latencies.h"
-#include "rig/member_model.h"
-#include "rig/scenario.h"
+#include "emulator/arrivals.h"
+#include "emulator/endpoint_model.h"
+#include "emulator/latencies.h"
+#include "emulator/scenario.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 constexpr Micros kMs = 1000;
@@ -21,12 +21,12 @@
 
 // ---- Models ----
 
-TEST(EmulatedMember, IsSlowWhileItIsColdAndTurnsAwayWhatItHasNoRoomFor) {
-  MemberCosts costs;
+TEST(EmulatedEndpoint, IsSlowWhileItIsColdAndTurnsAwayWhatItHasNoRoomFor) {
+  EndpointCosts costs;
   costs.slots = 1;
   costs.queue = 2;
   costs.service = 10 * kMs;
-  MemberModel model(costs, false, 1);
+  EndpointModel model(costs, false, 1);
   EXPECT_EQ(model.warmth(kS), 1);
   model.start(kS);
   EXPECT_DOUBLE_EQ(model.warmth(kS), 0.2);
@@ -37,17 +37,17 @@
   EXPECT_LE(first.at, kS + 75 * kMs);
   EXPECT_FALSE(model.hasRoom(kS));
   EXPECT_GT(model.ask(kS, false).at, first.at);
-  EXPECT_EQ(model.ask(kS, false).kind, MemberModel::Verdict::Kind::Served);
-  EXPECT_EQ(model.ask(kS, false).kind, MemberModel::Verdict::Kind::Full);
-  EXPECT_EQ(model.ask(kS, true).kind, MemberModel::Verdict::Kind::NotPrimary);
+  EXPECT_EQ(model.ask(kS, false).kind, EndpointModel::Verdict::Kind::Served);
+  EXPECT_EQ(model.ask(kS, false).kind, EndpointModel::Verdict::Kind::Full);
+  EXPECT_EQ(model.ask(kS, true).kind, EndpointModel::Verdict::Kind::NotPrimary);
   EXPECT_TRUE(model.hasRoom(20 * kS));
 }
 
-TEST(EmulatedMember, GivesSoManyConnectionsOneAfterTheOther) {
-  MemberCosts costs;
+TEST(EmulatedEndpoint, GivesSoManyConnectionsOneAfterTheOther) {
+  EndpointCosts costs;
   costs.connections = 2;
   costs.accept = kMs;
-  MemberModel model(costs, true, 1);
+  EndpointModel model(costs, true, 1);
   EXPECT_EQ(model.connect(kS).at, kS + kMs);
   EXPECT_EQ(model.connect(kS).at, kS + 2 * kMs);
   EXPECT_FALSE(model.connect(kS).taken);
@@ -57,8 +57,8 @@
   EXPECT_EQ(model.connectionsTurnedAway(), 1U);
 }
 
-TEST(EmulatedMember, KeepsItsLogThroughAFailover) {
-  MemberModel replica({}, false, 1);
+TEST(EmulatedEndpoint, KeepsItsLogThroughAFailover) {
+  EndpointModel replica({}, false, 1);
   EXPECT_EQ(replica.position(kS), kS - 100 * kMs);
   replica.stall(kS);
   EXPECT_EQ(replica.position(5 * kS), kS - 100 * kMs);
@@ -112,12 +112,12 @@
   EXPECT_GE(count, 1U);
 }
 
-std::string problemsOf(const std::string& drivers, const std::string& members, const std::string& load,
+std::string problemsOf(const std::string& gateways, const std::string& endpoints, const std::string& load,
                        const std::string& rest = "") {
   std::vector<xml::Problem> problems;
   const std::string text =
-      "<scenario xmlns=\"urn:heathflow:scenario:1\" name=\"x\" seconds=\"5\">\n<drivers " + drivers +
-      "/><members " + members + "/><list/><load " + load + "/>" + rest + "</scenario>";
+      "<scenario xmlns=\"urn:heathflow:scenario:1\" name=\"x\" seconds=\"5\">\n<drivers " + gateways +
+      "/><members " + endpoints + "/><list/><load " + load + "/>" + rest + "</scenario>";
   const auto read = parseScenario("x.xml", text, problems);
   EXPECT_EQ(read.has_value(), problems.empty());
   std::string out;
@@ -150,10 +150,10 @@
   Scenario out;
   out.name = "small";
   out.length = 4 * kS;
-  out.drivers = 6;
-  out.perDriver = 10;
+  out.gateways = 6;
+  out.perGateway = 10;
   out.patience = 4 * kS;
-  out.member.warmUp = 3 * kS;
+  out.endpoint.slowStartDuration = 3 * kS;
   out.list.line = kMs;
   return out;
 }
@@ -177,18 +177,18 @@
   EXPECT_GE(out.callsUntilListed, 6U);
 }
 
-TEST(ColdSites, AListOfMembersThatAreAllGoneIsReplaced) {
+TEST(ColdSites, AListOfEndpointsThatAreAllGoneIsReplaced) {
   Scenario scenario = small();
   scenario.known = KnownList::Gone;
   EXPECT_TRUE(played(scenario).lastList);
 }
 
-TEST(ColdSites, MembersWithFewConnectionsAndABadOne) {
+TEST(ColdSites, EndpointsWithFewConnectionsAndABadOne) {
   Scenario scenario = small();
   scenario.cold = true;
   scenario.replicas = 3;
   scenario.bad = 1;
-  scenario.member.connections = 8;
+  scenario.endpoint.connections = 8;
   played(scenario);
 }
 
@@ -204,14 +204,14 @@
   scenario.snapshot = true;
   scenario.busyShare = 0.2;
   scenario.busyTimes = 10;
-  scenario.happenings = {{Happening::Kind::KillDrivers, 1500 * kMs, 0.7, 500 * kMs}};
+  scenario.happenings = {{Happening::Kind::KillGateways, 1500 * kMs, 0.7, 500 * kMs}};
   played(scenario);
 }
 
 TEST(ColdSites, ARollOneAfterTheOtherLosesNothing) {
   Scenario scenario = small();
   scenario.length = 6 * kS;
-  scenario.happenings = {{Happening::Kind::RollDrivers, kS, 0.5, 2 * kS}};
+  scenario.happenings = {{Happening::Kind::RollGateways, kS, 0.5, 2 * kS}};
   EXPECT_EQ(played(scenario).failed, 0U);
 }
 
@@ -222,23 +222,23 @@
   EXPECT_TRUE(played(scenario).lastList);
 }
 
-// What a service tells counts, and not what its caller was told elsewhere: a driver that starts between the
+// What a service tells counts, and not what its caller was told elsewhere: a gateway that starts between the
 // move and the drain learns of both at the new place.
 TEST(ColdSites, ADrainBehindAMoveIsToldAtTheNewPlace) {
   Scenario scenario = small();
   scenario.length = 6 * kS;
   scenario.groups = 2;
   scenario.replicas = 3;
-  scenario.perDriver = 40;
+  scenario.perGateway = 40;
   scenario.happenings = {{Happening::Kind::ListMoves, 2000 * kMs, 1, 1500 * kMs},
-                         {Happening::Kind::KillDrivers, 2100 * kMs, 0.5, 400 * kMs},
-                         {Happening::Kind::DrainMembers, 2200 * kMs, 0.4, kS}};
+                         {Happening::Kind::KillGateways, 2100 * kMs, 0.5, 400 * kMs},
+                         {Happening::Kind::DrainEndpoints, 2200 * kMs, 0.4, kS}};
   played(scenario);
 }
 
 TEST(ColdSites, APauseOfHalfOfThemIsOver) {
   Scenario scenario = small();
-  scenario.happenings = {{Happening::Kind::PauseDrivers, kS, 0.5, kS}};
+  scenario.happenings = {{Happening::Kind::PauseGateways, kS, 0.5, kS}};
   played(scenario);
 }
 
@@ -248,13 +248,13 @@
   played(scenario);
 }
 
-// A file that was cut, another driver's or a later version's costs one log line and nothing else.
-TEST(ColdSites, DriversStartWithoutASnapshotThatCanNotBeUsed) {
+// A file that was cut, another gateway's or a later version's costs one log line and nothing else.
+TEST(ColdSites, GatewaysStartWithoutASnapshotThatCanNotBeUsed) {
   transport::EventLoop loop;
   Scenario scenario = small();
-  scenario.drivers = 2;
+  scenario.gateways = 2;
   scenario.snapshot = true;
-  scenario.happenings = {{Happening::Kind::KillDrivers, kS, 1, 500 * kMs}};
+  scenario.happenings = {{Happening::Kind::KillGateways, kS, 1, 500 * kMs}};
   Site site(loop, scenario, HEATHFLOW_PROGRAM);
   std::size_t malformed = 0;
   const Outcomes out = site.play([&](std::size_t, const Second&) {
@@ -271,4 +271,4 @@
 }
 
 }  // namespace
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/tests/snapshot_source_test.cpp
+++ b/tests/snapshot_source_test.cpp
@@ -10,28 +10,28 @@
 
 constexpr std::int64_t kKeptRevision = 41;
 
-// A driver whose earlier life had its list from that place.
+// A gateway whose earlier life had its list from that place.
 class Restarted {
  public:
   explicit Restarted(const std::string& source)
-      : loop(transport::Clock::byHand(transport::Clock().now())), discovery(loop), member(loop) {
-    member.primary = true;
-    discovery.members = "[" + entry("m0", member.address(), true) + "]";
+      : loop(transport::Clock::byHand(transport::Clock().now())), discovery(loop), endpoint(loop) {
+    endpoint.primary = true;
+    discovery.endpoints = "[" + entry("m0", endpoint.address(), true) + "]";
     discovery.revision = 2 * kKeptRevision;
     GatewayOptions options;
     options.knownRevision = 1;
     std::string problem;
-    if (!program::parseConfig(configText(options, discovery.address(), discovery.members), config, problem))
+    if (!program::parseConfig(configText(options, discovery.address(), discovery.endpoints), config, problem))
       throw std::runtime_error(problem);
     installation.snapshot.file = folder.path() + "/n0.snapshot";
     snapshot::Snapshot earlier;
     earlier.name = "n0";
     earlier.listTrueAt = loop.now();
     earlier.source = source.empty() ? discovery.address() : source;
-    protocol::MemberList list = config.known;
+    protocol::EndpointList list = config.known;
     list.revision = kKeptRevision;
-    list.members.push_back(list.members.front());
-    list.members.back().id = "gone-before-the-move";
+    list.endpoints.push_back(list.endpoints.front());
+    list.endpoints.back().id = "gone-before-the-move";
     earlier.list = list;
     gateway = std::make_unique<program::Gateway>(loop, config, notes, installation, earlier);
     if (gateway->listen(problem) != 0) throw std::runtime_error(problem);
@@ -44,7 +44,7 @@
 
   transport::EventLoop loop;
   DiscoveryStandIn discovery;
-  MemberStandIn member;
+  EndpointStandIn endpoint;
   TemporaryFolder folder;
   Notes notes;
   program::Config config;
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,12 +1,12 @@
 // The fault soak: its scenarios are good and repeatable, what breaks on purpose is seen, and a short play of
 // each kind of trouble keeps all rules.
-#include "rig/soak.h"
+#include "emulator/soak.h"
 
 #include <gtest/gtest.h>
 
 #include "site_play.h"
 
-namespace heathflow::rig {
+namespace heathflow::emulator {
 namespace {
 
 TEST(SoakScenarios, AreTheSameFromTheSameSeedAndCanBePlayedAgain) {
@@ -22,7 +22,7 @@
   }
 }
 
-// Everything that fails, at once, in every driver.
+// Everything that fails, at once, in every gateway.
 TEST(SoakPlays, KeepAllRulesUnderFailingCallsAndASteppedClock) {
   Scenario scenario = quiet();
   scenario.faults =
@@ -32,7 +32,7 @@
   scenario.snapshot = true;
   scenario.leaving = 0.1;
   scenario.rough = 2;
-  scenario.happenings = {{Happening::Kind::ReloadDrivers, kS, 1, 0}};
+  scenario.happenings = {{Happening::Kind::ReloadGateways, kS, 1, 0}};
   expectKept(played(scenario));
 }
 
@@ -40,21 +40,21 @@
   Scenario scenario = quiet();
   scenario.length = 8 * kS;
   scenario.leaving = 0.1;
-  scenario.happenings = {{Happening::Kind::CutMembers, kS, 0.3, kS},
-                         {Happening::Kind::RollDrivers, kS, 0.5, kS},
+  scenario.happenings = {{Happening::Kind::CutEndpoints, kS, 0.3, kS},
+                         {Happening::Kind::RollGateways, kS, 0.5, kS},
                          {Happening::Kind::CutList, 1200 * kMs, 0.5, kS},
-                         {Happening::Kind::ReloadDrivers, 1300 * kMs, 1, 0},
-                         {Happening::Kind::ResetMembers, 1500 * kMs, 0.5, kS},
+                         {Happening::Kind::ReloadGateways, 1300 * kMs, 1, 0},
+                         {Happening::Kind::ResetEndpoints, 1500 * kMs, 0.5, kS},
                          {Happening::Kind::LogsUnread, 1500 * kMs, 0.5, kS},
-                         {Happening::Kind::HangMembers, 3 * kS, 0.3, kS},
-                         {Happening::Kind::SlowMembers, 3 * kS, 0.5, kS}};
+                         {Happening::Kind::HangEndpoints, 3 * kS, 0.3, kS},
+                         {Happening::Kind::SlowEndpoints, 3 * kS, 0.5, kS}};
   expectKept(played(scenario));
 }
 
 TEST(SoakOracle, SeesAProgramThatDoesNotStart) {
   Scenario scenario = quiet();
   scenario.length = kS;
-  scenario.drivers = 1;
+  scenario.gateways = 1;
   transport::EventLoop loop;
   const Outcomes outcomes = Site(loop, scenario, Programs{"/bin/false", "", ""}).play();
   EXPECT_FALSE(outcomes.rulesKept());
@@ -70,4 +70,4 @@
 }
 
 }  // namespace
-}  // namespace heathflow::rig
+}  // namespace heathflow::emulator
--- a/tests/sparing_test.cpp
+++ b/tests/sparing_test.cpp
@@ -1,12 +1,12 @@
-// What a router, and a fleet of them, asks of the members: counts, single routers, and 60 to 300 of them with
-// modelled members under a virtual clock.
+// What a router, and a fleet of them, asks of the endpoints: counts, single routers, and 60 to 300 of them
+// with modelled endpoints under a virtual clock.
 #include <gtest/gtest.h>
 
 #include <numeric>
 
 #include "fleet/fleet.h"
 #include "rig.h"
-#include "sparing/ledger.h"
+#include "stats/upstream_stats.h"
 
 namespace heathflow::test {
 namespace {
@@ -14,53 +14,53 @@
 using fleet::Happening;
 using fleet::Plan;
 using fleet::Result;
-using Members = std::vector<MemberId>;
+using Endpoints = std::vector<EndpointId>;
 
 // ---- Counts ----
 
-TEST(Ledger, AProbeIsUsedWhenARequestGoesThereBeforeTheNextProbe) {
-  sparing::Ledger ledger;
-  ledger.probed(1, ProbeReason::Need);
-  ledger.sent(1);  // it has told nothing yet
-  ledger.probeEnded(1, true);
-  ledger.sent(2);
-  EXPECT_EQ(ledger.probes(ProbeReason::Need).used, 0U);
-  ledger.sent(1);
-  ledger.sent(1);
-  EXPECT_EQ(ledger.probes(ProbeReason::Need).used, 1U);
-  ledger.probed(1, ProbeReason::Role);
-  ledger.probeEnded(1, false);
-  ledger.sent(1);
-  EXPECT_EQ(ledger.probes(ProbeReason::Role).made, 1U);
-  EXPECT_EQ(ledger.probes(ProbeReason::Role).answered, 0U);
-  EXPECT_EQ(ledger.probes(ProbeReason::Role).used, 0U);
-  EXPECT_EQ(ledger.mostProbed(), 2U);
-}
-
-TEST(Ledger, AConnectionIsUnusedUntilARequestWentOverIt) {
-  sparing::Ledger ledger;
-  sparing::Carried probesOnly = ledger.opened(sparing::Purpose::Probe);
-  ledger.reused(probesOnly, sparing::Purpose::Probe);
-  sparing::Carried once = ledger.opened(sparing::Purpose::Probe);
-  ledger.reused(once, sparing::Purpose::Request);
-  const sparing::Carried first = ledger.opened(sparing::Purpose::Request);
-  sparing::Carried often = first;
-  ledger.reused(often, sparing::Purpose::Request);
-  for (const sparing::Carried& carried : {probesOnly, once, often}) ledger.closed(carried);
-  EXPECT_EQ(ledger.connections().closed, 3U);
-  EXPECT_EQ(ledger.connections().closedUnused, 1U);
-  EXPECT_EQ(ledger.connections().closedOnce, 1U);
-}
-
-TEST(Ledger, ForgetsMembersAndNamesEveryCount) {
-  sparing::Ledger ledger;
-  ledger.probed(1, ProbeReason::Silent);
-  ledger.givenUp(Hindrance::Cold);
-  EXPECT_EQ(ledger.membersProbed(), 1U);
-  ledger.forget(1);
-  ledger.probeEnded(1, true);
-  EXPECT_EQ(ledger.membersProbed(), 0U);
-  const std::string text = describe(ledger);
+TEST(UpstreamStats, AHealthCheckIsUsedWhenARequestGoesThereBeforeTheNextHealthCheck) {
+  stats::UpstreamStats upstreamStats;
+  upstreamStats.healthChecked(1, HealthCheckReason::ReadWaiting);
+  upstreamStats.sent(1);  // it has told nothing yet
+  upstreamStats.healthCheckEnded(1, true);
+  upstreamStats.sent(2);
+  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 0U);
+  upstreamStats.sent(1);
+  upstreamStats.sent(1);
+  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 1U);
+  upstreamStats.healthChecked(1, HealthCheckReason::PrimaryUnknown);
+  upstreamStats.healthCheckEnded(1, false);
+  upstreamStats.sent(1);
+  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).made, 1U);
+  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).answered, 0U);
+  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).used, 0U);
+  EXPECT_EQ(upstreamStats.mostHealthChecked(), 2U);
+}
+
+TEST(UpstreamStats, AConnectionIsUnusedUntilARequestWentOverIt) {
+  stats::UpstreamStats upstreamStats;
+  stats::Carried healthChecksOnly = upstreamStats.opened(stats::Purpose::HealthCheck);
+  upstreamStats.reused(healthChecksOnly, stats::Purpose::HealthCheck);
+  stats::Carried once = upstreamStats.opened(stats::Purpose::HealthCheck);
+  upstreamStats.reused(once, stats::Purpose::Request);
+  const stats::Carried first = upstreamStats.opened(stats::Purpose::Request);
+  stats::Carried often = first;
+  upstreamStats.reused(often, stats::Purpose::Request);
+  for (const stats::Carried& carried : {healthChecksOnly, once, often}) upstreamStats.closed(carried);
+  EXPECT_EQ(upstreamStats.connections().closed, 3U);
+  EXPECT_EQ(upstreamStats.connections().closedUnused, 1U);
+  EXPECT_EQ(upstreamStats.connections().closedOnce, 1U);
+}
+
+TEST(UpstreamStats, ForgetsEndpointsAndNamesEveryCount) {
+  stats::UpstreamStats upstreamStats;
+  upstreamStats.healthChecked(1, HealthCheckReason::Unresponsive);
+  upstreamStats.givenUp(RejectReason::SlowStart);
+  EXPECT_EQ(upstreamStats.endpointsHealthChecked(), 1U);
+  upstreamStats.forget(1);
+  upstreamStats.healthCheckEnded(1, true);
+  EXPECT_EQ(upstreamStats.endpointsHealthChecked(), 0U);
+  const std::string text = describe(upstreamStats);
   for (const char* name : {"silent=1", "silent_used=0", "members=0", "cold=1", "closed_unused=0"}) {
     EXPECT_NE(text.find(name), std::string::npos) << name;
   }
@@ -73,61 +73,61 @@
  public:
   BusyPrimaryRig() {
     usualGroup();
-    for (int i = 0; i < 8; ++i) end(ask(kUnsafeWrite), 0, Outcome::Ok);
+    for (int i = 0; i < 8; ++i) end(ask(kUnsafeWrite), 0, AttemptOutcome::Ok);
     forget();
   }
 };
 
-// A bound of 3 s that is asked for every 4 s: one probe for each read, and none between.
-TEST(Sparing, AClassAskedForMoreSeldomThanItsBoundCostsOneProbeARead) {
+// A bound of 3 s that is asked for every 4 s: one health check for each read, and none between.
+TEST(Sparing, AClassAskedForMoreSeldomThanItsBoundCostsOneHealthCheckARead) {
   BusyPrimaryRig rig;
-  std::size_t probes = 0;
+  std::size_t healthChecks = 0;
   for (int i = 0; i < 10; ++i) {
     const auto read = rig.ask(kBounded);
-    rig.answerProbes(Role::Replica, rig.now - 50 * kMs);
+    rig.answerHealthChecks(Role::Replica, rig.now - 50 * kMs);
     ASSERT_EQ(rig.sentTo(read).size(), 1U);
-    rig.end(read, 0, Outcome::Ok);
+    rig.end(read, 0, AttemptOutcome::Ok);
     rig.pass(4 * kS);
-    probes += rig.probes();
+    healthChecks += rig.healthChecks();
     rig.forget();
   }
-  EXPECT_EQ(probes, 10U);
+  EXPECT_EQ(healthChecks, 10U);
 }
 
 TEST(Sparing, ReadsWithoutABoundAndWritesToAListedPrimaryCostNone) {
   Rig rig;
   rig.usualGroup();
   for (int i = 0; i < 20; ++i) {
-    rig.end(rig.ask(kAny), 0, Outcome::Ok);
-    rig.end(rig.ask(kUnsafeWrite), 0, Outcome::Ok, {}, rig.now);
+    rig.end(rig.ask(kAny), 0, AttemptOutcome::Ok);
+    rig.end(rig.ask(kUnsafeWrite), 0, AttemptOutcome::Ok, {}, rig.now);
     rig.pass(kS);
   }
-  EXPECT_EQ(rig.probes(), 0U);
+  EXPECT_EQ(rig.healthChecks(), 0U);
 }
 
-// What is known serves until its bound: many reads on one probe.
+// What is known serves until its bound: many reads on one health check.
 TEST(Sparing, AKnownPositionServesAllReadsThatItCovers) {
   BusyPrimaryRig rig;
   for (int i = 0; i < 6; ++i) {
     const auto read = rig.ask(kBounded);
-    rig.answerProbes(Role::Replica, rig.now - 50 * kMs);
+    rig.answerHealthChecks(Role::Replica, rig.now - 50 * kMs);
     ASSERT_EQ(rig.sentTo(read).size(), 1U);
-    rig.end(read, 0, Outcome::Ok);
+    rig.end(read, 0, AttemptOutcome::Ok);
     rig.now += 400 * kMs;
   }
-  EXPECT_EQ(rig.probes(), 1U);
+  EXPECT_EQ(rig.healthChecks(), 1U);
 }
 
 // Idle replicas are taken in this router's own order, the same one each time, and others differ.
 TEST(Sparing, AQuietRouterStaysWithOneReplicaAndTheFleetSpreads) {
-  std::map<MemberId, int> firsts;
+  std::map<EndpointId, int> firsts;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     KnownRig rig(makeSettings(), seed);
-    std::set<MemberId> used;
+    std::set<EndpointId> used;
     for (int i = 0; i < 10; ++i) {
       const auto read = rig.ask(kAny);
       used.insert(rig.sentTo(read).at(0));
-      rig.end(read, 0, Outcome::Ok);
+      rig.end(read, 0, AttemptOutcome::Ok);
       rig.now += 300 * kMs;
     }
     if (used.size() == 1) ++firsts[*used.begin()];
@@ -138,77 +138,77 @@
 }
 
 // Bad for this router only: it turns to the other, and others stay.
-TEST(Sparing, AMemberThatFailsARouterGoesToTheBackOfItsOrder) {
+TEST(Sparing, AnEndpointThatFailsARouterGoesToTheBackOfItsOrder) {
   KnownRig rig;
   auto read = rig.ask(kAny);
-  const MemberId first = rig.sentTo(read).at(0);
-  rig.end(read, 0, Outcome::Error);
+  const EndpointId first = rig.sentTo(read).at(0);
+  rig.end(read, 0, AttemptOutcome::Error);
   ASSERT_EQ(rig.sentTo(read).size(), 2U);
-  rig.end(read, 1, Outcome::Ok);
+  rig.end(read, 1, AttemptOutcome::Ok);
   for (int i = 0; i < 5; ++i) {
     rig.now += 300 * kMs;
     read = rig.ask(kAny);
     EXPECT_NE(rig.sentTo(read).at(0), first);
-    rig.end(read, 0, Outcome::Ok);
+    rig.end(read, 0, AttemptOutcome::Ok);
   }
 }
 
-TEST(Sparing, AReplicaBeyondAllBoundsIsNotProbedForEverAndIsFoundAgain) {
+TEST(Sparing, AReplicaBeyondAllBoundsIsNotHealthCheckedForEverAndIsFoundAgain) {
   BusyPrimaryRig rig;
   const auto askOnce = [&] {
     const auto read = rig.ask(kBounded);
     rig.pass(50 * kMs);
-    EXPECT_EQ(rig.sentTo(read), Members{1});
-    rig.end(read, 0, Outcome::Ok, Role::Primary);
+    EXPECT_EQ(rig.sentTo(read), Endpoints{1});
+    rig.end(read, 0, AttemptOutcome::Ok, Role::Primary);
     rig.pass(950 * kMs);
   };
-  rig.probed(2, Role::Replica, rig.now - 30 * kS);
-  rig.probed(3, Role::Replica, rig.now - 30 * kS);
+  rig.healthChecked(2, Role::Replica, rig.now - 30 * kS);
+  rig.healthChecked(3, Role::Replica, rig.now - 30 * kS);
   for (int i = 0; i < 15; ++i) askOnce();  // 15 s
-  EXPECT_EQ(rig.probes(), 0U) << "neither can have caught up";
+  EXPECT_EQ(rig.healthChecks(), 0U) << "neither can have caught up";
   rig.now += 40 * kS;
-  rig.probed(1, Role::Primary, rig.now);
+  rig.healthChecked(1, Role::Primary, rig.now);
   rig.forget();
   rig.ask(kBounded);
-  ASSERT_EQ(rig.probes(), 1U);
-  const MemberId found = rig.all<Probe>()[0].member;
-  rig.probed(found, Role::Replica, rig.now - 10 * kMs);
+  ASSERT_EQ(rig.healthChecks(), 1U);
+  const EndpointId found = rig.all<StartHealthCheck>()[0].endpoint;
+  rig.healthChecked(found, Role::Replica, rig.now - 10 * kMs);
   const auto read = rig.ask(kBounded);
-  EXPECT_EQ(rig.sentTo(read), Members{found});
+  EXPECT_EQ(rig.sentTo(read), Endpoints{found});
 }
 
 // ---- Who leads ----
 
 TEST(Sparing, WhoLeadsIsAskedOfTheMostAdvancedFirstAndNoFurtherOnceFound) {
   KnownRig rig;
-  rig.probed(3, Role::Replica, rig.now - 10 * kMs);  // ahead of 2
-  rig.list({makeMember(1, true, MemberState::Gone), makeMember(2), makeMember(3)});
+  rig.healthChecked(3, Role::Replica, rig.now - 10 * kMs);  // ahead of 2
+  rig.list({makeEndpoint(1, true, EndpointStatus::Removed), makeEndpoint(2), makeEndpoint(3)});
   rig.now += kS;
   rig.forget();
   const auto write = rig.ask(kUnsafeWrite);
-  ASSERT_EQ(rig.probes(), 1U);
-  EXPECT_EQ(rig.all<Probe>()[0].member, 3U);
-  EXPECT_EQ(rig.all<Probe>()[0].reason, ProbeReason::Role);
-  rig.probed(3, Role::Primary, rig.now);
-  EXPECT_EQ(rig.sentTo(write), Members{3});
-  EXPECT_EQ(rig.probes(), 1U);
+  ASSERT_EQ(rig.healthChecks(), 1U);
+  EXPECT_EQ(rig.all<StartHealthCheck>()[0].endpoint, 3U);
+  EXPECT_EQ(rig.all<StartHealthCheck>()[0].reason, HealthCheckReason::PrimaryUnknown);
+  rig.healthChecked(3, Role::Primary, rig.now);
+  EXPECT_EQ(rig.sentTo(write), Endpoints{3});
+  EXPECT_EQ(rig.healthChecks(), 1U);
 }
 
 TEST(Sparing, WhileNobodyLeadsOnlyTheHeirIsAskedAgain) {
   KnownRig rig;
-  rig.probed(3, Role::Replica, rig.now - 10 * kMs);
-  rig.list({makeMember(1, true, MemberState::Gone), makeMember(2), makeMember(3)});
+  rig.healthChecked(3, Role::Replica, rig.now - 10 * kMs);
+  rig.list({makeEndpoint(1, true, EndpointStatus::Removed), makeEndpoint(2), makeEndpoint(3)});
   rig.now += kS;
   rig.forget();
   rig.ask(kUnsafeWrite);
-  const Position stood = rig.now - kS;
-  std::map<MemberId, int> asked;
+  const LogPosition stood = rig.now - kS;
+  std::map<EndpointId, int> asked;
   for (int i = 0; i < 60; ++i) {  // 1.5 s, a round every 400 ms
-    for (const Probe& probe : rig.all<Probe>()) ++asked[probe.member];
-    const auto probes = rig.all<Probe>();
+    for (const StartHealthCheck& healthCheck : rig.all<StartHealthCheck>()) ++asked[healthCheck.endpoint];
+    const auto healthChecks = rig.all<StartHealthCheck>();
     rig.forget();
-    for (const Probe& probe : probes)
-      rig.probed(probe.member, Role::Replica, probe.member == 3 ? stood : stood - kMs);
+    for (const StartHealthCheck& healthCheck : healthChecks)
+      rig.healthChecked(healthCheck.endpoint, Role::Replica, healthCheck.endpoint == 3 ? stood : stood - kMs);
     rig.pass(25 * kMs);
   }
   EXPECT_EQ(asked[2], 1);
@@ -218,66 +218,67 @@
 // The primary goes while nobody has a connection to its replicas, and answers come slowly.
 TEST(Sparing, TheNextIsAskedWhereTheFirstStaysSilent) {
   Rig rig;
-  rig.list({makeMember(1), makeMember(2), makeMember(3)});
+  rig.list({makeEndpoint(1), makeEndpoint(2), makeEndpoint(3)});
   const auto write = rig.ask(kUnsafeWrite);
-  EXPECT_EQ(rig.probes(), 1U);
+  EXPECT_EQ(rig.healthChecks(), 1U);
   rig.pass(150 * kMs);
-  EXPECT_EQ(rig.probes(), 3U);
-  const MemberId last = rig.all<Probe>().back().member;
-  rig.probed(last, Role::Primary, rig.now);
-  EXPECT_EQ(rig.sentTo(write), Members{last});
+  EXPECT_EQ(rig.healthChecks(), 3U);
+  const EndpointId last = rig.all<StartHealthCheck>().back().endpoint;
+  rig.healthChecked(last, Role::Primary, rig.now);
+  EXPECT_EQ(rig.sentTo(write), Endpoints{last});
 }
 
 TEST(Sparing, APrimaryThatIsAboutToTellWhetherItLivesIsWaitedFor) {
   KnownRig rig;
   rig.now += kS;
   const auto first = rig.ask(kUnsafeWrite);
-  rig.end(first, 0, Outcome::ConnectFailed, {}, {}, kMs);
+  rig.end(first, 0, AttemptOutcome::ConnectFailed, {}, {}, kMs);
   rig.ask(kUnsafeWrite);
-  EXPECT_EQ(rig.probes(), 1U);
-  EXPECT_EQ(rig.all<Probe>()[0].member, 1U);
-  EXPECT_EQ(rig.all<Probe>()[0].reason, ProbeReason::Suspect);
-  rig.probeFailed(1);
-  EXPECT_EQ(rig.probes(), 2U) << "now the others are asked";
+  EXPECT_EQ(rig.healthChecks(), 1U);
+  EXPECT_EQ(rig.all<StartHealthCheck>()[0].endpoint, 1U);
+  EXPECT_EQ(rig.all<StartHealthCheck>()[0].reason, HealthCheckReason::ConnectionBroken);
+  rig.healthCheckFailed(1);
+  EXPECT_EQ(rig.healthChecks(), 2U) << "now the others are asked";
 }
 
-TEST(Sparing, ANewerWordOfTheListNamesThePrimaryWithoutAProbe) {
+TEST(Sparing, ANewerWordOfTheListNamesThePrimaryWithoutAHealthCheck) {
   KnownRig rig;
   rig.now += kS;
-  rig.list({makeMember(1, false, MemberState::Gone), makeMember(2, true), makeMember(3)});
+  rig.list({makeEndpoint(1, false, EndpointStatus::Removed), makeEndpoint(2, true), makeEndpoint(3)});
   rig.forget();
   const auto write = rig.ask(kUnsafeWrite);
-  EXPECT_EQ(rig.sentTo(write), Members{2});
-  EXPECT_EQ(rig.probes(), 0U);
+  EXPECT_EQ(rig.sentTo(write), Endpoints{2});
+  EXPECT_EQ(rig.healthChecks(), 0U);
 }
 
-TEST(Sparing, AWriteThatMissedDoesNotGoToTheSameMemberAgain) {
+TEST(Sparing, AWriteThatMissedDoesNotGoToTheSameEndpointAgain) {
   Rig rig;
   rig.usualGroup();
   const auto write = rig.ask(kUnsafeWrite);
-  ASSERT_EQ(rig.sentTo(write), Members{1});
-  rig.end(write, 0, Outcome::Miss);  // answers show no role
-  EXPECT_EQ(rig.sentTo(write), Members{1});
-  EXPECT_GE(rig.probes(), 1U);
+  ASSERT_EQ(rig.sentTo(write), Endpoints{1});
+  rig.end(write, 0, AttemptOutcome::PreconditionFailed);  // answers show no role
+  EXPECT_EQ(rig.sentTo(write), Endpoints{1});
+  EXPECT_GE(rig.healthChecks(), 1U);
 }
 
-// ---- Cold members ----
+// ---- Cold endpoints ----
 
-// Within the contract's window the whole fleet stays inside what a cold member can do, and it is used.
-TEST(Sparing, QuietRoutersShareAColdMemberBySingleRequestsFarApart) {
-  Settings settings = makeSettings();
-  settings.drivers = 300;
+// Within the contract's window the whole fleet stays inside what a cold endpoint can do, and it is used.
+TEST(Sparing, QuietRoutersShareAColdEndpointBySingleRequestsFarApart) {
+  PolicySettings settings = makeSettings();
+  settings.gatewayCount = 300;
   int sent = 0;
   int most = 0;
   std::vector<std::unique_ptr<Rig>> rigs;
-  for (unsigned i = 0; i < settings.drivers; ++i) {
+  for (unsigned i = 0; i < settings.gatewayCount; ++i) {
     rigs.push_back(std::make_unique<Rig>(settings, i + 1));
     Rig& rig = *rigs.back();
     rig.usualGroup();
-    for (int n = 0; n < 10; ++n) rig.end(rig.ask(kFresh), 0, Outcome::Ok, Role::Primary);  // 50 ms each
+    for (int n = 0; n < 10; ++n)
+      rig.end(rig.ask(kFresh), 0, AttemptOutcome::Ok, Role::Primary);  // 50 ms each
     rig.now += 20 * kS;
-    rig.list({makeMember(1, true), makeMember(2, false, MemberState::Gone),
-              makeMember(3, false, MemberState::Ready, rig.now)});
+    rig.list({makeEndpoint(1, true), makeEndpoint(2, false, EndpointStatus::Removed),
+              makeEndpoint(3, false, EndpointStatus::Ready, rig.now)});
     rig.forget();
   }
   for (int window = 0; window < 4; ++window) {
@@ -285,9 +286,9 @@
     for (auto& rig : rigs) {
       for (int n = 0; n < 4; ++n) {
         const auto read = rig->ask(kAny);
-        if (rig->sentTo(read) == Members{3}) {
+        if (rig->sentTo(read) == Endpoints{3}) {
           ++inWindow;
-          rig->end(read, 0, Outcome::Ok, Role::Replica);
+          rig->end(read, 0, AttemptOutcome::Ok, Role::Replica);
         }
         rig->pass(500 * kMs);
       }
@@ -300,16 +301,17 @@
   EXPECT_LT(most, 3 * 40);
 }
 
-// One of three members that have all just started; it answers each read after a time.
+// One of three endpoints that have all just started; it answers each read after a time.
 struct ColdStart : Rig {
-  explicit ColdStart(unsigned drivers, Micros usual = 0) : Rig(settingsFor(drivers, usual)) {
-    list({makeMember(1, true, MemberState::Ready, now), makeMember(2, false, MemberState::Ready, now),
-          makeMember(3, false, MemberState::Ready, now)});
+  explicit ColdStart(unsigned gateways, Micros usual = 0) : Rig(settingsFor(gateways, usual)) {
+    list({makeEndpoint(1, true, EndpointStatus::Ready, now),
+          makeEndpoint(2, false, EndpointStatus::Ready, now),
+          makeEndpoint(3, false, EndpointStatus::Ready, now)});
   }
-  static Settings settingsFor(unsigned drivers, Micros usual) {
-    Settings out = makeSettings();
-    out.drivers = drivers;
-    out.usual = usual;
+  static PolicySettings settingsFor(unsigned gateways, Micros usual) {
+    PolicySettings out = makeSettings();
+    out.gatewayCount = gateways;
+    out.initialLatency = usual;
     return out;
   }
   // Asks ten times a second; how many were sent.
@@ -328,11 +330,11 @@
     return sent;
   }
   void end_(RequestId id, std::uint32_t attempt, Micros took) {
-    end(id, attempt, Outcome::Ok, Role::Replica, {}, took);
+    end(id, attempt, AttemptOutcome::Ok, Role::Replica, {}, took);
   }
 };
 
-// Nothing is known of members of which none has answered yet, and nothing would ever be without a request.
+// Nothing is known of endpoints of which none has answered yet, and nothing would ever be without a request.
 TEST(ColdStart, AFleetThatHasAllJustStartedIsServedFromTheBeginning) {
   EXPECT_GT(ColdStart(2).ask(5 * kS, 10 * kMs), 25);
   // Of many routers each has little of it, but something.
@@ -341,7 +343,7 @@
   EXPECT_LT(few, 60);
 }
 
-TEST(ColdStart, WhatAnEarlierLifeKnewOfItsMembersIsUsedAtOnce) {
+TEST(ColdStart, WhatAnEarlierLifeKnewOfItsEndpointsIsUsedAtOnce) {
   const auto sentBy = [](Micros usual) {
     int sent = 0;
     for (int i = 0; i < 20; ++i) sent += ColdStart(100, usual).ask(2 * kS, 30 * kMs);
@@ -350,13 +352,13 @@
   EXPECT_GT(sentBy(6 * kMs), sentBy(0) * 5 / 4);
 }
 
-// The speed of a cold member is not taken for that of a warm one, nor cut off its part a second time.
-TEST(ColdStart, SlowAnswersOfColdMembersAreReckonedAsWhatTheyWouldBeWarm) {
+// The speed of a cold endpoint is not taken for that of a warm one, nor cut off its part a second time.
+TEST(ColdStart, SlowAnswersOfColdEndpointsAreReckonedAsWhatTheyWouldBeWarm) {
   EXPECT_GT(ColdStart(100, 6 * kMs).ask(4 * kS, 30 * kMs), 12);
 }
 
 // One first answer that came late (a connection that had to be opened) must not bar its class from all cold
-// members until they are warm.
+// endpoints until they are warm.
 TEST(ColdStart, AClassIsNotTakenForHeavyByOneAnswer) {
   ColdStart rig(2);
   rig.ask(2 * kS, 10 * kMs, kAny);
@@ -364,7 +366,7 @@
   EXPECT_GT(rig.ask(3 * kS, 10 * kMs, kSession), 10);
 }
 
-// A member of many cores shows it by its answers; one that slows down gets its even part again.
+// An endpoint of many cores shows it by its answers; one that slows down gets its even part again.
 TEST(ColdStart, TheEvenPartGrowsWithQuickAnswersAndFallsWithSlowOnes) {
   const auto secondHalf = [](Micros took) {
     ColdStart rig(300, 6 * kMs);
@@ -392,18 +394,18 @@
   EXPECT_LT(result.coldPeak, 2.5);
 }
 
-double probesPerRequest(const Result& result, std::size_t from, std::size_t to) {
+double healthChecksPerRequest(const Result& result, std::size_t from, std::size_t to) {
   const auto sum = [&](const std::vector<std::uint64_t>& of) {
     return std::accumulate(of.begin() + static_cast<long>(from), of.begin() + static_cast<long>(to), 0.0);
   };
-  return sum(result.routerProbes) / sum(result.routerRequests);
+  return sum(result.routerHealthChecks) / sum(result.routerRequests);
 }
 
 TEST(Fleet, EqualPlansGiveEqualResults) {
   const Result one = fleet::play(smallFleet());
   const Result two = fleet::play(smallFleet());
   EXPECT_EQ(one.requests, two.requests);
-  EXPECT_EQ(one.probes, two.probes);
+  EXPECT_EQ(one.healthChecks, two.healthChecks);
   EXPECT_EQ(one.connections, two.connections);
 }
 
@@ -414,38 +416,38 @@
   plan.unequal = 10;
   const Result result = fleet::play(plan);
   expectRules(result);
-  EXPECT_LT(probesPerRequest(result, 0, 6), 0.5);
-  EXPECT_LT(probesPerRequest(result, 54, 60), 0.35);
-  EXPECT_LT(probesPerRequest(result, 0, 60), 0.4);
+  EXPECT_LT(healthChecksPerRequest(result, 0, 6), 0.5);
+  EXPECT_LT(healthChecksPerRequest(result, 54, 60), 0.35);
+  EXPECT_LT(healthChecksPerRequest(result, 0, 60), 0.4);
 }
 
-TEST(Fleet, ARestartOfSevenInTenCostsFewConnectionsAndNoRefusals) {
+TEST(Fleet, ARestartOfSevenInTenCostsFewConnectionsAndNoRejections) {
   Plan plan = smallFleet();
   plan.happenings = {{Happening::Kind::RoutersRestart, 5'000'000, 0.7, 0}};
   const Result result = fleet::play(plan);
   EXPECT_EQ(result.twice, 0U);
   EXPECT_EQ(result.stale, 0U);
-  // A connection to every member, once more for those that restarted, would be 4,080.
+  // A connection to every endpoint, once more for those that restarted, would be 4,080.
   EXPECT_LT(result.connections, 3200U);
   for (const fleet::Window& window : result.windows) EXPECT_LE(window.givenUpWithRoom * 50, window.requests);
 }
 
-TEST(Fleet, LostPrimariesAreFoundAgainAtAFractionOfTheProbes) {
+TEST(Fleet, LostPrimariesAreFoundAgainAtAFractionOfTheHealthChecks) {
   Plan plan = smallFleet();
   plan.happenings = {{Happening::Kind::PrimariesDie, 4'000'000, 1, 6'000'000}};
   const Result result = fleet::play(plan);
   expectRules(result);
   EXPECT_GT(result.afterFailover, 100U);
   EXPECT_LT(result.foundAfter, 400'000);
-  const auto role = result.probesBy[static_cast<std::size_t>(ProbeReason::Role)];
+  const auto role = result.healthChecksBy[static_cast<std::size_t>(HealthCheckReason::PrimaryUnknown)];
   // All of four replicas, every 400 ms for 4.5 s, would be 44 for each router and group.
   EXPECT_LT(role, 60U * 8U * 15U);
   EXPECT_GT(role, 0U);
 }
 
-TEST(Fleet, AllMembersBackAtOnceAndColdAreNotPushedOver) {
+TEST(Fleet, AllEndpointsBackAtOnceAndColdAreNotPushedOver) {
   Plan plan = smallFleet();
-  plan.happenings = {{Happening::Kind::MembersReturn, 4'000'000, 1, 3'000'000}};
+  plan.happenings = {{Happening::Kind::EndpointsReturn, 4'000'000, 1, 3'000'000}};
   const Result result = fleet::play(plan);
   expectRules(result);
   EXPECT_GT(result.windows.back().inTime, 0U);
@@ -453,15 +455,15 @@
 
 // One core each, and more asked of them than they can do: what grows with quick answers stays inside the
 // contract.
-TEST(Fleet, ColdMembersOfOneCoreUnderMoreThanTheyCanDoAreNotPushedOver) {
+TEST(Fleet, ColdEndpointsOfOneCoreUnderMoreThanTheyCanDoAreNotPushedOver) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     Plan plan = smallFleet();
     plan.cores = 1;
     plan.seed = seed;
-    plan.happenings = {{Happening::Kind::MembersReturn, 4'000'000, 0.5, 2'000'000}};
+    plan.happenings = {{Happening::Kind::EndpointsReturn, 4'000'000, 0.5, 2'000'000}};
     const Result result = fleet::play(plan);
     expectRules(result);
-    EXPECT_LE(result.coldPeak, fleet::settingsOf(plan).fallMultiple);
+    EXPECT_LE(result.coldPeak, fleet::settingsOf(plan).overloadMultiple);
   }
 }
 
@@ -473,12 +475,12 @@
   EXPECT_GT(result.windows.back().inTime * 100, result.windows.back().requests * 95);
 }
 
-TEST(Fleet, AMemberThatIsBadForSomeIsLeftByTheseOnly) {
+TEST(Fleet, AnEndpointThatIsBadForSomeIsLeftByTheseOnly) {
   Plan plan = smallFleet();
   plan.happenings = {{Happening::Kind::BadForSome, 3'000'000, 0.3, 9'000'000}};
   const Result result = fleet::play(plan);
   expectRules(result);
-  EXPECT_GT(result.memberAttempts[0], 100U);
+  EXPECT_GT(result.endpointAttempts[0], 100U);
   for (const fleet::Window& window : result.windows) EXPECT_LE(window.givenUp * 50, window.requests);
 }
 
--- a/tests/start_retry_test.cpp
+++ b/tests/start_retry_test.cpp
@@ -12,7 +12,9 @@
 namespace heathflow::test {
 namespace {
 
-rig::Environment failing(const std::string& plan) { return rig::withFaults(HEATHFLOW_FAULT_LIBRARY, plan); }
+emulator::Environment failing(const std::string& plan) {
+  return emulator::withFaults(HEATHFLOW_FAULT_LIBRARY, plan);
+}
 
 // Of each kind of call that a start makes.
 constexpr std::array kMomentary = {"socket=1#2",
@@ -29,7 +31,7 @@
     Process process(site.config(), {}, failing(plan));
     ASSERT_TRUE(site.until([&] { return process.says("serves at") || process.over(); })) << plan;
     ASSERT_FALSE(process.over()) << plan << ": " << process.log();
-    ClientStandIn client(site.loop, process.endpoint());
+    ClientStandIn client(site.loop, process.socketAddress());
     client.ask(request("any", "a"));
     EXPECT_TRUE(client.answered()) << plan;
     process.signal(SIGTERM);
@@ -70,11 +72,11 @@
 TEST(Reload, IsTriedAgainWhereTheFileCantBeReadForAMoment) {
   ProcessSite site;
   DiscoveryStandIn elsewhere(site.loop);
-  elsewhere.members = site.discovery.members;
+  elsewhere.endpoints = site.discovery.endpoints;
   // The start itself opens the file once.
   Process process(site.config(), {}, failing("file-read=1@1500-60000#2"));
   ASSERT_TRUE(site.until([&] { return process.says("serves at"); }));
-  process.configure(configText({}, elsewhere.address(), site.discovery.members));
+  process.configure(configText({}, elsewhere.address(), site.discovery.endpoints));
   const auto later = site.loop.now() + 1'600'000;
   ASSERT_TRUE(site.until([&] { return site.loop.now() > later; }));
   process.signal(SIGHUP);
--- a/tests/startup_test.cpp
+++ b/tests/startup_test.cpp
@@ -1,4 +1,4 @@
-// When a driver calls the list service, what an old list is worth, and what is kept for the next life.
+// When a gateway calls the list service, what an old list is worth, and what is kept for the next life.
 #include <gtest/gtest.h>
 #include <xxhash.h>
 
@@ -9,22 +9,22 @@
 #include <tuple>
 #include <vector>
 
+#include "discovery/belief.h"
+#include "discovery/caller.h"
 #include "snapshot/snapshot.h"
 #include "standins/temporary_file.h"
-#include "startup/belief.h"
-#include "startup/caller.h"
 
-namespace heathflow::startup {
+namespace heathflow::discovery {
 namespace {
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-CallerSettings settingsOf(unsigned number, unsigned drivers, std::optional<Micros> cost = {}) {
+CallerSettings settingsOf(unsigned number, unsigned gateways, std::optional<Micros> cost = {}) {
   CallerSettings out;
   out.name = "n" + std::to_string(number);
-  out.drivers = drivers;
-  out.askWithin = 10 * kS;
+  out.gateways = gateways;
+  out.maxPollInterval = 10 * kS;
   out.cost = cost;
   out.seed = number + 1;
   return out;
@@ -41,7 +41,7 @@
   return most;
 }
 
-TEST(FirstCall, OfALoneDriverGoesOutAtOnceWhateverItKnows) {
+TEST(FirstCall, OfALoneGatewayGoesOutAtOnceWhateverItKnows) {
   for (const auto cost : {std::optional<Micros>(), std::optional<Micros>(20 * kMs)}) {
     EXPECT_LE(Caller(settingsOf(0, 1, cost), kS).first(), kS + 20 * kMs);
   }
@@ -79,12 +79,12 @@
 TEST(FirstCall, KeepsWithinAShorterTimeOfTheContract) {
   for (unsigned i = 0; i < 100; ++i) {
     auto settings = settingsOf(i, 10'000, kS);
-    settings.askWithin = 2 * kS;
+    settings.maxPollInterval = 2 * kS;
     EXPECT_LE(Caller(settings, 0).first(), 800 * kMs);
   }
 }
 
-TEST(FirstCall, HasTheSamePlaceInEachLifeAndAnotherAtEachDriver) {
+TEST(FirstCall, HasTheSamePlaceInEachLifeAndAnotherAtEachGateway) {
   auto again = settingsOf(7, 300, 20 * kMs);
   again.seed = 99;
   EXPECT_EQ(Caller(settingsOf(7, 300, 20 * kMs), kS).first(), Caller(again, kS).first());
@@ -93,12 +93,12 @@
 
 TEST(FirstCall, RestsAfterLivesThatDiedYoung) {
   auto settings = settingsOf(0, 1);
-  settings.rest = restAfter(4, settings.askWithin);
+  settings.rest = restAfter(4, settings.maxPollInterval);
   EXPECT_EQ(Caller(settings, kS).first(), kS + settings.rest);
 }
 
 // A service that is too slow for all is spared as far as the 6 s allow: over a quarter of them after each
-// refusal, so that a second refusal and an answer still fit.
+// rejection, so that a second rejection and an answer still fit.
 TEST(AfterAFailure, TheTurnedAwaySpreadOverAQuarterOfTheTerm) {
   std::vector<Micros> first, second;
   for (unsigned i = 0; i < 300; ++i) {
@@ -145,10 +145,10 @@
   EXPECT_LE(mostWithin(times, 50 * kMs), 35U) << "and they come back apart";
 }
 
-// A service whose line is full is left alone until that has gone down: at 300 drivers no more than 25 calls
-// in 100 ms, where over a quarter of the term there are up to 90. Drivers that call faster than it gets
+// A service whose line is full is left alone until that has gone down: at 300 gateways no more than 25 calls
+// in 100 ms, where over a quarter of the term there are up to 90. Gateways that call faster than it gets
 // through keep each other from any list (issue 47).
-TEST(AfterAFailure, RefusalsThatGoOnSpreadOverTheWholeTerm) {
+TEST(AfterAFailure, RejectionsThatGoOnSpreadOverTheWholeTerm) {
   std::vector<Micros> third, fourth;
   for (unsigned i = 0; i < 300; ++i) {
     Caller caller(settingsOf(i, 300), 0);
@@ -167,8 +167,8 @@
 }
 
 // Every kind of failure, two in a row and any number before: the third call goes out with time left for its
-// answer. A refusal may come as late as a silent call is given up. Of refusals these are the first two in a
-// row; the test above has what further ones do.
+// answer. A rejection may come as late as a silent call is given up. Of rejections these are the first two in
+// a row; the test above has what further ones do.
 TEST(AfterAFailure, OfWhateverKindTwoInARowLeaveTimeForAnAnswer) {
   using Kind = CallFailure;
   const std::vector<Kind> kinds = {Kind::TurnedAway, Kind::Broken, Kind::Silent, Kind::Unreachable,
@@ -240,15 +240,15 @@
 }
 
 TEST(Watches, WaitAsLongAsTheServiceNeedsToBeSpared) {
-  // A quick service and few drivers: news of a silent watch come soon.
+  // A quick service and few gateways: news of a silent watch come soon.
   Caller few(settingsOf(0, 10), 0);
   few.answered(4 * kMs);
   EXPECT_EQ(few.watchFor(), 2500 * kMs);
-  // 300 drivers at 8 ms a call: a renewal each 2.4 s would take all of its time.
+  // 300 gateways at 8 ms a call: a renewal each 2.4 s would take all of its time.
   Caller many(settingsOf(0, 300), 0);
   many.answered(8 * kMs);
   EXPECT_EQ(many.watchFor(), 9600 * kMs);
-  // Never beyond the time within which a driver has to ask.
+  // Never beyond the time within which a gateway has to ask.
   Caller slow(settingsOf(0, 5'000), 0);
   slow.answered(50 * kMs);
   EXPECT_EQ(slow.watchFor(), 10 * kS);
@@ -292,9 +292,9 @@
   EXPECT_EQ(lease.until(), 26 * kS);
 }
 
-// A member's return may be recorded 2 s late: one that stood that long before the list was true is there by
-// its word.
-TEST(ListLeases, VouchForMembersThatStoodBeforeTheListWasTrue) {
+// An endpoint's return may be recorded 2 s late: one that stood that long before the list was true is there
+// by its word.
+TEST(ListLeases, VouchForEndpointsThatStoodBeforeTheListWasTrue) {
   ListLease lease(kS, false);
   EXPECT_FALSE(lease.vouchesForThoseSince());
   lease.confirmed(10 * kS);
@@ -313,9 +313,9 @@
   EXPECT_EQ(lease.until(), 15 * kS);
 }
 
-// A refusal ends the wait: what comes from then on counts 6 s later, and not when the wait would be over.
+// A rejection ends the wait: what comes from then on counts 6 s later, and not when the wait would be over.
 // News may have waited in the service's line before.
-TEST(ListLeases, EndSoonAfterAWatchWasRefused) {
+TEST(ListLeases, EndSoonAfterAWatchWasRejected) {
   ListLease lease(0, false);
   lease.confirmed(3 * kS);
   lease.watching(3 * kS, 60 * kS);
@@ -365,11 +365,11 @@
   const BeliefSettings settings{10 * kS, 600 * kS, true};
   EXPECT_TRUE(believe(9 * kS, settings).roles);
   EXPECT_FALSE(believe(11 * kS, settings).roles);
-  EXPECT_TRUE(believe(11 * kS, settings).members);
+  EXPECT_TRUE(believe(11 * kS, settings).endpoints);
   EXPECT_TRUE(believe(11 * kS, settings).drains);
-  EXPECT_FALSE(believe(601 * kS, settings).members);
-  EXPECT_FALSE(believe(-2 * kS, settings).members) << "from the future";
-  EXPECT_TRUE(believe(-kS / 2, settings).members);
+  EXPECT_FALSE(believe(601 * kS, settings).endpoints);
+  EXPECT_FALSE(believe(-2 * kS, settings).endpoints) << "from the future";
+  EXPECT_TRUE(believe(-kS / 2, settings).endpoints);
   const BeliefSettings mute{10 * kS, 600 * kS, false};
   EXPECT_TRUE(believe(11 * kS, mute).roles) << "nobody can be asked";
 }
@@ -383,7 +383,7 @@
 }
 
 }  // namespace
-}  // namespace heathflow::startup
+}  // namespace heathflow::discovery
 
 namespace heathflow::snapshot {
 namespace {
@@ -397,23 +397,23 @@
   out.listTrueAt = out.writtenAt - kS;
   out.list.revision = 41;
   out.list.complete = true;
-  protocol::ListedMember member;
-  member.id = "s-1";
-  member.hostPort = "127.0.0.2:5432";
-  member.locality = "a";
-  member.cell = 3;
-  member.size = 1.5;
-  member.upSinceMs = 1'699'999'000'000;
-  member.primary = true;
-  member.ports = {{"bolt", 7687}};
-  out.list.members = {member};
-  member.id = "s-2";
-  member.primary = false;
-  member.phase = protocol::ListedMember::Phase::Terminating;
-  out.list.members.push_back(member);
+  protocol::ListedEndpoint endpoint;
+  endpoint.id = "s-1";
+  endpoint.hostPort = "127.0.0.2:5432";
+  endpoint.locality = "a";
+  endpoint.cell = 3;
+  endpoint.size = 1.5;
+  endpoint.upSinceMs = 1'699'999'000'000;
+  endpoint.primary = true;
+  endpoint.ports = {{"bolt", 7687}};
+  out.list.endpoints = {endpoint};
+  endpoint.id = "s-2";
+  endpoint.primary = false;
+  endpoint.phase = protocol::ListedEndpoint::Phase::Terminating;
+  out.list.endpoints.push_back(endpoint);
   out.callCost = 20'000;
   out.youngDeaths = 2;
-  out.usual = 4'200;
+  out.initialLatency = 4'200;
   return out;
 }
 
@@ -423,11 +423,11 @@
   ASSERT_TRUE(back) << problem;
   EXPECT_EQ(encode(*back), encode(example()));
   EXPECT_EQ(back->list.revision, 41);
-  ASSERT_EQ(back->list.members.size(), 2U);
-  EXPECT_EQ(back->list.members[0].ports[0].second, 7687);
-  EXPECT_EQ(back->list.members[1].phase, protocol::ListedMember::Phase::Terminating);
+  ASSERT_EQ(back->list.endpoints.size(), 2U);
+  EXPECT_EQ(back->list.endpoints[0].ports[0].second, 7687);
+  EXPECT_EQ(back->list.endpoints[1].phase, protocol::ListedEndpoint::Phase::Terminating);
   EXPECT_EQ(back->callCost, 20'000);
-  EXPECT_EQ(back->usual, 4'200);
+  EXPECT_EQ(back->initialLatency, 4'200);
 }
 
 TEST(Snapshots, EveryCutAndEveryDamagedByteIsSeen) {
@@ -481,15 +481,15 @@
 }
 
 TEST(Snapshots, TellNoRoleBeyondItsTimeAndNoListBeyondItsOwn) {
-  const startup::BeliefSettings settings{10 * kS, 600 * kS, true};
+  const discovery::BeliefSettings settings{10 * kS, 600 * kS, true};
   const Snapshot kept = example();
   const auto young = believed(kept, kept.listTrueAt + 5 * kS, settings);
   ASSERT_TRUE(young);
-  EXPECT_TRUE(young->members[0].primary);
+  EXPECT_TRUE(young->endpoints[0].primary);
   const auto old = believed(kept, kept.listTrueAt + 60 * kS, settings);
   ASSERT_TRUE(old);
-  EXPECT_FALSE(old->members[0].primary);
-  EXPECT_EQ(old->members[1].phase, protocol::ListedMember::Phase::Terminating);
+  EXPECT_FALSE(old->endpoints[0].primary);
+  EXPECT_EQ(old->endpoints[1].phase, protocol::ListedEndpoint::Phase::Terminating);
   EXPECT_FALSE(believed(kept, kept.listTrueAt + 601 * kS, settings));
   EXPECT_FALSE(believed(Snapshot{}, kS, settings)) << "no list at all";
 }
@@ -526,26 +526,26 @@
 }
 
 TEST(Lists, AreKeptWholeThroughChanges) {
-  protocol::MemberList whole = example().list;
-  protocol::MemberList news;
+  protocol::EndpointList whole = example().list;
+  protocol::EndpointList news;
   news.revision = 42;
-  protocol::ListedMember gone = whole.members[0];
-  gone.phase = protocol::ListedMember::Phase::Gone;
-  protocol::ListedMember fresh = whole.members[0];
+  protocol::ListedEndpoint gone = whole.endpoints[0];
+  gone.phase = protocol::ListedEndpoint::Phase::Gone;
+  protocol::ListedEndpoint fresh = whole.endpoints[0];
   fresh.id = "s-3";
-  protocol::ListedMember back = whole.members[1];
-  back.phase = protocol::ListedMember::Phase::Ready;
-  news.members = {gone, fresh, back};
+  protocol::ListedEndpoint back = whole.endpoints[1];
+  back.phase = protocol::ListedEndpoint::Phase::Ready;
+  news.endpoints = {gone, fresh, back};
   protocol::apply(news, whole);
   EXPECT_EQ(whole.revision, 42);
-  ASSERT_EQ(whole.members.size(), 2U);
-  EXPECT_EQ(whole.members[0].id, "s-2");
-  EXPECT_EQ(whole.members[0].phase, protocol::ListedMember::Phase::Ready);
-  EXPECT_EQ(whole.members[1].id, "s-3");
+  ASSERT_EQ(whole.endpoints.size(), 2U);
+  EXPECT_EQ(whole.endpoints[0].id, "s-2");
+  EXPECT_EQ(whole.endpoints[0].phase, protocol::ListedEndpoint::Phase::Ready);
+  EXPECT_EQ(whole.endpoints[1].id, "s-3");
   news.complete = true;
-  news.members = {fresh};
+  news.endpoints = {fresh};
   protocol::apply(news, whole);
-  EXPECT_EQ(whole.members.size(), 1U);
+  EXPECT_EQ(whole.endpoints.size(), 1U);
 }
 
 }  // namespace
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -1,4 +1,4 @@
-// Which drivers serve a group: balance, and what moves when one goes.
+// Which gateways serve a group: balance, and what moves when one goes.
 #include "subset/subset.h"
 
 #include <gtest/gtest.h>
@@ -16,22 +16,22 @@
   return out;
 }
 
-std::set<std::string> namedBy(const std::vector<std::size_t>& places, const Names& drivers) {
+std::set<std::string> namedBy(const std::vector<std::size_t>& places, const Names& gateways) {
   std::set<std::string> out;
-  for (const std::size_t place : places) out.insert(drivers[place]);
+  for (const std::size_t place : places) out.insert(gateways[place]);
   return out;
 }
 
 TEST(RendezvousSubset, IsTheSameWhateverTheOrderOfTheNames) {
-  Names drivers = namesOf(50);
-  const auto before = namedBy(rendezvous("group-7", drivers, 5), drivers);
+  Names gateways = namesOf(50);
+  const auto before = namedBy(rendezvous("group-7", gateways, 5), gateways);
   EXPECT_EQ(before.size(), 5U);
-  std::reverse(drivers.begin(), drivers.end());
-  EXPECT_EQ(namedBy(rendezvous("group-7", drivers, 5), drivers), before);
-  EXPECT_NE(namedBy(rendezvous("group-8", drivers, 5), drivers), before);
+  std::reverse(gateways.begin(), gateways.end());
+  EXPECT_EQ(namedBy(rendezvous("group-7", gateways, 5), gateways), before);
+  EXPECT_NE(namedBy(rendezvous("group-8", gateways, 5), gateways), before);
 }
 
-TEST(RendezvousSubset, OfFewerDriversThanWantedIsAllOfThem) {
+TEST(RendezvousSubset, OfFewerGatewaysThanWantedIsAllOfThem) {
   EXPECT_EQ(rendezvous("group", namesOf(3), 5).size(), 3U);
   EXPECT_TRUE(rendezvous("group", {}, 5).empty());
 }
@@ -50,14 +50,14 @@
   }
 }
 
-TEST(DealtSubset, GivesEachDriverAsManyGroupsGiveOrTakeOneRound) {
+TEST(DealtSubset, GivesEachGatewayAsManyGroupsGiveOrTakeOneRound) {
   std::map<std::size_t, int> groups;
   for (std::size_t group = 0; group < 400; ++group) {
     const auto places = dealt(group, 100, 20);
     EXPECT_EQ(std::set<std::size_t>(places.begin(), places.end()).size(), 20U);
     for (const std::size_t place : places) ++groups[place];
   }
-  // 400 groups in rounds of five take every driver once a round.
+  // 400 groups in rounds of five take every gateway once a round.
   ASSERT_EQ(groups.size(), 100U);
   for (const auto& [place, count] : groups) EXPECT_EQ(count, 80) << place;
   EXPECT_TRUE(dealt(0, 0, 5).empty());
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -311,17 +311,17 @@
   EXPECT_FALSE(closed.b.stream.quiet());
 }
 
-TEST(Streams, TellARefusedConnection) {
+TEST(Streams, TellARejectedConnection) {
   EventLoop loop;
   Opened listener = listenOn({0x7F000001, 0}, 1);
   ASSERT_TRUE(listener.fd);
-  const auto endpoint = boundTo(listener.fd.get());
-  ASSERT_TRUE(endpoint);
+  const auto socketAddress = boundTo(listener.fd.get());
+  ASSERT_TRUE(socketAddress);
   listener.fd.reset();
   Peer peer(loop);
   int error = 0;
   // The system may say so at once or a little later.
-  if (peer.stream.connect(*endpoint, error)) {
+  if (peer.stream.connect(*socketAddress, error)) {
     EXPECT_TRUE(until(loop, [&] { return peer.ended; }));
     EXPECT_EQ(peer.end, StreamEnd::NotConnected);
   } else {
@@ -331,11 +331,11 @@
 }
 
 TEST(Endpoints, AreReadStrictly) {
-  EXPECT_EQ(parseEndpoint("127.0.0.1:5432"), (Endpoint{0x7F000001, 5432}));
+  EXPECT_EQ(parseSocketAddress("127.0.0.1:5432"), (SocketAddress{0x7F000001, 5432}));
   EXPECT_EQ(toText({0x7F000001, 5432}), "127.0.0.1:5432");
   for (const char* text :
        {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:70000", "host:5432", "127.0.0.1:12x", ":1"}) {
-    EXPECT_FALSE(parseEndpoint(text)) << text;
+    EXPECT_FALSE(parseSocketAddress(text)) << text;
   }
 }
 
--- a/tests/unread_log_test.cpp
+++ b/tests/unread_log_test.cpp
@@ -1,4 +1,4 @@
-// A log that nobody reads: the driver goes on, and says later how much was lost.
+// A log that nobody reads: the gateway goes on, and says later how much was lost.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -17,16 +17,16 @@
 TEST(UnreadLog, HoldsUpNoRequest) {
   transport::EventLoop loop;
   DiscoveryStandIn discovery(loop);
-  MemberStandIn member(loop);
-  member.primary = true;
-  discovery.members = "[" + entry("m0", member.address(), true) + "]";
+  EndpointStandIn endpoint(loop);
+  endpoint.primary = true;
+  discovery.endpoints = "[" + entry("m0", endpoint.address(), true) + "]";
   TemporaryFolder folder;
   const std::string settings = folder.path() + "/heathflow.xml";
   std::ofstream(settings)
       << "<heathflow xmlns=\"urn:heathflow:settings:1\" version=\"1\"><log level=\"trace\"/></heathflow>\n";
-  Process process(configText({}, discovery.address(), discovery.members), {"serve", "--config", settings});
+  Process process(configText({}, discovery.address(), discovery.endpoints), {"serve", "--config", settings});
   ASSERT_TRUE(until(loop, [&] { return process.says("serves at"); }));
-  ClientStandIn client(loop, process.endpoint());
+  ClientStandIn client(loop, process.socketAddress());
   for (int i = 0; i < kRequests; ++i) {
     client.ask(request("any", "id" + std::to_string(i)));
     ASSERT_TRUE(client.answered()) << "request " << i;
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -27,14 +27,14 @@
   GatewayRig rig;
   std::vector<Line*> held;
   rig.answerAll([&](Line& line, const std::string&) { held.push_back(&line); });
-  ClientStandIn client(rig.loop, rig.endpoint);
+  ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "a", "", 30 * 60'000));
   ASSERT_TRUE(rig.until([&] { return !held.empty(); }));
   const InForce faults(stepped());
   for (int i = 0; i < 20; ++i) rig.loop.turn(1000);
   EXPECT_EQ(client.types().find('E'), std::string::npos);
   ASSERT_EQ(held.size(), 1U) << "it is not sent again either";
-  held.front()->say(rig.members[0]->value("after the step"));
+  held.front()->say(rig.endpoints[0]->value("after the step"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "after the step");
 }
--- a/tests/wrong_clock_test.cpp
+++ b/tests/wrong_clock_test.cpp
@@ -1,4 +1,4 @@
-// A driver that starts on a machine whose wall clock is behind those of the members: what it knows of
+// A gateway that starts on a machine whose wall clock is behind those of the endpoints: what it knows of
 // positions must not look younger than it is.
 #include <gtest/gtest.h>
 
@@ -8,20 +8,20 @@
 namespace heathflow::test {
 namespace {
 
-// Stand-ins tell positions by this machine's clock and their lag: below 0 they are ahead of the driver.
-constexpr std::int64_t kDriverBehindMs = 900;
+// Stand-ins tell positions by this machine's clock and their lag: below 0 they are ahead of the gateway.
+constexpr std::int64_t kGatewayBehindMs = 900;
 constexpr int kReads = 40;
 
-// Puts the driver behind the members, and the replicas so far behind the primary.
+// Puts the gateway behind the endpoints, and the replicas so far behind the primary.
 void setApart(GatewayRig& rig, std::int64_t replicasLagMs) {
-  for (std::size_t i = 0; i < rig.members.size(); ++i)
-    rig.members[i]->lagMs = (i == 0 ? 0 : replicasLagMs) - kDriverBehindMs;
+  for (std::size_t i = 0; i < rig.endpoints.size(); ++i)
+    rig.endpoints[i]->lagMs = (i == 0 ? 0 : replicasLagMs) - kGatewayBehindMs;
 }
 
 // Of so many reads one after the other, those that the primary served once positions are known.
 int servedByThePrimary(GatewayRig& rig, const std::string& more) {
-  ClientStandIn client(rig.loop, rig.endpoint);
-  const std::string fromPrimary = "from " + rig.members[0]->address();
+  ClientStandIn client(rig.loop, rig.socketAddress);
+  const std::string fromPrimary = "from " + rig.endpoints[0]->address();
   for (int i = 0; i < kReads; ++i) {
     client.ask(request("view", "warm" + std::to_string(i)));
     if (!client.answered()) return -1;
@@ -37,11 +37,11 @@
   return count;
 }
 
-TEST(ClockBehind, ServesNoReadThatIsTooOldByTheMembersClocks) {
+TEST(ClockBehind, ServesNoReadThatIsTooOldByTheEndpointsClocks) {
   GatewayOptions options;
   options.maxAgeMs = 3000;
   GatewayRig rig(options);
-  setApart(rig, 3400);  // 0.4 s beyond the bound, and within it by the driver's own clock
+  setApart(rig, 3400);  // 0.4 s beyond the bound, and within it by the gateway's own clock
   EXPECT_EQ(servedByThePrimary(rig, ""), kReads);
 }
 
@@ -55,7 +55,7 @@
 
 TEST(ClockBehind, KeepsTheWordOfASession) {
   GatewayOptions options;
-  options.tokens = "carried";
+  options.sessionTokens = "carried";
   options.maxAgeMs = 10'000;
   GatewayRig rig(options);
   setApart(rig, 600);
