--- /dev/null
+++ b/src/policy/endpoint_selection.cpp
@@ -0,0 +1,320 @@
+#include "policy/endpoint_selection.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace heathflow::policy {
+namespace {
+
+// A read waits so long for a health check, as a share of its objective, before the primary serves it.
+constexpr double kMaxHealthCheckWait = 0.125;
+// A long read waits so long for the replicas on which long reads are packed.
+constexpr double kMaxPackingWait = 0.25;
+// No more long reads are packed where none has ended for so many usual latencies.
+constexpr double kLongReadTimeoutMultiple = 2;
+// Up to this share of its limit a primary takes reads that replicas have no capacity for: the rest is kept
+// for writes.
+constexpr double kPrimarySpareShare = 0.3;
+// Weight of this gateway's preference in a replica's score, in usual requests.
+constexpr double kPreferenceWeight = 0.8;
+// Scores differ at random by up to this share, so that gateways that know the same choose differently.
+constexpr double kScoreJitter = 0.05;
+// Factor on the score of an endpoint that the request has tried, or that has not shown that it lives.
+constexpr double kTriedPenalty = 4;
+constexpr double kSentWorkDecay = 0.999;
+// More than any limit of an endpoint.
+constexpr double kNoLimit = 64;
+
+}  // namespace
+
+EndpointState* EndpointSelection::select(PendingRequest& request, EndpointGroup& group) {
+  if (request.reason == RejectReason::EndpointListExpired) request.reason = RejectReason::None;
+  EndpointState* primary = primaries_.primaryOf(group, request.consistency == Consistency::Write);
+  if (!request.needsPrimary()) {
+    std::optional<double> saturatedLimit;
+    if (EndpointState* replica = selectReplica(request, group, primary, saturatedLimit)) return replica;
+    // The read waits for a replica that qualifies, unless the primary has capacity to spare.
+    const bool primaryMayServe = primary != nullptr && hasSpareCapacity(*primary) &&
+                                 (!saturatedLimit || primary->concurrencyLimit() >= *saturatedLimit);
+    if (saturatedLimit && !primaryMayServe) return nullptr;
+  }
+  return selectPrimary(request, group, primary);
+}
+
+EndpointState* EndpointSelection::selectPrimary(PendingRequest& request, EndpointGroup& group,
+                                                EndpointState* primary) {
+  if (primary == nullptr) {
+    request.reason = RejectReason::NoPrimary;
+    healthChecks_.findPrimary(group);
+    const bool writeMayTell = !context_.settings().healthChecksReportRole && request.isWrite();
+    return writeMayTell ? selectForDiscoveringWrite(request, group) : nullptr;
+  }
+  const bool lacksEvidence = registry_.lacksEvidence(*primary);
+  if (lacksEvidence && !registry_.healthCheckMayGiveEvidence(*primary)) {
+    request.reason = RejectReason::EndpointListExpired;
+    return nullptr;
+  }
+  if (lacksEvidence || !primaries_.isConfirmed(*primary, request)) {
+    request.reason = RejectReason::AwaitingHealthCheck;
+    if (primaries_.rejectedWrite(*primary))
+      healthChecks_.findPrimary(group);
+    else
+      healthChecks_.start(*primary, HealthCheckReason::PrimaryUnknown);
+    return nullptr;
+  }
+  const RequestClassSettings& requestClass = context_.classAt(request.request.classIndex);
+  if (!request.needsPrimary() && group.primaryServed.shedsLoad(request, requestClass)) {
+    request.reason = RejectReason::LoadShed;
+    return nullptr;
+  }
+  if (hasCapacity(*primary, primary->inFlight.work, request)) return primary;
+  // What waits for a primary that has most likely died may be for its successor to serve.
+  if (primary->outlier.isPresumedDead()) healthChecks_.findPrimary(group);
+  return nullptr;
+}
+
+// Where health checks show no role a write finds the primary: any other endpoint rejects it. The one that did
+// so longest ago comes first; the last attempt of the write is kept for an endpoint that is known to be it.
+EndpointState* EndpointSelection::selectForDiscoveringWrite(PendingRequest& request,
+                                                            const EndpointGroup& group) {
+  if (request.attempts.size() + 1 >= context_.settings().maxAttempts) return nullptr;
+  EndpointState* next = nullptr;
+  for (const EndpointId id : group.endpoints) {
+    EndpointState& endpoint = registry_.at(id);
+    if (!endpoint.listing.usable || endpoint.outlier.isEjected(context_.now())) continue;
+    if (endpoint.isPresumedAbsent()) continue;
+    if (context_.now() - endpoint.role.replicaAt < kPrimarySearchInterval) continue;
+    const bool lacksEvidence = registry_.lacksEvidence(endpoint);
+    if (lacksEvidence && registry_.healthCheckMayGiveEvidence(endpoint))
+      healthChecks_.start(endpoint, HealthCheckReason::Unresponsive);
+    if (lacksEvidence || !hasCapacity(endpoint, endpoint.inFlight.work, request)) continue;
+    if (next == nullptr || endpoint.role.replicaAt < next->role.replicaAt) next = &endpoint;
+  }
+  return next;
+}
+
+EndpointState* EndpointSelection::selectReplica(PendingRequest& request, EndpointGroup& group,
+                                                const EndpointState* primary,
+                                                std::optional<double>& saturatedLimit) {
+  const ReplicaQuery query = queryOf(request, group, primary);
+  ReplicaSearch search = searchReplicas(request, group, query);
+  saturatedLimit = search.saturatedLimit;
+  if (search.best != nullptr || saturatedLimit) return search.best;
+  if (EndpointState* guess = selectMostAdvanced(query, search)) return guess;
+  // An idle primary serves the read while primaries have less than their even part of this gateway's work.
+  const bool spareShare = primaryHasSpareShare(group);
+  if (spareShare && primary != nullptr && hasSpareCapacity(*primary)) return nullptr;
+  if (waitsForHealthCheck(query, search)) {
+    request.reason = RejectReason::AwaitingHealthCheck;
+    saturatedLimit = spareShare ? 0 : kNoLimit;
+  }
+  return nullptr;
+}
+
+EndpointSelection::ReplicaQuery EndpointSelection::queryOf(const PendingRequest& request,
+                                                           const EndpointGroup& group,
+                                                           const EndpointState* primary) const {
+  const std::size_t classIndex = request.request.classIndex;
+  const Micros objective = std::max<Micros>(1, context_.classAt(classIndex).latencyObjective);
+  ReplicaQuery query;
+  query.required = requiredPosition(request, context_);
+  query.work = latency_.workOf(classIndex);
+  query.isLongRead = latency_.isLongRead(classIndex);
+  query.longReadReplicas = query.isLongRead ? longReadReplicas(group, primary) : 0;
+  query.waited = toDouble(context_.now() - request.arrivedAt) / toDouble(objective);
+  query.recheckAfter = shareOf(kMinCheckIntervalShare, context_.now() - query.required);
+  query.primary = primary;
+  return query;
+}
+
+EndpointSelection::ReplicaSearch EndpointSelection::searchReplicas(PendingRequest& request,
+                                                                   const EndpointGroup& group,
+                                                                   const ReplicaQuery& query) {
+  ReplicaSearch search;
+  for (const EndpointId id : group.endpoints) {
+    EndpointState& endpoint = registry_.at(id);
+    if (!endpoint.listing.usable || &endpoint == query.primary) continue;
+    if (endpoint.isPresumedAbsent() || endpoint.outlier.isEjected(context_.now())) continue;
+    if (registry_.lacksEvidence(endpoint))
+      considerWithoutEvidence(endpoint, search);
+    else
+      consider(endpoint, request, query, search);
+  }
+  return search;
+}
+
+void EndpointSelection::considerWithoutEvidence(EndpointState& endpoint, ReplicaSearch& search) const {
+  search.checkInProgress = search.checkInProgress || endpoint.healthCheck.inProgress;
+  if (!registry_.healthCheckMayGiveEvidence(endpoint) || healthChecks_.refusesNewWork(endpoint)) return;
+  if (search.checkCandidate == nullptr || endpoint.preference < search.checkCandidate->preference)
+    search.checkCandidate = &endpoint;
+}
+
+void EndpointSelection::consider(EndpointState& endpoint, PendingRequest& request, const ReplicaQuery& query,
+                                 ReplicaSearch& search) {
+  if (query.isLongRead) {
+    const bool packedHere = takesLongReads(endpoint) && ++search.longReadReplica <= query.longReadReplicas;
+    if (!packedHere && query.waited < kMaxPackingWait) {
+      search.saturatedLimit = search.saturatedLimit.value_or(0);
+      return;
+    }
+  }
+  const double load = query.isLongRead ? endpoint.inFlight.requests : endpoint.inFlight.work;
+  const bool capacity = hasCapacity(endpoint, load, request);
+  if (!endpoint.freshness.covers(query.required, context_))
+    considerBehind(endpoint, request, query, capacity, search);
+  else if (!capacity)
+    search.saturatedLimit = std::max(search.saturatedLimit.value_or(0), endpoint.concurrencyLimit());
+  else
+    considerQualified(endpoint, request, query, search);
+}
+
+// A replica that is not known to be recent enough.
+void EndpointSelection::considerBehind(EndpointState& endpoint, const PendingRequest& request,
+                                       const ReplicaQuery& query, bool hasCapacity,
+                                       ReplicaSearch& search) const {
+  search.checkInProgress = search.checkInProgress || endpoint.healthCheck.inProgress;
+  const Micros now = context_.now();
+  const ReplicaFreshness& freshness = endpoint.freshness;
+  const bool mayHaveCaughtUp = freshness.mayHaveReached(query.required, now);
+  // In this gateway's own order, so that not all gateways check, and then use, the same one.
+  const bool preferred =
+      search.checkCandidate == nullptr || endpoint.preference < search.checkCandidate->preference;
+  const bool checkDue = now - endpoint.healthCheck.startedAt >= query.recheckAfter;
+  if (hasCapacity && mayHaveCaughtUp && preferred && checkDue && !healthChecks_.refusesNewWork(endpoint))
+    search.checkCandidate = &endpoint;
+
+  const bool tried =
+      std::any_of(request.attempts.begin(), request.attempts.end(),
+                  [&](const AttemptRecord& attempt) { return attempt.endpoint == endpoint.info.id; });
+  const bool replicasWait = context_.settings().catchUpTimeout > 0;
+  const bool hopeless = replicasWait ? !mayHaveCaughtUp : freshness.isKnownTooOldFor(query.required, now);
+  if (!hasCapacity || tried || hopeless) return;
+  if (search.mostAdvanced == nullptr || freshness.position() > search.mostAdvanced->freshness.position())
+    search.mostAdvanced = &endpoint;
+}
+
+void EndpointSelection::considerQualified(EndpointState& endpoint, const PendingRequest& request,
+                                          const ReplicaQuery& query, ReplicaSearch& search) {
+  const double score = scoreOf(endpoint, request, query.work);
+  if (search.best != nullptr && score >= search.bestScore) return;
+  search.best = &endpoint;
+  search.bestScore = score;
+}
+
+// Replicas that check reads themselves reject what they are too far behind for, so a guess is safe. Where
+// they wait before they do, a health check comes first.
+EndpointState* EndpointSelection::selectMostAdvanced(const ReplicaQuery& query,
+                                                     const ReplicaSearch& search) const {
+  const PolicySettings& settings = context_.settings();
+  if (settings.staleReads == StaleReadBehavior::ServesStale) return nullptr;
+  const bool checkFirst =
+      healthChecksTellPosition() && settings.catchUpTimeout > 0 && query.waited < kMaxHealthCheckWait;
+  if (checkFirst && (search.checkInProgress || search.checkCandidate != nullptr)) return nullptr;
+  if (search.mostAdvanced == nullptr || search.mostAdvanced->freshness.position() == kNever) return nullptr;
+  return search.mostAdvanced;
+}
+
+// A short wait for a health check spares the primary a read. Without a primary positions stand still.
+bool EndpointSelection::waitsForHealthCheck(const ReplicaQuery& query, ReplicaSearch& search) {
+  if (search.checkCandidate != nullptr && !search.checkInProgress) {
+    const bool lacksEvidence = registry_.lacksEvidence(*search.checkCandidate);
+    if (lacksEvidence || (healthChecksTellPosition() && query.primary != nullptr)) {
+      const auto reason = lacksEvidence ? HealthCheckReason::Unresponsive : HealthCheckReason::ReadWaiting;
+      search.checkInProgress = healthChecks_.start(*search.checkCandidate, reason);
+    }
+  }
+  return search.checkInProgress && query.waited < kMaxHealthCheckWait;
+}
+
+bool EndpointSelection::healthChecksTellPosition() const {
+  return context_.settings().healthChecksReportPosition && context_.settings().healthChecksAllowed;
+}
+
+bool EndpointSelection::stillQualifies(const EndpointState& endpoint, const PendingRequest& request) {
+  if (!endpoint.listing.usable || registry_.lacksEvidence(endpoint)) return false;
+  const bool confirmed = endpoint.role.mayBePrimary() && primaries_.isConfirmed(endpoint, request);
+  if (request.needsPrimary()) return confirmed;
+  if (context_.settings().staleReads != StaleReadBehavior::ServesStale) return true;
+  const EndpointGroup& group = registry_.groupOf(request.request.group);
+  const bool claimed =
+      endpoint.role.listedPrimarySince != kNever || PrimaryTracker::wasLastPrimary(endpoint, group);
+  const LogPosition required = requiredPosition(request, context_);
+  return (confirmed && claimed) || required == kNever || endpoint.freshness.position() >= required;
+}
+
+void EndpointSelection::observeArrival() {
+  sentWork_ *= kSentWorkDecay;
+  sentWorkToPrimaries_ *= kSentWorkDecay;
+}
+
+void EndpointSelection::observeSent(double work, bool toPrimary) {
+  sentWork_ += work;
+  if (toPrimary) sentWorkToPrimaries_ += work;
+}
+
+// Whether this gateway may put a request on an endpoint beside the load that it has there.
+bool EndpointSelection::hasCapacity(const EndpointState& endpoint, double load,
+                                    PendingRequest& request) const {
+  const std::size_t classIndex = request.request.classIndex;
+  const Micros sinceLastSent = context_.now() - endpoint.slowStart.sentWork.updatedAt();
+  if (load >= endpoint.concurrencyLimit())
+    request.reason = RejectReason::ConcurrencyLimit;
+  else if (!endpoint.limit.allowsNow(sinceLastSent, latency_.boundedLatencyOf(classIndex)))
+    request.reason = RejectReason::Paced;
+  else if (!slowStart_.admits(endpoint, latency_.workOf(classIndex)))
+    request.reason = RejectReason::SlowStart;
+  else
+    return true;
+  return false;
+}
+
+bool EndpointSelection::hasSpareCapacity(const EndpointState& primary) const {
+  return primary.inFlight.work < kPrimarySpareShare * primary.concurrencyLimit();
+}
+
+bool EndpointSelection::primaryHasSpareShare(const EndpointGroup& group) const {
+  return sentWorkToPrimaries_ * static_cast<double>(group.endpoints.size()) < sentWork_;
+}
+
+bool EndpointSelection::takesLongReads(const EndpointState& endpoint) const {
+  if (!endpoint.listing.usable || endpoint.listing.unconfirmed) return false;
+  if (endpoint.outlier.isEjected(context_.now())) return false;
+  return endpoint.inFlight.longReads == 0 || context_.now() < endpoint.inFlight.longReadDue;
+}
+
+Micros EndpointSelection::longReadDue(std::size_t classIndex) const {
+  const double timeout = kLongReadTimeoutMultiple * latency_.latencyOf(classIndex);
+  if (timeout <= 0) return context_.now() + context_.classAt(classIndex).latencyObjective;
+  return context_.now() + static_cast<Micros>(timeout);
+}
+
+// Spread over all replicas, long reads would leave none current. While they can wait they are packed on the
+// first by id, on so many that these carry no more than their even part.
+double EndpointSelection::longReadReplicas(const EndpointGroup& group, const EndpointState* primary) const {
+  const auto replicas = std::count_if(group.endpoints.begin(), group.endpoints.end(), [&](EndpointId id) {
+    const EndpointState& endpoint = registry_.at(id);
+    return &endpoint != primary && takesLongReads(endpoint);
+  });
+  return std::max(1.0, std::ceil(latency_.longReadShare() * static_cast<double>(replicas)));
+}
+
+// Where traffic between zones has a cost, the endpoints of the own zone make up the first half of the order.
+double EndpointSelection::preferenceOf(const EndpointState& endpoint) const {
+  if (!context_.settings().crossZoneTrafficHasCost) return endpoint.preference;
+  const double otherZone = endpoint.info.zone != context_.settings().zone ? 1 : 0;
+  return (endpoint.preference + otherZone) / 2;
+}
+
+double EndpointSelection::scoreOf(const EndpointState& endpoint, const PendingRequest& request, double work) {
+  const double queued = endpoint.inFlight.work / slowStart_.capacityShare(endpoint) + work +
+                        kPreferenceWeight * preferenceOf(endpoint);
+  double score =
+      queued * endpoint.relativeLatency.valueAt(context_.now()) * (1 + kScoreJitter * context_.random());
+  if (endpoint.listing.unconfirmed) score *= kTriedPenalty;
+  for (const AttemptRecord& attempt : request.attempts)
+    score *= attempt.endpoint == endpoint.info.id ? kTriedPenalty : 1;
+  return score;
+}
+
+}  // namespace heathflow::policy
--- /dev/null
+++ b/src/policy/outlier_detection.cpp
@@ -0,0 +1,43 @@
+#include "policy/outlier_detection.h"
+
+#include <algorithm>
+
+namespace heathflow::policy {
+namespace {
+
+constexpr Micros kMaxEjection = 4 * kSecond;
+constexpr int kMaxEjectionsCounted = 8;
+constexpr int kUselessEndsToFailure = 3;
+
+}  // namespace
+
+void OutlierDetection::observeResponse(Micros now) {
+  lastResponseAt_ = now;
+  if (presumedDead_) returnedAt_ = now;
+  presumedDead_ = false;
+  connectionReset_ = false;
+  ejections_ = 0;
+  uselessEnds_ = 0;
+}
+
+void OutlierDetection::observeFirstInFlight(Micros now) { lastResponseAt_ = std::max(lastResponseAt_, now); }
+
+void OutlierDetection::observeFailure(Micros now) {
+  presumedDead_ = presumedDead_ || connectionReset_;
+  if (now < ejectedUntil_) return;
+  ejections_ = std::min(ejections_ + 1, kMaxEjectionsCounted);
+  uselessEnds_ = 0;
+  ejectedUntil_ = now + std::min(kMaxEjection, kMinEjection << (ejections_ - 1));
+}
+
+void OutlierDetection::observeUselessEnd(Micros now) {
+  if (++uselessEnds_ >= kUselessEndsToFailure) observeFailure(now);
+}
+
+void OutlierDetection::forgetFailures() {
+  ejections_ = 0;
+  uselessEnds_ = 0;
+  ejectedUntil_ = kNever;
+}
+
+}  // namespace heathflow::policy
--- /dev/null
+++ b/src/policy/policy_context.h
@@ -0,0 +1,91 @@
+// What all parts of the policy share: settings, the time of the event at hand, random draws, and the actions
+// that the event leads to.
+#pragma once
+
+#include <algorithm>
+#include <cstddef>
+#include <cstdint>
+#include <limits>
+#include <random>
+#include <utility>
+#include <vector>
+
+#include "common/uniform.h"
+#include "policy/routing_policy.h"
+
+namespace heathflow::policy {
+
+inline constexpr Micros kMillisecond = 1000;
+inline constexpr Micros kSecond = 1000 * kMillisecond;
+// Earlier than every clock reading; a reading less this one stays in range.
+inline constexpr Micros kNever = std::numeric_limits<Micros>::min() / 4;
+
+inline double toDouble(Micros value) { return static_cast<double>(value); }
+inline Micros shareOf(double share, Micros whole) { return static_cast<Micros>(share * toDouble(whole)); }
+
+// What a timer is for. The subject of its token is given behind each.
+enum class TimerKind : std::uint64_t {
+  RequestExpiry,  // request
+  QueueRetry,     // group
+  DiscoveryPoll,  // number of the poll
+  Shutdown        // none
+};
+
+class PolicyContext {
+ public:
+  PolicyContext(PolicySettings settings, std::uint64_t seed, Micros now, std::vector<Action>& actions)
+      : settings_(std::move(settings)), random_(seed), now_(now), actions_(&actions) {
+    for (const RequestClassSettings& entry : settings_.classes) {
+      if (entry.consistency != Consistency::BoundedStaleness || entry.maxStaleness <= 0) continue;
+      smallestStaleness_ =
+          smallestStaleness_ == 0 ? entry.maxStaleness : std::min(smallestStaleness_, entry.maxStaleness);
+    }
+    if (smallestStaleness_ == 0) smallestStaleness_ = kSecond;
+  }
+  PolicyContext(const PolicyContext&) = delete;
+  PolicyContext& operator=(const PolicyContext&) = delete;
+
+  // Begins an event at the given time; its actions go to 'actions'.
+  void begin(Micros now, std::vector<Action>& actions) {
+    now_ = now;
+    actions_ = &actions;
+  }
+
+  const PolicySettings& settings() const { return settings_; }
+  const RequestClassSettings& classAt(std::size_t index) const { return settings_.classes[index]; }
+  Micros now() const { return now_; }
+  // The smallest bound of a class with bounded staleness; a second where there is none.
+  Micros smallestStaleness() const { return smallestStaleness_; }
+  // The time over which the load of an endpoint in slow start is counted.
+  Micros overloadWindow() const { return std::max(settings_.overloadWindow, kMillisecond); }
+
+  // A random number from 0 to 1.
+  double random() { return uniformUnit(random_()); }
+  std::uint64_t randomBits() { return random_(); }
+
+  template <typename A>
+  void emit(A action) {
+    actions_->push_back(action);
+  }
+  void setTimer(TimerKind kind, std::uint64_t subject, Micros after) {
+    emit(SetTimer{(static_cast<std::uint64_t>(kind) << kTimerKindShift) | subject,
+                  std::max<Micros>(after, 0)});
+  }
+  static TimerKind timerKindOf(std::uint64_t token) {
+    return static_cast<TimerKind>(token >> kTimerKindShift);
+  }
+  static std::uint64_t timerSubjectOf(std::uint64_t token) {
+    return token & ((std::uint64_t{1} << kTimerKindShift) - 1);
+  }
+
+ private:
+  static constexpr unsigned kTimerKindShift = 56;
+
+  PolicySettings settings_;
+  std::mt19937_64 random_;
+  Micros now_;
+  std::vector<Action>* actions_;
+  Micros smallestStaleness_ = 0;
+};
+
+}  // namespace heathflow::policy
--- /dev/null
+++ b/src/policy/primary_tracker.cpp
@@ -0,0 +1,62 @@
+#include "policy/primary_tracker.h"
+
+#include <algorithm>
+
+namespace heathflow::policy {
+
+EndpointState* PrimaryTracker::primaryOf(const EndpointGroup& group, bool forWrite) {
+  const bool trustListForWrite = forWrite && !context_.settings().healthChecksAllowed;
+  EndpointState* listed = nullptr;
+  for (const EndpointId id : group.endpoints) {
+    EndpointState& endpoint = registry_.at(id);
+    const RoleState& role = endpoint.role;
+    if (!endpoint.listing.usable || endpoint.outlier.isEjected(context_.now()) || endpoint.isPresumedAbsent())
+      continue;
+    if (wasLastPrimary(endpoint, group) && role.primaryAt > role.replicaAt) return &endpoint;
+    // An old primary answers reads as ever, so its own report that it is none outweighs the list for reads.
+    const bool listIsNewest = role.listedPrimarySince > std::max(role.reportedAt, group.primaryReportedAt);
+    const bool trusted = trustListForWrite || (listIsNewest && (forWrite || role.mayBePrimary()));
+    if (role.listedPrimarySince == kNever || !trusted) continue;
+    if (listed == nullptr || role.listedPrimarySince > listed->role.listedPrimarySince) listed = &endpoint;
+  }
+  return listed;
+}
+
+bool PrimaryTracker::isConfirmed(const EndpointState& endpoint, const PendingRequest& request) const {
+  const Consistency consistency = request.consistency;
+  if (consistency == Consistency::Write || consistency == Consistency::Eventual) return true;
+  const bool bounded = consistency == Consistency::BoundedStaleness;
+  if (!bounded && (rejectedWrite(endpoint) || endpoint.isUnresponsive(context_))) return false;
+  const PolicySettings& settings = context_.settings();
+  if (!settings.healthChecksAllowed || !settings.healthChecksReportRole) return true;
+  if (settings.staleReads != StaleReadBehavior::ServesStale) return true;
+  const Micros within =
+      bounded ? context_.classAt(request.request.classIndex).maxStaleness : context_.smallestStaleness();
+  const Micros confirmedAt = std::max(endpoint.role.reportedAt, endpoint.role.listedPrimarySince);
+  return confirmedAt > std::max(endpoint.outlier.lastBreakAt(), context_.now() - within);
+}
+
+bool PrimaryTracker::rejectedWrite(const EndpointState& endpoint) const {
+  return context_.now() - endpoint.role.writeRejectedAt < context_.smallestStaleness();
+}
+
+void PrimaryTracker::observeRole(EndpointState& endpoint, Role role, Micros at) {
+  endpoint.role.reportedAt = context_.now();
+  Micros& newest = role == Role::Primary ? endpoint.role.primaryAt : endpoint.role.replicaAt;
+  newest = std::max(newest, at);
+  if (role == Role::Replica) return;
+  EndpointGroup& group = registry_.groupOf(endpoint.info.group);
+  group.primaryAt = std::max(group.primaryAt, endpoint.role.primaryAt);
+  group.primaryReportedAt = context_.now();
+}
+
+void PrimaryTracker::observeReport(EndpointState& endpoint, const LoadReport& report) {
+  if (report.position) endpoint.freshness.observePosition(*report.position, context_.now());
+  // A primary's position is the time of its report, and a replica's report is no older than its position.
+  // Without a position the report may be of any age and counts only while no answer has shown a role.
+  const bool unknown = endpoint.role.replicaAt == kNever && endpoint.role.primaryAt == kNever;
+  if (report.role && (report.position || unknown))
+    observeRole(endpoint, *report.role, report.position.value_or(context_.now()));
+}
+
+}  // namespace heathflow::policy
--- /dev/null
+++ b/src/policy/session_tokens.h
@@ -0,0 +1,30 @@
+// The log position of each session's last write, where the gateway remembers it.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <unordered_map>
+
+#include "policy/policy_context.h"
+
+namespace heathflow::policy {
+
+class SessionTokens {
+ public:
+  // The position that a read of the session has to see; kNever: none.
+  LogPosition positionOf(std::uint64_t session) const;
+  // A write of the session may be committed, at this position at the latest.
+  void observeWrite(std::uint64_t session, LogPosition latest, Micros now);
+
+ private:
+  // Bounds memory: old tokens are dropped. A session without one then needs the newest that was dropped.
+  void dropOldTokens(Micros now);
+
+  static constexpr std::size_t kAlwaysKept = 4096;
+
+  std::unordered_map<std::uint64_t, LogPosition> positions_;
+  LogPosition newestDropped_ = kNever;
+  std::size_t dropAtSize_ = kAlwaysKept;
+};
+
+}  // namespace heathflow::policy
