--- a/src/policy/attempt_observer.h
+++ b/src/policy/attempt_observer.h
@@ -1,4 +1,4 @@
-// What the end of an attempt shows of its endpoint: each part of the policy that learns from it is told so.
+// Learns from the end of an attempt: passes what it shows to each part of the policy that it concerns.
 #pragma once
 
 #include "policy/endpoint_registry.h"
--- a/src/policy/endpoint_evidence.h
+++ b/src/policy/endpoint_evidence.h
@@ -1,5 +1,5 @@
 // What stands in for an expired endpoint list: evidence of an endpoint's own that it was neither removed nor
-// told to drain.
+// notified to drain.
 //
 // Past its lease the list may lack a change that counts. An answered health check shows that an endpoint
 // lives and does not drain. It does not show that it was not removed and brought back meanwhile, so the check
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -179,7 +179,7 @@
   Micros elapsed = 0;
   LoadReport report;
   bool rejected = false;        // the endpoint lives, but takes no more health checks at present
-  bool refusesNewWork = false;  // by its own word: it starts, or drains
+  bool refusesNewWork = false;  // as the endpoint says: it starts, or drains
   Micros connectionAge = 0;     // of the connection over which it answered
 };
 struct TimerFired {
--- a/tests/fleet_ramp_test.cpp
+++ b/tests/fleet_ramp_test.cpp
@@ -8,7 +8,7 @@
 namespace heathflow::test {
 namespace {
 
-using fleet::Happening;
+using fleet::FaultEvent;
 using fleet::Plan;
 using fleet::Result;
 
@@ -22,28 +22,28 @@
 
 Plan planOf(const Fleet& fleet, std::uint64_t seed) {
   Plan plan;
-  plan.routers = fleet.gateways;
+  plan.gateways = fleet.gateways;
   plan.cores = fleet.cores;
   plan.groups = 4;
-  plan.unequal = 10;
+  plan.trafficRatio = 10;
   plan.length = 15 * kSecond;
   plan.seed = seed;
   const double bears = plan.groups * plan.endpoints * plan.cores * static_cast<double>(kSecond) /
-                       static_cast<double>(plan.work);
-  plan.requestsPerSecond = fleet.load * bears / plan.routers;
+                       static_cast<double>(plan.serviceTime);
+  plan.requestsPerSecond = fleet.load * bears / plan.gateways;
   return plan;
 }
 
 class FleetRamp : public testing::TestWithParam<Fleet> {
  protected:
-  static void expectNoneFalls(const std::vector<Happening>& happenings) {
+  static void expectNoneFalls(const std::vector<FaultEvent>& happenings) {
     for (const std::uint64_t seed : {1U, 2U}) {
       Plan plan = planOf(GetParam(), seed);
-      plan.happenings = happenings;
+      plan.faults = happenings;
       const Result result = fleet::play(plan);
-      EXPECT_LE(result.coldLoad, 1) << "seed " << seed;
-      EXPECT_GT(result.coldPeak, 0.2) << "they are used, seed " << seed;
-      EXPECT_EQ(result.twice, 0U);
+      EXPECT_LE(result.slowStartPeakOfThreshold, 1) << "seed " << seed;
+      EXPECT_GT(result.slowStartPeakLoad, 0.2) << "they are used, seed " << seed;
+      EXPECT_EQ(result.duplicateAnswers, 0U);
       EXPECT_EQ(result.stale, 0U);
     }
   }
@@ -51,23 +51,23 @@
 
 // Two standard deviations beyond what is expected, and two.
 TEST(FleetRampLimit, IsTheAllowedLoadAndWhatChanceAddsToIt) {
-  EXPECT_DOUBLE_EQ(fleet::loadToFall(0), 2);
-  EXPECT_DOUBLE_EQ(fleet::loadToFall(16), 26);
-  EXPECT_DOUBLE_EQ(fleet::loadToFall(100), 122);
+  EXPECT_DOUBLE_EQ(fleet::overloadThreshold(0), 2);
+  EXPECT_DOUBLE_EQ(fleet::overloadThreshold(16), 26);
+  EXPECT_DOUBLE_EQ(fleet::overloadThreshold(100), 122);
 }
 
 TEST_P(FleetRamp, HoldsWhereHalfOfTheEndpointsComeBackCold) {
-  expectNoneFalls({{Happening::Kind::EndpointsReturn, 4 * kSecond, 0.5, 2 * kSecond}});
+  expectNoneFalls({{FaultEvent::Kind::EndpointsRestart, 4 * kSecond, 0.5, 2 * kSecond}});
 }
 
 TEST_P(FleetRamp, HoldsWhereAllEndpointsComeBackCold) {
-  expectNoneFalls({{Happening::Kind::EndpointsReturn, 4 * kSecond, 1, 2 * kSecond}});
+  expectNoneFalls({{FaultEvent::Kind::EndpointsRestart, 4 * kSecond, 1, 2 * kSecond}});
 }
 
 // Gateways that have just started know no endpoint's speed.
 TEST_P(FleetRamp, HoldsWhereSevenInTenGatewaysStartAmongColdEndpoints) {
-  expectNoneFalls({{Happening::Kind::EndpointsReturn, 4 * kSecond, 0.5, 2 * kSecond},
-                   {Happening::Kind::RoutersRestart, 6'500'000, 0.7, 0}});
+  expectNoneFalls({{FaultEvent::Kind::EndpointsRestart, 4 * kSecond, 0.5, 2 * kSecond},
+                   {FaultEvent::Kind::GatewaysRestart, 6'500'000, 0.7, 0}});
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, FleetRamp,
--- a/tests/logic_test_troubles.cpp
+++ b/tests/logic_test_troubles.cpp
@@ -11,25 +11,25 @@
 namespace heathflow::test {
 namespace {
 
-using fleet::Happening;
+using fleet::FaultEvent;
 using fleet::Plan;
 using fleet::Result;
 
 constexpr Micros kSecond = 1'000'000;
 
 // From its 4th to its 14th second something is wrong; it ends at its 25th.
-Result through(Happening::Kind kind, double share, Micros lasts = 10 * kSecond) {
+Result through(FaultEvent::Kind kind, double share, Micros lasts = 10 * kSecond) {
   Plan plan;
-  plan.routers = 60;
+  plan.gateways = 60;
   plan.groups = 8;
   plan.requestsPerSecond = 12;
   plan.length = 25 * kSecond;
-  plan.happenings = {{kind, 4 * kSecond, share, lasts}};
+  plan.faults = {{kind, 4 * kSecond, share, lasts}};
   const Result result = fleet::play(plan);
   EXPECT_EQ(result.answers, result.requests);
-  EXPECT_EQ(result.twice, 0U);
+  EXPECT_EQ(result.duplicateAnswers, 0U);
   EXPECT_EQ(result.stale, 0U);
-  EXPECT_LT(result.coldPeak, 2.5);
+  EXPECT_LT(result.slowStartPeakLoad, 2.5);
   return result;
 }
 
@@ -39,7 +39,7 @@
 
 struct Trouble {
   const char* name;
-  Happening::Kind kind;
+  FaultEvent::Kind kind;
   double share;
   double during;  // in time in the worst five seconds, at the least
 };
@@ -59,15 +59,16 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Kinds, Troubles,
-                         testing::Values(Trouble{"hang", Happening::Kind::EndpointsHang, 0.1, 0.93},
-                                         Trouble{"pauses", Happening::Kind::EndpointsPause, 0.3, 0.95},
-                                         Trouble{"fast_errors", Happening::Kind::EndpointsFail, 0.1, 0.93},
-                                         Trouble{"answer_lost", Happening::Kind::AnswersLost, 0.6, 0.77},
-                                         Trouble{"probe_fail", Happening::Kind::HealthChecksFail, 0.8, 0.65},
-                                         Trouble{"flapping", Happening::Kind::EndpointsFlap, 0.2, 0.96},
-                                         Trouble{"preempt", Happening::Kind::EndpointsLeave, 0.2, 0.96},
-                                         Trouble{"discovery_stale", Happening::Kind::ListLate, 1, 0.96},
-                                         Trouble{"slow_link", Happening::Kind::PathsWorsen, 1, 0.66}),
+                         testing::Values(Trouble{"hang", FaultEvent::Kind::EndpointsHang, 0.1, 0.93},
+                                         Trouble{"pauses", FaultEvent::Kind::EndpointsPause, 0.3, 0.95},
+                                         Trouble{"fast_errors", FaultEvent::Kind::EndpointsFail, 0.1, 0.93},
+                                         Trouble{"answer_lost", FaultEvent::Kind::ResponsesLost, 0.6, 0.77},
+                                         Trouble{"probe_fail", FaultEvent::Kind::HealthChecksFail, 0.8, 0.65},
+                                         Trouble{"flapping", FaultEvent::Kind::EndpointsFlap, 0.2, 0.96},
+                                         Trouble{"preempt", FaultEvent::Kind::EndpointsDrain, 0.2, 0.96},
+                                         Trouble{"discovery_stale", FaultEvent::Kind::EndpointListDelayed, 1,
+                                                 0.96},
+                                         Trouble{"slow_link", FaultEvent::Kind::NetworkDegraded, 1, 0.66}),
                          [](const auto& named) { return std::string(named.param.name); });
 
 }  // namespace
--- a/tests/sparing_test.cpp
+++ b/tests/sparing_test.cpp
@@ -11,7 +11,7 @@
 namespace heathflow::test {
 namespace {
 
-using fleet::Happening;
+using fleet::FaultEvent;
 using fleet::Plan;
 using fleet::Result;
 using Endpoints = std::vector<EndpointId>;
@@ -380,7 +380,7 @@
 
 Plan smallFleet() {
   Plan plan;
-  plan.routers = 60;
+  plan.gateways = 60;
   plan.groups = 8;
   plan.requestsPerSecond = 30;
   plan.length = 15'000'000;
@@ -389,16 +389,16 @@
 
 void expectRules(const Result& result) {
   EXPECT_EQ(result.answers, result.requests);
-  EXPECT_EQ(result.twice, 0U);
+  EXPECT_EQ(result.duplicateAnswers, 0U);
   EXPECT_EQ(result.stale, 0U);
-  EXPECT_LT(result.coldPeak, 2.5);
+  EXPECT_LT(result.slowStartPeakLoad, 2.5);
 }
 
 double healthChecksPerRequest(const Result& result, std::size_t from, std::size_t to) {
   const auto sum = [&](const std::vector<std::uint64_t>& of) {
     return std::accumulate(of.begin() + static_cast<long>(from), of.begin() + static_cast<long>(to), 0.0);
   };
-  return sum(result.routerHealthChecks) / sum(result.routerRequests);
+  return sum(result.gatewayHealthChecks) / sum(result.gatewayRequests);
 }
 
 TEST(Fleet, EqualPlansGiveEqualResults) {
@@ -413,7 +413,7 @@
 TEST(Fleet, AQuietRouterPaysLittleMoreForARequestThanABusyOne) {
   Plan plan = smallFleet();
   plan.requestsPerSecond = 11;
-  plan.unequal = 10;
+  plan.trafficRatio = 10;
   const Result result = fleet::play(plan);
   expectRules(result);
   EXPECT_LT(healthChecksPerRequest(result, 0, 6), 0.5);
@@ -423,22 +423,23 @@
 
 TEST(Fleet, ARestartOfSevenInTenCostsFewConnectionsAndNoRejections) {
   Plan plan = smallFleet();
-  plan.happenings = {{Happening::Kind::RoutersRestart, 5'000'000, 0.7, 0}};
+  plan.faults = {{FaultEvent::Kind::GatewaysRestart, 5'000'000, 0.7, 0}};
   const Result result = fleet::play(plan);
-  EXPECT_EQ(result.twice, 0U);
+  EXPECT_EQ(result.duplicateAnswers, 0U);
   EXPECT_EQ(result.stale, 0U);
   // A connection to every endpoint, once more for those that restarted, would be 4,080.
   EXPECT_LT(result.connections, 3200U);
-  for (const fleet::Window& window : result.windows) EXPECT_LE(window.givenUpWithRoom * 50, window.requests);
+  for (const fleet::Window& window : result.windows)
+    EXPECT_LE(window.unservedWithCapacity * 50, window.requests);
 }
 
 TEST(Fleet, LostPrimariesAreFoundAgainAtAFractionOfTheHealthChecks) {
   Plan plan = smallFleet();
-  plan.happenings = {{Happening::Kind::PrimariesDie, 4'000'000, 1, 6'000'000}};
+  plan.faults = {{FaultEvent::Kind::PrimariesCrash, 4'000'000, 1, 6'000'000}};
   const Result result = fleet::play(plan);
   expectRules(result);
-  EXPECT_GT(result.afterFailover, 100U);
-  EXPECT_LT(result.foundAfter, 400'000);
+  EXPECT_GT(result.failoversNoticed, 100U);
+  EXPECT_LT(result.failoverDelay, 400'000);
   const auto role = result.healthChecksBy[static_cast<std::size_t>(HealthCheckReason::PrimaryUnknown)];
   // All of four replicas, every 400 ms for 4.5 s, would be 44 for each router and group.
   EXPECT_LT(role, 60U * 8U * 15U);
@@ -447,7 +448,7 @@
 
 TEST(Fleet, AllEndpointsBackAtOnceAndColdAreNotPushedOver) {
   Plan plan = smallFleet();
-  plan.happenings = {{Happening::Kind::EndpointsReturn, 4'000'000, 1, 3'000'000}};
+  plan.faults = {{FaultEvent::Kind::EndpointsRestart, 4'000'000, 1, 3'000'000}};
   const Result result = fleet::play(plan);
   expectRules(result);
   EXPECT_GT(result.windows.back().inTime, 0U);
@@ -460,16 +461,16 @@
     Plan plan = smallFleet();
     plan.cores = 1;
     plan.seed = seed;
-    plan.happenings = {{Happening::Kind::EndpointsReturn, 4'000'000, 0.5, 2'000'000}};
+    plan.faults = {{FaultEvent::Kind::EndpointsRestart, 4'000'000, 0.5, 2'000'000}};
     const Result result = fleet::play(plan);
     expectRules(result);
-    EXPECT_LE(result.coldPeak, fleet::settingsOf(plan).overloadMultiple);
+    EXPECT_LE(result.slowStartPeakLoad, fleet::settingsOf(plan).overloadMultiple);
   }
 }
 
 TEST(Fleet, ReplicasThatStandStillGiveNoStaleReadAndAreUsedAgain) {
   Plan plan = smallFleet();
-  plan.happenings = {{Happening::Kind::ReplicasLag, 3'000'000, 0.8, 6'000'000}};
+  plan.faults = {{FaultEvent::Kind::ReplicasLag, 3'000'000, 0.8, 6'000'000}};
   const Result result = fleet::play(plan);
   expectRules(result);
   EXPECT_GT(result.windows.back().inTime * 100, result.windows.back().requests * 95);
@@ -477,11 +478,11 @@
 
 TEST(Fleet, AnEndpointThatIsBadForSomeIsLeftByTheseOnly) {
   Plan plan = smallFleet();
-  plan.happenings = {{Happening::Kind::BadForSome, 3'000'000, 0.3, 9'000'000}};
+  plan.faults = {{FaultEvent::Kind::EndpointFailsForSome, 3'000'000, 0.3, 9'000'000}};
   const Result result = fleet::play(plan);
   expectRules(result);
   EXPECT_GT(result.endpointAttempts[0], 100U);
-  for (const fleet::Window& window : result.windows) EXPECT_LE(window.givenUp * 50, window.requests);
+  for (const fleet::Window& window : result.windows) EXPECT_LE(window.unserved * 50, window.requests);
 }
 
 }  // namespace
