--- /dev/null
+++ b/src/discovery/call_spreading.cpp
@@ -0,0 +1,41 @@
+#include "discovery/call_spreading.h"
+
+#include <xxhash.h>
+
+#include <algorithm>
+
+#include "common/uniform.h"
+#include "discovery/list_lease.h"
+
+namespace heathflow::discovery {
+namespace {
+
+// Calls may wait in the service's queue for so long, or for this share of the time for all, so that they need
+// not be spread over all of it.
+constexpr double kQueueTime = 600'000;
+constexpr double kQueueShare = 0.5;
+// First calls are spread over no more than this share of the recovery time, which leaves time to repeat one
+// that fails.
+constexpr double kMaxSpreadShare = 0.4;
+
+}  // namespace
+
+double GatewayFleet::serviceTime(double callCost) const { return callCost * std::max(1U, gatewayCount); }
+
+Micros GatewayFleet::recoveryTime() const {
+  return maxPollInterval > 0 ? std::min(maxPollInterval, kNotificationDeadline) : kNotificationDeadline;
+}
+
+double spreadPosition(const std::string& gatewayName) {
+  return uniformUnit(XXH3_64bits(gatewayName.data(), gatewayName.size()));
+}
+
+Micros spreadDelay(const std::string& gatewayName, const GatewayFleet& fleet, double callCost) {
+  const double forAll = fleet.serviceTime(callCost);
+  const double window = std::max(kQueueShare * forAll, forAll - kQueueTime);
+  const double maxWindow = kMaxSpreadShare * static_cast<double>(fleet.recoveryTime());
+  const auto bounded = static_cast<Micros>(std::min(window, maxWindow));
+  return static_cast<Micros>(spreadPosition(gatewayName) * static_cast<double>(bounded));
+}
+
+}  // namespace heathflow::discovery
--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -2,13 +2,13 @@
 
 #include <utility>
 
-namespace heathflow::routing {
+namespace heathflow::discovery {
 namespace {
 
-using discovery::CallFailure;
+using stats::CallFailure;
 using transport::kMicrosPerMilli;
-constexpr std::size_t kBodyLimit = 8 * 1024 * 1024;
-constexpr transport::Stream::Limits kLimits = {64 * 1024, 4 * 1024};
+constexpr std::size_t kMaxBodySize = 8 * 1024 * 1024;
+constexpr transport::Stream::Limits kStreamLimits = {64 * 1024, 4 * 1024};
 constexpr Micros kMicrosPerSecond = 1'000'000;
 
 std::string pathOf(std::int64_t since, Micros wait) {
@@ -24,19 +24,19 @@
     : loop_(loop), socketAddress_(socketAddress), owner_(owner) {}
 
 void DiscoveryCall::start(std::int64_t since, Micros wait) {
-  asking_ = true;
+  inProgress_ = true;
   startedAt_ = loop_.now();
   wait_ = wait;
   immediate_ = since < 0 || wait <= kMicrosPerMilli;
   request_ = "GET " + pathOf(since, wait) + " HTTP/1.1\r\nHost: " + toText(socketAddress_) +
              "\r\nAccept: application/json\r\n\r\n";
-  reused_ = stream_ != nullptr && stream_->quiet();
-  if (reused_) return send();
+  connectionReused_ = stream_ != nullptr && stream_->quiet();
+  if (connectionReused_) return send();
   open();
 }
 
 void DiscoveryCall::close() {
-  asking_ = false;
+  inProgress_ = false;
   response_.reset();
   if (!stream_) return;
   stream_->close();
@@ -45,20 +45,21 @@
 
 void DiscoveryCall::open() {
   if (stream_) loop_.retire(std::move(stream_));
-  stream_ = std::make_unique<transport::Stream>(loop_, static_cast<transport::StreamOwner&>(*this), kLimits);
+  stream_ =
+      std::make_unique<transport::Stream>(loop_, static_cast<transport::StreamOwner&>(*this), kStreamLimits);
   int error = 0;
   if (!stream_->connect(socketAddress_, error)) fail(CallFailure::Unreachable, "it can't be reached");
 }
 
 void DiscoveryCall::send() {
-  response_ = std::make_unique<protocol::HttpResponse>(kBodyLimit);
+  response_ = std::make_unique<protocol::HttpResponse>(kMaxBodySize);
   stream_->output().append(request_);
   stream_->flush();
 }
 
 void DiscoveryCall::onInput() {
-  if (!asking_ || !response_) {
-    // Nobody asked: what comes now would be taken for the next answer.
+  if (!inProgress_ || !response_) {
+    // Guards against unrequested input that would be taken for the next answer.
     stream_->close();
     return;
   }
@@ -68,14 +69,14 @@
 }
 
 void DiscoveryCall::onEnd(transport::StreamEnd how) {
-  if (!asking_) return;
-  // A kept connection that closes as it is used says nothing of the service: once more, on a new one.
-  if (reused_ && (!response_ || !response_->begun())) {
-    reused_ = false;
+  if (!inProgress_) return;
+  // A reused connection may have been closed just as the request went out: try once more, on a new one.
+  if (connectionReused_ && (!response_ || !response_->begun())) {
+    connectionReused_ = false;
     return open();
   }
   if (!response_) return fail(CallFailure::Unreachable, "it can't be reached");
-  // Guards against half a list: where a response has no length only an orderly close ends it, and no reset.
+  // Guards against half a list: a response without a length ends with an orderly close, not with a reset.
   if (!response_->begun() || how != transport::StreamEnd::Closed)
     return fail(CallFailure::Broken, "its connection broke");
   response_->ended();
@@ -90,18 +91,18 @@
     if (const auto seconds = response_->retryAfter()) retryAfter = *seconds * kMicrosPerSecond;
     return fail(CallFailure::TurnedAway, "status " + std::to_string(response_->status()), retryAfter);
   }
-  std::string problem;
-  const auto list = protocol::parseEndpointList(response_->body(), problem);
-  if (!list) return fail(CallFailure::Unreadable, "its list can't be read: " + problem);
-  asking_ = false;
+  std::string error;
+  const auto list = protocol::parseEndpointList(response_->body(), error);
+  if (!list) return fail(CallFailure::Unreadable, "its list can't be read: " + error);
+  inProgress_ = false;
   if (!response_->keepAlive() || !stream_->input().empty()) stream_->close();
   response_.reset();
   owner_.onList(*this, *list);
 }
 
-void DiscoveryCall::fail(CallFailure how, const std::string& text, std::optional<Micros> retryAfter) {
+void DiscoveryCall::fail(CallFailure failure, const std::string& message, std::optional<Micros> retryAfter) {
   close();
-  owner_.onProblem(*this, {how, text, retryAfter});
+  owner_.onError(*this, {failure, message, retryAfter});
 }
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::discovery
--- a/src/discovery/discovery_call.h
+++ b/src/discovery/discovery_call.h
@@ -1,34 +1,34 @@
-// One call to the list service over HTTP: a request for the list, and its answer or how it failed.
+// One HTTP call to the list service: a request for the endpoint list, and the list or why there is none.
 #pragma once
 
 #include <memory>
 #include <optional>
 #include <string>
 
-#include "discovery/caller.h"
 #include "protocol/endpoint_list.h"
 #include "protocol/http_response.h"
+#include "stats/call_failure.h"
 #include "transport/stream.h"
 
-namespace heathflow::routing {
+namespace heathflow::discovery {
 
 using transport::Micros;
 
 // Why a call brought no list.
-struct CallProblem {
-  discovery::CallFailure how = discovery::CallFailure::Unreachable;
-  std::string text;                  // for the log
-  std::optional<Micros> retryAfter;  // what the service asked for
+struct CallError {
+  stats::CallFailure failure = stats::CallFailure::Unreachable;
+  std::string message;               // for the log
+  std::optional<Micros> retryAfter;  // the wait that the service asked for
 };
 
 class DiscoveryCall;
 
-// Told once of each request's end. It may start the call anew or retire it in there.
+// Is called once at each request's end. It may start the call again or retire it there.
 class DiscoveryCallOwner {
  public:
   virtual ~DiscoveryCallOwner() = default;
   virtual void onList(DiscoveryCall& call, const protocol::EndpointList& list) = 0;
-  virtual void onProblem(DiscoveryCall& call, const CallProblem& problem) = 0;
+  virtual void onError(DiscoveryCall& call, const CallError& error) = 0;
 };
 
 class DiscoveryCall final : private transport::StreamOwner {
@@ -36,19 +36,20 @@
   DiscoveryCall(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
                 DiscoveryCallOwner& owner);
 
-  // Asks for what is newer than a revision, or for the whole list where that is below 0, and lets the service
-  // wait for news for so long. Uses the connection of the request before while that is still good.
+  // Sends a request, over the connection of the one before while that is still good.
+  // @param since the service answers with changes after this revision; below 0: with the complete list.
+  // @param wait how long the service waits for a change.
   void start(std::int64_t since, Micros wait);
-  // Closes the connection; the owner hears no more.
+  // Closes the connection; the owner is not called any more.
   void close();
 
   Micros startedAt() const { return startedAt_; }
-  // The time at which the list that came is known to have been true: the call's start, or, where nothing was
-  // new, the end of its wait.
-  Micros provenAt(bool news) const {
-    return news || loop_.now() < startedAt_ + wait_ ? startedAt_ : startedAt_ + wait_;
+  // When the list in the answer is known to have been true: at the call's start, or, where nothing had
+  // changed, at the end of its wait.
+  Micros provenAt(bool changed) const {
+    return changed || loop_.now() < startedAt_ + wait_ ? startedAt_ : startedAt_ + wait_;
   }
-  // The service was not to wait for news: how long the answer took tells what it costs.
+  // The service did not have to wait for a change: how long the answer took shows what a call costs.
   bool immediate() const { return immediate_; }
 
  private:
@@ -58,7 +59,7 @@
   void open();
   void send();
   void finish();
-  void fail(discovery::CallFailure how, const std::string& text, std::optional<Micros> retryAfter = {});
+  void fail(stats::CallFailure failure, const std::string& message, std::optional<Micros> retryAfter = {});
 
   transport::EventLoop& loop_;
   transport::SocketAddress socketAddress_;
@@ -69,8 +70,8 @@
   Micros startedAt_ = 0;
   Micros wait_ = 0;
   bool immediate_ = false;
-  bool asking_ = false;
-  bool reused_ = false;  // the request went out on a connection that had carried one before
+  bool inProgress_ = false;
+  bool connectionReused_ = false;  // the request went out on a connection that had carried one before
 };
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::discovery
--- /dev/null
+++ b/src/discovery/discovery_schedule.cpp
@@ -0,0 +1,48 @@
+#include "discovery/discovery_schedule.h"
+
+#include <algorithm>
+
+#include "discovery/watch_interval.h"
+
+namespace heathflow::discovery {
+namespace {
+
+// PROTOCOL: after SIGHUP a gateway counts as notified of the new service's list soon.
+constexpr Micros kMaxDelayAfterMove = 1'000'000;
+
+}  // namespace
+
+DiscoverySchedule::DiscoverySchedule(const DiscoveryScheduleSettings& settings, Micros now)
+    : settings_(settings),
+      fleet_{settings.gatewayCount, settings.maxPollInterval},
+      cost_(settings.callCost),
+      backoff_(fleet_, settings.dedicatedService, settings.seed),
+      firstCallAt_(now + std::max(settings.startDelay, spreadDelay())) {}
+
+Micros DiscoverySchedule::spreadDelay() const {
+  return discovery::spreadDelay(settings_.gatewayName, fleet_, cost_.assumed());
+}
+
+Micros DiscoverySchedule::nextCallAfterFailure(Micros now, CallFailure failure,
+                                               std::optional<Micros> retryAfter) {
+  if (failure == CallFailure::TurnedAway && !settings_.dedicatedService) cost_.observeRejection();
+  return now + backoff_.nextDelay(failure, cost_.assumed(), retryAfter);
+}
+
+Micros DiscoverySchedule::nextCallAfterMove(Micros now) {
+  backoff_.reset();
+  return now + std::min(spreadDelay(), kMaxDelayAfterMove);
+}
+
+void DiscoverySchedule::callSucceeded(Micros elapsed) {
+  backoff_.reset();
+  cost_.observeAnswer(elapsed);
+}
+
+void DiscoverySchedule::watchSucceeded() { backoff_.reset(); }
+
+Micros DiscoverySchedule::watchDuration() const {
+  return discovery::watchDuration(fleet_, cost_.observedOrAssumed());
+}
+
+}  // namespace heathflow::discovery
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -3,64 +3,64 @@
 #include <algorithm>
 #include <utility>
 
-namespace heathflow::routing {
+namespace heathflow::discovery {
 namespace {
 
-std::string millisecondsOf(Micros time) { return std::to_string(time / transport::kMicrosPerMilli) + " ms"; }
-
-using discovery::CallFailure;
+using routing::Topic;
 using transport::kMicrosPerMilli;
 // PROTOCOL, Discovery: a watch lasts as long as the next call comes within 200 ms. Guards against a tight
-// loop with a service that answers at once though nothing is new.
-constexpr Micros kSoonest = 50'000;
-// The first call, and one after a failure, asks for what is new and waits for nothing.
+// loop with a service that answers at once though nothing has changed.
+constexpr Micros kMinWatchPause = 50'000;
+// The first call, and one after a failure, requests what has changed and does not wait.
 constexpr Micros kNoWait = kMicrosPerMilli;
-// So many calls may be out beside the newest one. One that is closed gives up its place in the service's
-// line, while one that stays may be dead: it was out as the service went down, or its path is cut.
-constexpr std::size_t kOverdueMost = 2;
+// So many timed-out calls may be open beside the newest one. Closing one loses its position in the service's
+// queue, while an open one may be dead: the service was restarted, or the path to it is cut.
+constexpr std::size_t kMaxOverdueCalls = 2;
+
+std::string millisecondsOf(Micros time) { return std::to_string(time / kMicrosPerMilli) + " ms"; }
 
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
-                               discovery::Caller& caller, Observer& observer, OnList onList,
+                               DiscoverySchedule& schedule, routing::Observer& observer, OnList onList,
                                OnFailure onFailure, OnLeaseEnd onLeaseEnd)
     : loop_(loop),
       socketAddress_(socketAddress),
-      caller_(caller),
+      schedule_(schedule),
       observer_(observer),
       onList_(std::move(onList)),
       onFailure_(std::move(onFailure)),
       onLeaseEnd_(std::move(onLeaseEnd)),
-      lease_(loop.now(), caller.ownService()),
+      lease_(loop.now(), schedule.dedicatedService()),
       leaseEnd_(loop, [this] { leaseEnded(); }),
-      answerDue_(loop, [this] { unanswered(); }),
-      next_(loop, [this] { call(nextWait_); }) {
+      callTimeout_(loop, [this] { callTimedOut(); }),
+      nextCall_(loop, [this] { call(nextWait_); }) {
   leaseChanged();
 }
 
 void DiscoveryWatch::subscribe() {
-  wanted_ = true;
-  // A call that is out answers this wish as well, and a watch that stands is one already.
-  if (calling_ || next_.armed()) return;
-  callAt(caller_.first(), kNoWait);
+  subscribed_ = true;
+  // A call that is out or scheduled brings the list already.
+  if (calling_ || nextCall_.armed()) return;
+  callAt(schedule_.firstCallAt(), kNoWait);
 }
 
 void DiscoveryWatch::callAt(Micros at, Micros wait) {
   if (at <= loop_.now()) return call(wait);
   nextWait_ = wait;
-  next_.arm(at);
+  nextCall_.arm(at);
 }
 
-// What the old place still had to say is part of the whole list that the new one gives, so its calls end
-// here. Revisions are not compared across the two.
+// Calls to the old address end here: the complete list of the new one replaces whatever they would bring, and
+// revisions of two services are not comparable.
 void DiscoveryWatch::moveTo(const transport::SocketAddress& socketAddress) {
   if (socketAddress == socketAddress_) return;
   socketAddress_ = socketAddress;
-  hangUp();
+  closeAll();
   revision_ = -1;
-  lease_.moved(loop_.now());
+  lease_.serviceMoved(loop_.now());
   leaseChanged();
-  if (wanted_) callAt(caller_.moved(loop_.now()), kNoWait);
+  if (subscribed_) callAt(schedule_.nextCallAfterMove(loop_.now()), kNoWait);
 }
 
 void DiscoveryWatch::call(Micros wait) {
@@ -69,67 +69,66 @@
   calling_ = true;
   watching_ = wait > kNoWait;
   if (watching_) {
-    lease_.watching(loop_.now(), wait);
+    lease_.watchStarted(loop_.now(), wait);
     leaseChanged();
   }
   ++observer_.counters.discoveryCalls;
-  answerDue_.arm(loop_.now() + (watching_ ? wait + discovery::kAnswerAfterWait : discovery::kAnswerWithin));
+  callTimeout_.arm(loop_.now() + (watching_ ? wait + kWatchResponseTime : kCallTimeout));
   newest_->start(revision_, wait);
 }
 
-// Whichever call is answered first has the newest word: all were asked from the same revision.
+// Whichever call is answered first has the newest list, because all asked for changes after one revision.
 void DiscoveryWatch::onList(DiscoveryCall& call, const protocol::EndpointList& list) {
-  keepOnly(call);
+  closeAllExcept(call);
   calling_ = false;
-  answerDue_.disarm();
-  next_.disarm();
+  callTimeout_.disarm();
+  nextCall_.disarm();
   const Micros elapsed = loop_.now() - call.startedAt();
   if (call.immediate()) {
-    caller_.answered(elapsed);
+    schedule_.callSucceeded(elapsed);
   } else {
-    caller_.told();
+    schedule_.watchSucceeded();
   }
-  noteConfirmed();
-  const bool news = list.revision != revision_;
-  lease_.confirmed(call.provenAt(news));
+  recordRecovery();
+  const bool changed = list.revision != revision_;
+  lease_.renew(call.provenAt(changed));
   revision_ = list.revision;
-  traceList(call, news);
-  const Micros watchFor = caller_.watchFor();
-  const bool early = !news && elapsed < watchFor / 2;
+  traceList(call, changed);
+  const Micros watchDuration = schedule_.watchDuration();
+  const bool early = !changed && elapsed < watchDuration / 2;
   onList_(list);
-  if (!calling_) callAt(loop_.now() + (early ? kSoonest : 0), watchFor);
-  // The routing policy goes by this list now. Where it was long on its way it may have expired already.
+  if (!calling_) callAt(loop_.now() + (early ? kMinWatchPause : 0), watchDuration);
+  // The routing policy uses this list now. An answer that was long delayed may have expired already.
   expired_ = false;
   leaseChanged();
 }
 
-// The list counts again after it had expired.
-void DiscoveryWatch::noteConfirmed() {
+void DiscoveryWatch::recordRecovery() {
   failuresInRow_ = 0;
   if (!expired_) return;
   const Micros lasted = loop_.now() - expiredAt_;
   observer_.counters.listsExpiredFor += static_cast<std::uint64_t>(lasted);
   observer_.note(Topic::Discovery,
-                 "the list is confirmed again, " + millisecondsOf(lasted) + " after it expired");
+                 "the endpoint list is confirmed again, " + millisecondsOf(lasted) + " after it expired");
 }
 
-void DiscoveryWatch::traceList(const DiscoveryCall& call, bool news) {
+void DiscoveryWatch::traceList(const DiscoveryCall& call, bool changed) {
   if (!observer_.tracing) return;
   observer_.trace(Topic::Discovery,
-                  "revision " + std::to_string(revision_) + (news ? ", new" : ", as before") + ", from a " +
-                      (call.immediate() ? "call" : "watch") + " of " +
-                      millisecondsOf(loop_.now() - call.startedAt()) + "; it counts for " +
-                      millisecondsOf(lease_.until() - loop_.now()),
+                  "revision " + std::to_string(revision_) + (changed ? ", changed" : ", unchanged") +
+                      ", from a " + (call.immediate() ? "call" : "watch") + " of " +
+                      millisecondsOf(loop_.now() - call.startedAt()) + "; the list expires in " +
+                      millisecondsOf(lease_.endsAt() - loop_.now()),
                   {});
 }
 
-void DiscoveryWatch::onProblem(DiscoveryCall& call, const CallProblem& problem) {
-  if (&call == newest_.get()) return failed(problem, loop_.now() - call.startedAt());
-  // It has counted as failed since it was overdue.
+void DiscoveryWatch::onError(DiscoveryCall& call, const CallError& error) {
+  if (&call == newest_.get()) return callFailed(error, loop_.now() - call.startedAt());
+  // An overdue call has counted as failed since it timed out.
   if (auto overdue = takeOverdue(call)) loop_.retire(std::move(overdue));
 }
 
-// The overdue call out of their list; null where it is none of them.
+// Removes and returns an overdue call; null where the call is none of them.
 std::unique_ptr<DiscoveryCall> DiscoveryWatch::takeOverdue(const DiscoveryCall& call) {
   const auto at =
       std::find_if(overdue_.begin(), overdue_.end(), [&](const auto& entry) { return entry.get() == &call; });
@@ -140,8 +139,8 @@
 }
 
 void DiscoveryWatch::leaseChanged() {
-  expired_ = expired_ && lease_.until() <= loop_.now();
-  if (!expired_) leaseEnd_.arm(lease_.until());
+  expired_ = expired_ && lease_.endsAt() <= loop_.now();
+  if (!expired_) leaseEnd_.arm(lease_.endsAt());
 }
 
 void DiscoveryWatch::leaseEnded() {
@@ -149,47 +148,55 @@
   expiredAt_ = loop_.now();
   ++observer_.counters.listsExpired;
   observer_.note(Topic::Discovery,
-                 "the list could not be confirmed in time: only members that show that they stood are sent "
-                 "to (revision " +
+                 "the endpoint list expired: only endpoints with current evidence of their own get requests "
+                 "(revision " +
                      std::to_string(revision_) + ", " + std::to_string(failuresInRow_) +
                      " failed calls in a row)");
-  onLeaseEnd_(lease_.vouchesForThoseSince());
+  onLeaseEnd_(lease_.connectedBefore());
 }
 
-// The newest call has no answer in time. It stays open beside the next one.
-void DiscoveryWatch::unanswered() {
+// The call stays open beside the next one.
+void DiscoveryWatch::callTimedOut() {
   const Micros elapsed = loop_.now() - newest_->startedAt();
   overdue_.push_back(std::move(newest_));
-  if (overdue_.size() > kOverdueMost) {
+  if (overdue_.size() > kMaxOverdueCalls) {
     overdue_.front()->close();
     loop_.retire(std::move(overdue_.front()));
     overdue_.erase(overdue_.begin());
   }
-  failed({CallFailure::Silent, "no answer in time", {}}, elapsed);
+  callFailed({CallFailure::Silent, "no answer in time", {}}, elapsed);
 }
 
 // The list stays as it was.
-void DiscoveryWatch::failed(const CallProblem& problem, Micros elapsed) {
+void DiscoveryWatch::callFailed(const CallError& error, Micros elapsed) {
   calling_ = false;
   ++failuresInRow_;
-  answerDue_.disarm();
-  const bool told = problem.how == CallFailure::TurnedAway || problem.how == CallFailure::Broken;
-  if (watching_ && told) lease_.watchEnded(loop_.now());
-  if (watching_ && problem.how == CallFailure::Silent) lease_.watchGivenUp(loop_.now());
-  lease_.callFailed(loop_.now());
-  leaseChanged();
-  callAt(caller_.failed(loop_.now(), problem.how, problem.retryAfter), kNoWait);
+  callTimeout_.disarm();
+  updateLease(error.failure);
+  callAt(schedule_.nextCallAfterFailure(loop_.now(), error.failure, error.retryAfter), kNoWait);
   ++observer_.counters.discoveryFailures;
-  ++observer_.counters.discoveryFailedBy[static_cast<std::size_t>(problem.how)];
-  observer_.note(Topic::Discovery, "a call to discovery failed: " + problem.text + ", " +
-                                       discovery::nameOf(problem.how) + " after " + millisecondsOf(elapsed) +
-                                       ", revision " + std::to_string(revision_) + ", the list counts for " +
-                                       millisecondsOf(lease_.until() - loop_.now()));
+  ++observer_.counters.discoveryFailedBy[static_cast<std::size_t>(error.failure)];
+  logFailure(error, elapsed);
   onFailure_();
 }
 
-// Ends all calls but one, which is the newest from then on.
-void DiscoveryWatch::keepOnly(DiscoveryCall& call) {
+void DiscoveryWatch::updateLease(CallFailure failure) {
+  const bool endedByService = failure == CallFailure::TurnedAway || failure == CallFailure::Broken;
+  if (watching_ && endedByService) lease_.watchEnded(loop_.now());
+  if (watching_ && failure == CallFailure::Silent) lease_.watchTimedOut(loop_.now());
+  lease_.callFailed(loop_.now());
+  leaseChanged();
+}
+
+void DiscoveryWatch::logFailure(const CallError& error, Micros elapsed) {
+  observer_.note(Topic::Discovery, "a call to the list service failed: " + error.message + ", " +
+                                       nameOf(error.failure) + " after " + millisecondsOf(elapsed) +
+                                       ", revision " + std::to_string(revision_) + ", the list expires in " +
+                                       millisecondsOf(lease_.endsAt() - loop_.now()));
+}
+
+// The remaining call is the newest from then on.
+void DiscoveryWatch::closeAllExcept(DiscoveryCall& call) {
   if (&call != newest_.get()) {
     if (newest_) overdue_.push_back(std::move(newest_));
     newest_ = takeOverdue(call);
@@ -205,12 +212,12 @@
   overdue_.clear();
 }
 
-void DiscoveryWatch::hangUp() {
+void DiscoveryWatch::closeAll() {
   calling_ = false;
-  answerDue_.disarm();
-  next_.disarm();
+  callTimeout_.disarm();
+  nextCall_.disarm();
   if (newest_) overdue_.push_back(std::move(newest_));
   closeOverdue();
 }
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::discovery
--- /dev/null
+++ b/src/discovery/endpoint_directory.cpp
@@ -0,0 +1,124 @@
+#include "discovery/endpoint_directory.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "common/hash.h"
+
+namespace heathflow::discovery {
+namespace {
+
+using protocol::ListedEndpoint;
+using routing::Topic;
+using transport::kMicrosPerMilli;
+using Phase = ListedEndpoint::Phase;
+// With more names than this, removed ones are forgotten, which bounds memory.
+constexpr std::size_t kMaxNamesKept = 4096;
+
+const char* phaseName(Phase phase) {
+  if (phase == Phase::Ready) return "ready";
+  return phase == Phase::Gone ? "gone" : "draining";
+}
+
+EndpointStatus statusOf(Phase phase) {
+  if (phase == Phase::Gone) return EndpointStatus::Removed;
+  return phase == Phase::Ready ? EndpointStatus::Ready : EndpointStatus::Draining;
+}
+
+}  // namespace
+
+// A name has the same id at every gateway, because the routing policy sorts by it.
+EndpointDirectory::Entry& EndpointDirectory::entryFor(const std::string& name) {
+  const auto [entry, isNew] = byName_.try_emplace(name);
+  if (isNew) {
+    EndpointId id = hashOf(name);
+    while (names_.contains(id)) ++id;
+    entry->second.id = id;
+    names_.emplace(id, name);
+  }
+  return entry->second;
+}
+
+void EndpointDirectory::forgetRemoved() {
+  if (byName_.size() <= kMaxNamesKept) return;
+  std::erase_if(byName_, [this](const auto& entry) {
+    if (!entry.second.removed) return false;
+    names_.erase(entry.second.id);
+    launches_.forget(entry.first);
+    pool_.forget(entry.second.id);
+    return true;
+  });
+}
+
+// Where each protocol reaches an endpoint: at the port that the list names, else at the default port of the
+// same machine.
+EndpointDirectory::SocketAddresses EndpointDirectory::addressesOf(
+    const ListedEndpoint& listed, const transport::SocketAddress& listedAddress) const {
+  const auto ofGroup = portsByGroup_.find(listed.cell);
+  const ProtocolPorts& ports = ofGroup == portsByGroup_.end() ? defaultPorts_ : ofGroup->second;
+  SocketAddresses out(ports.size());
+  for (std::size_t i = 0; i < ports.size(); ++i) {
+    const auto listedPort = std::find_if(listed.ports.begin(), listed.ports.end(),
+                                         [&](const auto& entry) { return entry.first == ports[i].protocol; });
+    if (ports[i].atListedAddress) {
+      out[i] = listedAddress;
+    } else if (ports[i].spoken && listedPort != listed.ports.end()) {
+      out[i] = transport::SocketAddress{listedAddress.address, listedPort->second};
+    } else if (ports[i].spoken && ports[i].defaultPort != 0) {
+      out[i] = transport::SocketAddress{listedAddress.address, ports[i].defaultPort};
+    }
+  }
+  return out;
+}
+
+void EndpointDirectory::traceChange(Entry& entry, const ListedEndpoint& listed) const {
+  if (entry.phase == listed.phase) return;
+  entry.phase = listed.phase;
+  if (!observer_.tracing) return;
+  observer_.trace(Topic::Endpoints, listed.id + " at " + listed.hostPort + " is " + phaseName(listed.phase),
+                  {});
+}
+
+Endpoint EndpointDirectory::endpointOf(const ListedEndpoint& listed, EndpointId id) {
+  Endpoint out;
+  out.id = id;
+  out.group = listed.cell;
+  out.status = statusOf(listed.phase);
+  out.zone = static_cast<std::uint32_t>(hashOf(listed.locality));
+  if (out.status != EndpointStatus::Removed)
+    out.startedAt = launches_.launchedAt(listed.id, listed.upSinceMs * kMicrosPerMilli);
+  out.size = listed.size;
+  out.listedPrimary = listed.primary;
+  return out;
+}
+
+EndpointsChanged EndpointDirectory::apply(const protocol::EndpointList& list, transport::Micros now,
+                                          bool confirmed) {
+  launches_.beginList(now, confirmed);
+  ++observer_.counters.listsTaken;
+  EndpointsChanged event;
+  event.scope = list.complete ? EndpointsChanged::Scope::Full : EndpointsChanged::Scope::Delta;
+  if (list.complete) {
+    for (auto& [name, entry] : byName_) entry.removed = true;
+  }
+  for (const ListedEndpoint& listed : list.endpoints) {
+    const bool removed = listed.phase == Phase::Gone;
+    if (removed && !byName_.contains(listed.id)) continue;
+    Entry& entry = entryFor(listed.id);
+    entry.removed = removed;
+    traceChange(entry, listed);
+    if (!removed) {
+      const auto address = transport::parseSocketAddress(listed.hostPort);
+      if (!address) {
+        observer_.note(Topic::Discovery, "an endpoint's address can't be parsed: " + listed.hostPort);
+        continue;
+      }
+      pool_.place(entry.id, addressesOf(listed, *address));
+    }
+    event.endpoints.push_back(endpointOf(listed, entry.id));
+  }
+  forgetRemoved();
+  return event;
+}
+
+}  // namespace heathflow::discovery
--- a/src/discovery/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -1,5 +1,5 @@
-// For how long a list of endpoints may be acted on without further word from the list service. Decisions
-// only, under any one clock.
+// For how long an endpoint list may be used without confirmation by the list service. Decisions only, under
+// any one clock.
 #pragma once
 
 #include <algorithm>
@@ -8,65 +8,67 @@
 
 namespace heathflow::discovery {
 
-using Micros = std::int64_t;  // a clock reading or a duration, microseconds
+using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
-// STANDING: whatever else is allowed after a failed, rejected or given-up call, and after a silent watch, a
-// change counts as told so long after the service had it and could be reached.
-inline constexpr Micros kToldWithin = 6'000'000;
-// STANDING: for a call that may wait it is so long after that wait is over, if that is later.
-inline constexpr Micros kToldAfterWait = 2'000'000;
+// STANDING: a gateway counts as notified of a change so long after the service had it and could be reached,
+// whatever calls failed, were rejected or given up.
+inline constexpr Micros kNotificationDeadline = 6'000'000;
+// STANDING: of a watch it is so long after its wait, if that is later.
+inline constexpr Micros kNotificationAfterWatch = 2'000'000;
+// STANDING: after a move of the service (SIGHUP) the gateway counts as notified of its list so much later.
+inline constexpr Micros kNotificationAfterMove = 4'000'000;
 
-// STANDING: after the service has moved (SIGHUP) what the new place has counts so much later.
-inline constexpr Micros kToldAfterMove = 4'000'000;
+// The longest time for which an event of a rejected watch may have waited in the service's queue.
+inline constexpr Micros kMaxServiceQueueTime = kNotificationDeadline / 2;
 
-// A watch that the service turns away may have had news that waited in the service's line, for so long at the
-// most.
-inline constexpr Micros kInLineAtMost = kToldWithin / 2;
+// The longest time until the list service has recorded an endpoint's return (BENCH, site files: 'add_s').
+inline constexpr Micros kMaxReturnRecordingDelay = 2'000'000;
 
-// The list service learns of an endpoint's return so much later at the most (BENCH, site files: 'add_s'). A
-// endpoint that has stood for so long when a list is true is there by that list's word.
-inline constexpr Micros kReturnRecorded = 2'000'000;
-
-// A lease on the list: until it ends, each change counts as told no earlier than the list service tells it
-// over a call that works. Past its end a change may have been missed and count as told.
+// A lease on the list. Until it ends, the gateway counts as notified of a change no earlier than the service
+// sends it over a call that works. After its end the list may lack a change that counts.
 class ListLease {
  public:
-  // Of a process that starts with a list of an earlier life. 'pushed': what the service has counts at once;
-  // else the old list counts until a first call has failed.
-  ListLease(Micros now, bool pushed) : until_(pushed ? now : now + kToldWithin) {}
+  // For a process that starts with a cached list.
+  // @param pushed changes count as soon as the service has them; else the cached list may be used until a
+  //        call has failed.
+  ListLease(Micros now, bool pushed) : endsAt_(pushed ? now : now + kNotificationDeadline) {}
 
-  // The service has answered: the list was true at that time. An answer may have been long on its way.
-  void confirmed(Micros provenAt) {
-    confirmedInThisLife_ = true;
-    assured_ = until_ = provenAt + kToldWithin;
+  // The service has answered. The answer may have been delayed.
+  // @param provenAt when the list is known to have been true.
+  void renew(Micros provenAt) {
+    wasRenewed_ = true;
+    renewedUntil_ = endsAt_ = provenAt + kNotificationDeadline;
+  }
+  // A watch begins, which waits for so long.
+  void watchStarted(Micros now, Micros wait) {
+    endsAt_ = std::max(endsAt_, now + wait + kNotificationAfterWatch);
+  }
+  // A watch was rejected, or its connection broke: up to now it would have delivered changes, except those in
+  // the service's queue.
+  void watchEnded(Micros now) {
+    endsAt_ = std::max(renewedUntil_, now + kNotificationDeadline - kMaxServiceQueueTime);
   }
-  // A watch goes on from an answer, and waits for so long.
-  void watching(Micros now, Micros wait) { until_ = std::max(until_, now + wait + kToldAfterWait); }
-  // A watch has ended with a word from the service or with its connection: its wait is over. Until now it
-  // would have told, but for what waited in the service's line.
-  void watchEnded(Micros now) { until_ = std::max(assured_, now + kToldWithin - kInLineAtMost); }
-  // A watch was silent beyond its wait and has been given up: what changed since the list was last true may
-  // count by now.
-  void watchGivenUp(Micros now) { until_ = std::max(assured_, now); }
-  // A call has brought nothing.
+  // A watch had no response after its wait: a change since the last confirmation may count by now.
+  void watchTimedOut(Micros now) { endsAt_ = std::max(renewedUntil_, now); }
+  // A call brought no list.
   void callFailed(Micros now) {
-    if (!confirmedInThisLife_) until_ = std::min(until_, now);
+    if (!wasRenewed_) endsAt_ = std::min(endsAt_, now);
   }
-  // The service is elsewhere from now on.
-  void moved(Micros now) { until_ = std::min(until_, now + kToldAfterMove); }
+  // The service is reached at another address from now on.
+  void serviceMoved(Micros now) { endsAt_ = std::min(endsAt_, now + kNotificationAfterMove); }
 
-  Micros until() const { return until_; }
-  // An endpoint that has stood since then, without a break, was there by the word of the newest list of this
-  // life and has not been removed since. Nothing: there was no list.
-  std::optional<Micros> vouchesForThoseSince() const {
-    if (!confirmedInThisLife_) return std::nullopt;
-    return assured_ - kToldWithin - kReturnRecorded;
+  Micros endsAt() const { return endsAt_; }
+  // An endpoint with a connection that has stood since then was in the newest confirmed list and has not been
+  // removed since. Nothing where this process has no confirmed list.
+  std::optional<Micros> connectedBefore() const {
+    if (!wasRenewed_) return std::nullopt;
+    return renewedUntil_ - kNotificationDeadline - kMaxReturnRecordingDelay;
   }
 
  private:
-  bool confirmedInThisLife_ = false;
-  Micros assured_ = 0;  // by the last answer alone
-  Micros until_;
+  bool wasRenewed_ = false;  // by this process
+  Micros renewedUntil_ = 0;  // by the last answer alone, without watches
+  Micros endsAt_;
 };
 
 }  // namespace heathflow::discovery
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -6,6 +6,8 @@
 #include <stdexcept>
 #include <utility>
 
+#include "discovery/cached_list_trust.h"
+#include "discovery/crash_loop_delay.h"
 #include "protocol/bolt_protocol.h"
 #include "protocol/pg_protocol.h"
 
@@ -95,19 +97,19 @@
 
 // Of endpoints whose family is not named: the platform's protocol at the listed address, others where the
 // list names their port.
-routing::Directory::Doors usualDoors(const Protocols& protocols) {
-  routing::Directory::Doors out;
+discovery::ProtocolPorts usualDoors(const Protocols& protocols) {
+  discovery::ProtocolPorts out;
   for (const auto& protocol : protocols) {
     out.push_back({std::string(protocol->name()), true, protocol->name() == kFirstProtocol, 0});
   }
   return out;
 }
 
-std::unordered_map<GroupId, routing::Directory::Doors> familyDoors(
+std::unordered_map<GroupId, discovery::ProtocolPorts> familyDoors(
     const Protocols& protocols, const installation::Installation& installation) {
-  std::unordered_map<GroupId, routing::Directory::Doors> out;
+  std::unordered_map<GroupId, discovery::ProtocolPorts> out;
   for (const auto& family : installation.families) {
-    routing::Directory::Doors& doors = out[family.cluster];
+    discovery::ProtocolPorts& doors = out[family.cluster];
     for (const auto& protocol : protocols) {
       const auto spoken = std::find_if(family.protocols.begin(), family.protocols.end(),
                                        [&](const auto& entry) { return entry.protocol == protocol->name(); });
@@ -127,18 +129,18 @@
   return std::min(longest, kDeadlineCountedAtMost) + kKillAfterDeadline - kBeforeKill;
 }
 
-discovery::CallerSettings callerSettings(const Config& config,
-                                         const std::optional<snapshot::Snapshot>& earlier) {
-  discovery::CallerSettings out;
-  out.name = config.name;
+discovery::DiscoveryScheduleSettings scheduleSettings(const Config& config,
+                                                      const std::optional<snapshot::Snapshot>& earlier) {
+  discovery::DiscoveryScheduleSettings out;
+  out.gatewayName = config.name;
   // Where lists are pushed each gateway has its agent for itself.
-  out.ownService = !config.settings.logic.discoveryIsPolled;
-  out.gateways = out.ownService ? 1 : config.settings.logic.gatewayCount;
+  out.dedicatedService = !config.settings.logic.discoveryIsPolled;
+  out.gatewayCount = out.dedicatedService ? 1 : config.settings.logic.gatewayCount;
   out.maxPollInterval = config.settings.logic.maxPollInterval;
   out.seed = config.seed;
   if (!earlier) return out;
-  out.cost = earlier->callCost;
-  out.rest = discovery::restAfter(earlier->youngDeaths, out.maxPollInterval);
+  out.callCost = earlier->callCost;
+  out.startDelay = discovery::crashLoopDelay(earlier->youngDeaths, out.maxPollInterval);
   return out;
 }
 
@@ -174,15 +176,15 @@
       router_(loop, withMemory(config.settings, earlier), config.seed, pool_, observer),
       observer_(observer),
       directory_(pool_, usualDoors(protocols_), familyDoors(protocols_, installation), observer),
-      caller_(callerSettings(config, earlier), loop.now()),
+      schedule_(scheduleSettings(config, earlier), loop.now()),
       watch_(
-          loop, config.discovery, caller_, observer,
+          loop, config.discovery, schedule_, observer,
           [this](const protocol::EndpointList& list) { take(list); },
           [this] {
             router_.endpointsChanged({EndpointsChanged::Scope::Failed, {}});
           },
-          [this](std::optional<Micros> stoodBefore) {
-            router_.listExpired({discovery::kToldWithin, stoodBefore});
+          [this](std::optional<Micros> connectedBefore) {
+            router_.listExpired({discovery::kNotificationDeadline, connectedBefore});
           }),
       shared_(config.settings.classNames) {
   if (earlier) memory_ = *earlier;
@@ -234,9 +236,9 @@
   // The list as it was last known comes first, as old as it may be.
   protocol::EndpointList known = config_.known;
   known.complete = true;
-  discovery::BeliefSettings settings;
+  discovery::CachedListSettings settings;
   settings.maxPollInterval = config_.settings.logic.maxPollInterval;
-  settings.listFor = installation_.snapshot.listFor * kMicrosPerSecond;
+  settings.maxAge = installation_.snapshot.listFor * kMicrosPerSecond;
   settings.healthChecksAllowed = config_.settings.logic.healthChecksAllowed;
   // Of two old lists the one of the higher revision. Another service's revisions say nothing of this one's: a
   // list that it gave is not gone on from.
@@ -246,7 +248,7 @@
   memory_.source = toText(config_.discovery);
   if (!installation_.snapshot.file.empty()) memory_.list = known;
   watch_.startFrom(known.revision);
-  router_.endpointsChanged(directory_.take(known, loop_.now(), false));
+  router_.endpointsChanged(directory_.apply(known, loop_.now(), false));
   router_.start();
   router_.checker().startsTaking();
   // Where lists are pushed the routing policy asks for nothing: on sockets a push comes over a watch all the
@@ -267,14 +269,14 @@
     if (!movedTo_.empty()) memory_.source = std::exchange(movedTo_, {});
     protocol::apply(list, memory_.list);
   }
-  router_.endpointsChanged(directory_.take(list, loop_.now(), true));
+  router_.endpointsChanged(directory_.apply(list, loop_.now(), true));
 }
 
 snapshot::Snapshot Gateway::remember() const {
   snapshot::Snapshot out = memory_;
   out.name = config_.name;
   out.writtenAt = loop_.now();
-  out.callCost = caller_.cost();
+  out.callCost = schedule_.callCost();
   const auto served = observer_.counters.attemptsEnded[static_cast<std::size_t>(AttemptOutcome::Ok)];
   if (served >= kAnswersToTell)
     out.initialLatency = static_cast<Micros>(observer_.counters.answersTook / served);
--- a/src/program/gateway.h
+++ b/src/program/gateway.h
@@ -5,9 +5,9 @@
 #include <memory>
 #include <vector>
 
-#include "discovery/caller.h"
-#include "discovery/directory.h"
+#include "discovery/discovery_schedule.h"
 #include "discovery/discovery_watch.h"
+#include "discovery/endpoint_directory.h"
 #include "downstream/client_listener.h"
 #include "installation/installation.h"
 #include "program/config.h"
@@ -52,9 +52,9 @@
   routing::ConnectionPool pool_;
   routing::Router router_;
   routing::Observer& observer_;
-  routing::Directory directory_;
-  discovery::Caller caller_;
-  routing::DiscoveryWatch watch_;
+  discovery::EndpointDirectory directory_;
+  discovery::DiscoverySchedule schedule_;
+  discovery::DiscoveryWatch watch_;
   snapshot::Snapshot memory_;  // of the list as it is, and of earlier lives
   std::string movedTo_;        // the list service's new place, while the list is still of the old one
   routing::ClientSession::Shared shared_;
--- a/src/program/keeper.cpp
+++ b/src/program/keeper.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "discovery/belief.h"
+#include "discovery/crash_loop_delay.h"
 #include "program/log.h"
 
 namespace heathflow::program {
@@ -38,7 +38,8 @@
   ++youngDeaths_;
   // Nothing is asked yet: there is time to wait for the disk.
   owed_ = !write(files::Durable::Yes);
-  next_.arm(begunAt_ + std::min<transport::Micros>(discovery::kYoung, settings_.every * kMicrosPerSecond));
+  next_.arm(begunAt_ +
+            std::min<transport::Micros>(discovery::kEarlyCrashTime, settings_.every * kMicrosPerSecond));
 }
 
 void Keeper::end() {
@@ -49,7 +50,7 @@
 }
 
 void Keeper::turn() {
-  const bool grown = youngDeaths_ > 0 && loop_.now() - begunAt_ >= discovery::kYoung;
+  const bool grown = youngDeaths_ > 0 && loop_.now() - begunAt_ >= discovery::kEarlyCrashTime;
   if (grown) youngDeaths_ = 0;
   owed_ = owed_ || grown;
   // Requests are out: what would have to wait for the disk would hold them up.
--- a/src/program/reloading.cpp
+++ b/src/program/reloading.cpp
@@ -11,7 +11,7 @@
     : loop_(loop), gateway_(gateway), otherwise_(std::move(otherwise)), again_(loop, [this] { attempt(); }) {}
 
 void Reloading::begin() {
-  retry_ = discovery::StartRetry(discovery::kReloadWithin);
+  retry_ = StartupBackoff(kReloadRetryTime);
   attempt();
 }
 
@@ -24,7 +24,7 @@
     gateway_.reload(fresh);
     return logLine("the configuration was read again: discovery at " + toText(fresh.discovery));
   }
-  const discovery::Micros wait = error == 0 ? -1 : retry_.next(error);
+  const std::int64_t wait = error == 0 ? -1 : retry_.nextDelay(error);
   if (wait < 0) return logLine("the configuration stays as it was: " + problem);
   again_.arm(loop_.now() + wait);
 }
--- a/src/program/reloading.h
+++ b/src/program/reloading.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "discovery/start_retry.h"
+#include "common/startup_backoff.h"
 #include "program/gateway.h"
 #include "transport/event_loop.h"
 
@@ -24,7 +24,7 @@
   transport::EventLoop& loop_;
   Gateway& gateway_;
   std::string otherwise_;
-  discovery::StartRetry retry_;
+  StartupBackoff retry_;
   transport::Timer again_;
 };
 
--- a/src/program/starting.cpp
+++ b/src/program/starting.cpp
@@ -4,16 +4,16 @@
 #include <ctime>
 #include <system_error>
 
-#include "discovery/start_retry.h"
+#include "common/startup_backoff.h"
 #include "program/log.h"
 
 namespace heathflow::program {
 namespace {
 
-constexpr discovery::Micros kMicrosPerSecond = 1'000'000;
+constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr long kNanosPerMicro = 1000;
 
-void rest(discovery::Micros span) {
+void rest(std::int64_t span) {
   const timespec time{span / kMicrosPerSecond, span % kMicrosPerSecond * kNanosPerMicro};
   ::nanosleep(&time, nullptr);
 }
@@ -29,12 +29,12 @@
 }  // namespace
 
 int untilStarted(const std::string& what, const std::function<int()>& attempt) {
-  discovery::StartRetry retry;
+  StartupBackoff retry;
   bool told = false;
   for (;;) {
     const int error = errorOf(attempt);
     if (error == 0) return 0;
-    const discovery::Micros wait = retry.next(error);
+    const std::int64_t wait = retry.nextDelay(error);
     if (wait < 0) return error;
     if (!told) logLine(what + " is tried again: " + std::strerror(error));
     told = true;
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -138,14 +138,14 @@
 }
 
 std::optional<protocol::EndpointList> believed(const Snapshot& snapshot, Micros now,
-                                               const discovery::BeliefSettings& settings) {
+                                               const discovery::CachedListSettings& settings) {
   if (snapshot.listTrueAt <= 0) return {};
-  const discovery::Belief belief = discovery::believe(now - snapshot.listTrueAt, settings);
-  if (!belief.endpoints) return {};
+  const discovery::CachedListTrust trust = discovery::trustInCachedList(now - snapshot.listTrueAt, settings);
+  if (!trust.endpoints) return {};
   protocol::EndpointList out = snapshot.list;
   for (protocol::ListedEndpoint& endpoint : out.endpoints) {
-    endpoint.primary = endpoint.primary && belief.roles;
-    if (!belief.drains && endpoint.phase == protocol::ListedEndpoint::Phase::Terminating)
+    endpoint.primary = endpoint.primary && trust.roles;
+    if (!trust.drains && endpoint.phase == protocol::ListedEndpoint::Phase::Terminating)
       endpoint.phase = protocol::ListedEndpoint::Phase::Ready;
   }
   return out;
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "discovery/belief.h"
+#include "discovery/cached_list_trust.h"
 #include "files/files.h"
 #include "protocol/endpoint_list.h"
 
@@ -34,7 +34,7 @@
 
 // The list as far as it may be believed at a time; nothing where it may not be used.
 std::optional<protocol::EndpointList> believed(const Snapshot& snapshot, Micros now,
-                                               const discovery::BeliefSettings& settings);
+                                               const discovery::CachedListSettings& settings);
 
 // Reads a file. One whose content can't be used is set aside beside itself, under a name that says so, and
 // its problem is told; one that can't be read stays. Without a file there is no problem.
--- a/src/tools/startup_sim.cpp
+++ b/src/tools/startup_sim.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "common/uniform.h"
-#include "discovery/caller.h"
+#include "discovery/discovery_schedule.h"
 #include "emulator/list_model.h"
 
 namespace {
@@ -44,15 +44,15 @@
 // The program's own, with the cost of a call known from an earlier life, or not.
 MakeWay byName(std::optional<Micros> cost) {
   return [cost](unsigned number, unsigned gateways, Micros upAt, std::mt19937_64& random) {
-    discovery::CallerSettings settings;
-    settings.name = "n" + std::to_string(number);
-    settings.gateways = gateways;
+    discovery::DiscoveryScheduleSettings settings;
+    settings.gatewayName = "n" + std::to_string(number);
+    settings.gatewayCount = gateways;
     settings.maxPollInterval = kAskWithin;
-    settings.cost = cost;
+    settings.callCost = cost;
     settings.seed = random();
-    const auto caller = std::make_shared<discovery::Caller>(settings, upAt);
-    return Way{[caller] { return caller->first(); },
-               [caller](Micros now, CallFailure how) { return caller->failed(now, how); }};
+    const auto schedule = std::make_shared<discovery::DiscoverySchedule>(settings, upAt);
+    return Way{[schedule] { return schedule->firstCallAt(); },
+               [schedule](Micros now, CallFailure how) { return schedule->nextCallAfterFailure(now, how); }};
   };
 }
 
@@ -126,7 +126,7 @@
     const auto answer = model.call(now, -1, false);
     if (answer->kind == ListModel::Answer::Kind::Served) {
       out.last = std::max(out.last, answer->at);
-      if (answer->at > discovery::kToldWithin) ++out.late;
+      if (answer->at > discovery::kNotificationDeadline) ++out.late;
     } else {
       due.emplace(ways[number].again(now, CallFailure::TurnedAway), number);
     }
--- /dev/null
+++ b/tests/list_lease_test.cpp
@@ -0,0 +1,88 @@
+// For how long an endpoint list may be used without confirmation.
+#include "discovery/list_lease.h"
+
+#include <gtest/gtest.h>
+
+namespace heathflow::discovery {
+namespace {
+
+constexpr Micros kMs = 1000;
+constexpr Micros kS = 1000 * kMs;
+
+TEST(ListLease, EndSixSecondsAfterTheLastConfirmation) {
+  ListLease lease(kS, false);
+  EXPECT_EQ(lease.endsAt(), 7 * kS);
+  lease.renew(3 * kS);
+  EXPECT_EQ(lease.endsAt(), 9 * kS);
+  lease.callFailed(4 * kS);
+  EXPECT_EQ(lease.endsAt(), 9 * kS);
+  lease.serviceMoved(4 * kS);
+  EXPECT_EQ(lease.endsAt(), 8 * kS);
+}
+
+// A delayed answer does not confirm what changed after it was written.
+TEST(ListLease, StartWhenTheListWasTrueAndNotWhenItArrived) {
+  ListLease lease(0, false);
+  lease.renew(3 * kS);
+  lease.watchStarted(3 * kS, 2 * kS);
+  lease.renew(4 * kS);
+  EXPECT_EQ(lease.endsAt(), 10 * kS);
+}
+
+// A change since the last confirmation may count by now.
+TEST(ListLease, EndWithAWatchThatTimedOut) {
+  ListLease lease(0, false);
+  lease.renew(3 * kS);
+  lease.watchStarted(3 * kS, 10 * kS);
+  lease.watchTimedOut(13700 * kMs);
+  EXPECT_EQ(lease.endsAt(), 13700 * kMs);
+  lease.renew(20 * kS);
+  lease.watchStarted(20 * kS, 2 * kS);
+  lease.watchTimedOut(22700 * kMs);
+  EXPECT_EQ(lease.endsAt(), 26 * kS);
+}
+
+// An endpoint's return may be recorded 2 s late, so that a list proves connections older than that.
+TEST(ListLease, ProveConnectionsThatAreOlderThanTheList) {
+  ListLease lease(kS, false);
+  EXPECT_FALSE(lease.connectedBefore());
+  lease.renew(10 * kS);
+  EXPECT_EQ(lease.connectedBefore(), 8 * kS);
+  lease.watchStarted(10 * kS, 60 * kS);
+  lease.watchEnded(40 * kS);
+  EXPECT_EQ(lease.connectedBefore(), 8 * kS);
+}
+
+TEST(ListLease, LastUntilTwoSecondsAfterTheWaitOfAWatch) {
+  ListLease lease(kS, false);
+  lease.renew(3 * kS);
+  lease.watchStarted(3 * kS, 2 * kS);
+  EXPECT_EQ(lease.endsAt(), 9 * kS);
+  lease.watchStarted(3 * kS, 10 * kS);
+  EXPECT_EQ(lease.endsAt(), 15 * kS);
+}
+
+// A change after the rejection counts 6 s later; one before it may have waited in the service's queue.
+TEST(ListLease, EndSoonAfterAWatchWasRejected) {
+  ListLease lease(0, false);
+  lease.renew(3 * kS);
+  lease.watchStarted(3 * kS, 60 * kS);
+  lease.watchEnded(4 * kS);
+  EXPECT_EQ(lease.endsAt(), 9 * kS) << "as without a watch";
+  lease.renew(10 * kS);
+  lease.watchStarted(10 * kS, 60 * kS);
+  lease.watchEnded(40 * kS);
+  EXPECT_EQ(lease.endsAt(), 43 * kS);
+}
+
+// A cached list may be of any age. Pushed changes count at once, so that there it has no lease at all.
+TEST(ListLease, OfACachedListEndWithTheFirstFailure) {
+  ListLease polled(kS, false);
+  EXPECT_EQ(polled.endsAt(), 7 * kS);
+  polled.callFailed(2 * kS);
+  EXPECT_EQ(polled.endsAt(), 2 * kS);
+  EXPECT_EQ(ListLease(kS, true).endsAt(), kS);
+}
+
+}  // namespace
+}  // namespace heathflow::discovery
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -440,7 +440,7 @@
   site.service.goDown();
   site.start();
   for (auto& child : site.children) {
-    ASSERT_TRUE(site.until([&] { return child->says("a call to discovery failed"); })) << child->log();
+    ASSERT_TRUE(site.until([&] { return child->says("a call to the list service failed"); })) << child->log();
     EXPECT_FALSE(child->over());
   }
   site.service.comeUp();
