--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -140,7 +140,7 @@
   out.seed = config.seed;
   if (!earlier) return out;
   out.callCost = earlier->callCost;
-  out.startDelay = discovery::crashLoopDelay(earlier->youngDeaths, out.maxPollInterval);
+  out.startDelay = discovery::crashLoopDelay(earlier->earlyCrashes, out.maxPollInterval);
   return out;
 }
 
@@ -242,7 +242,7 @@
   settings.healthChecksAllowed = config_.settings.logic.healthChecksAllowed;
   // Of two old lists the one of the higher revision. Another service's revisions say nothing of this one's: a
   // list that it gave is not gone on from.
-  const auto kept = snapshot::believed(memory_, loop_.now(), settings);
+  const auto kept = snapshot::trustedList(memory_, loop_.now(), settings);
   const bool samePlace = memory_.source == toText(config_.discovery);
   if (kept && samePlace && kept->revision > known.revision) known = *kept;
   memory_.source = toText(config_.discovery);
--- a/src/program/keeper.cpp
+++ b/src/program/keeper.cpp
@@ -28,7 +28,7 @@
     : loop_(loop),
       settings_(settings),
       gateway_(gateway),
-      youngDeaths_(earlier ? earlier->youngDeaths : 0),
+      youngDeaths_(earlier ? earlier->earlyCrashes : 0),
       next_(loop, [this] { turn(); }) {}
 
 void Keeper::begin() {
@@ -60,7 +60,7 @@
 
 bool Keeper::write(files::Durable durable) {
   snapshot::Snapshot now = gateway_.remember();
-  now.youngDeaths = youngDeaths_;
+  now.earlyCrashes = youngDeaths_;
   std::string problem;
   const bool good = snapshot::save(settings_.file, now, durable, problem);
   if (!good && !failing_) logLine(problem);  // once, until it goes well again
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -2,48 +2,57 @@
 
 #include <xxhash.h>
 
-#include <array>
 #include <cerrno>
 #include <cstdio>
 #include <cstring>
+#include <exception>
 #include <msgpack.hpp>
 #include <tuple>
+#include <utility>
 #include <vector>
 
 namespace heathflow::snapshot {
 namespace {
 
-constexpr std::string_view kMark = "heathflow-snapshot\n";
+// A file begins with the magic text, the version and the checksum of the content, both little-endian.
+constexpr std::string_view kMagic = "heathflow-snapshot\n";
+constexpr std::size_t kVersionSize = 4;
+constexpr std::size_t kChecksumSize = 8;
+constexpr std::size_t kHeaderSize = kMagic.size() + kVersionSize + kChecksumSize;
 // Version 1 had no source.
 constexpr std::uint32_t kVersion = 2;
-constexpr std::uint32_t kVersionLeast = 1;
-// Guards memory against a file that can't be meant.
-constexpr std::size_t kFileLimit = 16 << 20;
-constexpr std::size_t kEndpointsMost = 100'000;
-constexpr int kReadTries = 3;
-
-using Port = std::tuple<std::string, std::uint16_t>;
-using Entry = std::tuple<std::string, std::string, std::string, std::uint32_t, std::uint8_t, double,
-                         std::int64_t, bool, std::vector<Port>>;
-using ContentWithoutSource = std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t,
-                                        std::vector<Entry>, std::int64_t, std::uint32_t, std::int64_t>;
-
-using Content = std::tuple<ContentWithoutSource, std::string>;
-
-std::string number(std::uint64_t value, std::size_t bytes) {
+constexpr std::uint32_t kOldestVersion = 1;
+// Bound the memory that a file can take.
+constexpr std::size_t kMaxFileSize = 16 << 20;
+constexpr std::size_t kMaxEndpoints = 100'000;
+constexpr std::size_t kMaxMapSize = 64;
+constexpr std::size_t kMaxDepth = 16;
+constexpr int kReadAttempts = 3;
+// Stands for an unknown cost in the file.
+constexpr std::int64_t kNoCallCost = -1;
+
+// The file's content, as arrays: the order of the fields is the format.
+using PortRecord = std::tuple<std::string, std::uint16_t>;
+using EndpointRecord = std::tuple<std::string, std::string, std::string, std::uint32_t, std::uint8_t, double,
+                                  std::int64_t, bool, std::vector<PortRecord>>;
+using Version1Record = std::tuple<std::string, std::int64_t, std::int64_t, std::int64_t,
+                                  std::vector<EndpointRecord>, std::int64_t, std::uint32_t, std::int64_t>;
+using Version2Record = std::tuple<Version1Record, std::string>;
+
+std::string littleEndian(std::uint64_t value, std::size_t size) {
   std::string out;
-  for (std::size_t i = 0; i < bytes; ++i) out += static_cast<char>(value >> (8 * i));
+  for (std::size_t i = 0; i < size; ++i) out += static_cast<char>(value >> (8 * i));
   return out;
 }
 
-std::uint64_t numberAt(std::string_view bytes) {
+std::uint64_t fromLittleEndian(std::string_view bytes) {
   std::uint64_t out = 0;
   for (std::size_t i = bytes.size(); i-- > 0;) out = out << 8 | static_cast<unsigned char>(bytes[i]);
   return out;
 }
 
-Entry entryOf(const protocol::ListedEndpoint& endpoint) {
-  std::vector<Port> ports(endpoint.ports.begin(), endpoint.ports.end());
+EndpointRecord recordOf(const protocol::ListedEndpoint& endpoint) {
+  const std::vector<PortRecord> ports(endpoint.ports.begin(), endpoint.ports.end());
   return {endpoint.id,
           endpoint.hostPort,
           endpoint.locality,
@@ -55,80 +64,89 @@
           ports};
 }
 
-bool readEntry(const Entry& entry, protocol::ListedEndpoint& out) {
+// Throws msgpack::type_error where the phase is unknown.
+protocol::ListedEndpoint endpointOf(const EndpointRecord& record) {
+  protocol::ListedEndpoint out;
   std::uint8_t phase = 0;
-  std::vector<Port> ports;
+  std::vector<PortRecord> ports;
   std::tie(out.id, out.hostPort, out.locality, out.cell, phase, out.size, out.upSinceMs, out.primary, ports) =
-      entry;
-  if (phase > static_cast<std::uint8_t>(protocol::ListedEndpoint::Phase::Gone)) return false;
+      record;
+  if (phase > static_cast<std::uint8_t>(protocol::ListedEndpoint::Phase::Gone)) throw msgpack::type_error();
   out.phase = static_cast<protocol::ListedEndpoint::Phase>(phase);
   for (const auto& [protocol, port] : ports) out.ports.emplace_back(protocol, port);
-  return true;
+  return out;
+}
+
+// Why the header or the checksum is wrong; empty where they are right.
+std::string headerProblem(std::string_view bytes) {
+  if (bytes.substr(0, kMagic.size()) != kMagic.substr(0, bytes.size())) return "it is no snapshot";
+  if (bytes.size() < kHeaderSize) return "it is truncated";
+  const std::uint64_t version = fromLittleEndian(bytes.substr(kMagic.size(), kVersionSize));
+  if (version < kOldestVersion || version > kVersion)
+    return "it has version " + std::to_string(version) + ", and only those up to " +
+           std::to_string(kVersion) + " are known here";
+  const std::string_view content = bytes.substr(kHeaderSize);
+  const auto checksum = fromLittleEndian(bytes.substr(kMagic.size() + kVersionSize, kChecksumSize));
+  if (checksum != XXH3_64bits(content.data(), content.size()))
+    return "its checksum is wrong: it is truncated or damaged";
+  return {};
+}
+
+// Throws where the content can't be read. The limits are needed because a checksum guards against accidents
+// only.
+Snapshot parseContent(std::string_view content, bool hasSource) {
+  const msgpack::unpack_limit limits(kMaxEndpoints, kMaxMapSize, kMaxFileSize, kMaxFileSize, 0, kMaxDepth);
+  const msgpack::object_handle handle =
+      msgpack::unpack(content.data(), content.size(), nullptr, nullptr, limits);
+  Snapshot out;
+  Version1Record record;
+  if (hasSource) {
+    std::tie(record, out.source) = handle.get().as<Version2Record>();
+  } else {
+    record = handle.get().as<Version1Record>();
+  }
+  std::vector<EndpointRecord> endpoints;
+  std::int64_t callCost = kNoCallCost;
+  std::uint32_t earlyCrashes = 0;
+  std::tie(out.name, out.writtenAt, out.listTrueAt, out.list.revision, endpoints, callCost, earlyCrashes,
+           out.initialLatency) = record;
+  out.list.complete = true;
+  if (callCost > 0) out.callCost = callCost;
+  out.earlyCrashes = earlyCrashes;
+  for (const EndpointRecord& endpoint : endpoints) out.list.endpoints.push_back(endpointOf(endpoint));
+  return out;
 }
 
 }  // namespace
 
 std::string encode(const Snapshot& snapshot) {
-  std::vector<Entry> entries;
+  std::vector<EndpointRecord> endpoints;
   for (const protocol::ListedEndpoint& endpoint : snapshot.list.endpoints)
-    entries.push_back(entryOf(endpoint));
+    endpoints.push_back(recordOf(endpoint));
+  const Version1Record record{snapshot.name,
+                              snapshot.writtenAt,
+                              snapshot.listTrueAt,
+                              snapshot.list.revision,
+                              endpoints,
+                              snapshot.callCost.value_or(kNoCallCost),
+                              snapshot.earlyCrashes,
+                              snapshot.initialLatency};
   msgpack::sbuffer content;
-  msgpack::pack(content,
-                Content{ContentWithoutSource{snapshot.name, snapshot.writtenAt, snapshot.listTrueAt,
-                                             snapshot.list.revision, entries, snapshot.callCost.value_or(-1),
-                                             snapshot.youngDeaths, snapshot.initialLatency},
-                        snapshot.source});
-  std::string out(kMark);
-  out += number(kVersion, 4) + number(XXH3_64bits(content.data(), content.size()), 8);
+  msgpack::pack(content, Version2Record{record, snapshot.source});
+  std::string out(kMagic);
+  out += littleEndian(kVersion, kVersionSize);
+  out += littleEndian(XXH3_64bits(content.data(), content.size()), kChecksumSize);
   return out.append(content.data(), content.size());
 }
 
 std::optional<Snapshot> decode(std::string_view bytes, const std::string& name, std::string& problem) {
-  constexpr std::size_t kHead = kMark.size() + 12;
-  if (bytes.substr(0, kMark.size()) != kMark.substr(0, bytes.size())) {
-    problem = "it is no snapshot";
-    return {};
-  }
-  if (bytes.size() < kHead) {
-    problem = "it is cut";
-    return {};
-  }
-  const std::uint64_t version = numberAt(bytes.substr(kMark.size(), 4));
-  if (version < kVersionLeast || version > kVersion) {
-    problem = "it has version " + std::to_string(version) + ", and only those up to " +
-              std::to_string(kVersion) + " are known here";
-    return {};
-  }
-  const std::string_view content = bytes.substr(kHead);
-  if (numberAt(bytes.substr(kMark.size() + 4, 8)) != XXH3_64bits(content.data(), content.size())) {
-    problem = "its checksum is wrong: it is cut or damaged";
+  if (std::string wrong = headerProblem(bytes); !wrong.empty()) {
+    problem = std::move(wrong);
     return {};
   }
+  const std::uint64_t version = fromLittleEndian(bytes.substr(kMagic.size(), kVersionSize));
   try {
-    // Read with limits, for a checksum shows accidents and not intent.
-    const msgpack::unpack_limit limits(kEndpointsMost, 64, kFileLimit, kFileLimit, 0, 16);
-    const msgpack::object_handle handle =
-        msgpack::unpack(content.data(), content.size(), nullptr, nullptr, limits);
-    Snapshot out;
-    ContentWithoutSource read;
-    if (version == kVersion) {
-      std::tie(read, out.source) = handle.get().as<Content>();
-    } else {
-      read = handle.get().as<ContentWithoutSource>();
-    }
-    std::vector<Entry> entries;
-    std::int64_t cost = -1;
-    std::uint32_t young = 0;
-    std::tie(out.name, out.writtenAt, out.listTrueAt, out.list.revision, entries, cost, young,
-             out.initialLatency) = read;
-    out.list.complete = true;
-    if (cost > 0) out.callCost = cost;
-    out.youngDeaths = young;
-    for (const Entry& entry : entries) {
-      protocol::ListedEndpoint endpoint;
-      if (!readEntry(entry, endpoint)) throw msgpack::type_error();
-      out.list.endpoints.push_back(std::move(endpoint));
-    }
+    Snapshot out = parseContent(bytes.substr(kHeaderSize), version >= kVersion);
     if (out.name == name) return out;
     problem = "it is that of '" + out.name + "'";
   } catch (const std::exception&) {
@@ -137,8 +155,8 @@
   return {};
 }
 
-std::optional<protocol::EndpointList> believed(const Snapshot& snapshot, Micros now,
-                                               const discovery::CachedListSettings& settings) {
+std::optional<protocol::EndpointList> trustedList(const Snapshot& snapshot, Micros now,
+                                                  const discovery::CachedListSettings& settings) {
   if (snapshot.listTrueAt <= 0) return {};
   const discovery::CachedListTrust trust = discovery::trustInCachedList(now - snapshot.listTrueAt, settings);
   if (!trust.endpoints) return {};
@@ -152,23 +170,23 @@
 }
 
 std::optional<Snapshot> load(const std::string& path, const std::string& name, std::string& problem) {
-  files::Content file = files::read(path, kFileLimit);
-  for (int tries = 1; tries < kReadTries && !file.bytes && file.error != ENOENT; ++tries)
-    file = files::read(path, kFileLimit);
+  files::Content file = files::read(path, kMaxFileSize);
+  for (int attempts = 1; attempts < kReadAttempts && !file.bytes && file.error != ENOENT; ++attempts)
+    file = files::read(path, kMaxFileSize);
   if (file.error == ENOENT) return {};
-  // Guards what an earlier life has learned: a disk that fails for a moment says nothing of the file.
+  // Guards against losing a good file to a disk that fails for a moment.
   if (!file.bytes && file.error != EFBIG) {
     problem = "the snapshot " + path + " can't be read: " + std::strerror(file.error);
     return {};
   }
-  std::string why = "it is larger than any snapshot";
+  std::string reason = "it is larger than any snapshot";
   std::optional<Snapshot> out;
-  if (file.bytes) out = decode(*file.bytes, name, why);
+  if (file.bytes) out = decode(*file.bytes, name, reason);
   if (out) return out;
-  const std::string aside = path + ".unusable";
-  const bool moved = std::rename(path.c_str(), aside.c_str()) == 0;
-  problem = "the snapshot " + path + " is not used: " + why +
-            (moved ? "; it was set aside as " + aside : "; it can't be set aside");
+  const std::string unusable = path + ".unusable";
+  const bool renamed = std::rename(path.c_str(), unusable.c_str()) == 0;
+  problem = "the snapshot " + path + " is not used: " + reason +
+            (renamed ? "; it was set aside as " + unusable : "; it can't be set aside");
   return {};
 }
 
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -39,25 +39,25 @@
   endpoint.phase = protocol::ListedEndpoint::Phase::Terminating;
   out.list.endpoints.push_back(endpoint);
   out.callCost = 20'000;
-  out.youngDeaths = 2;
+  out.earlyCrashes = 2;
   out.initialLatency = 4'200;
   return out;
 }
 
-TEST(Snapshots, ComeBackAsTheyWere) {
+TEST(Snapshots, AreReadAsTheyWereWritten) {
   std::string problem;
-  const auto back = decode(encode(example()), "n7", problem);
-  ASSERT_TRUE(back) << problem;
-  EXPECT_EQ(encode(*back), encode(example()));
-  EXPECT_EQ(back->list.revision, 41);
-  ASSERT_EQ(back->list.endpoints.size(), 2U);
-  EXPECT_EQ(back->list.endpoints[0].ports[0].second, 7687);
-  EXPECT_EQ(back->list.endpoints[1].phase, protocol::ListedEndpoint::Phase::Terminating);
-  EXPECT_EQ(back->callCost, 20'000);
-  EXPECT_EQ(back->initialLatency, 4'200);
+  const auto read = decode(encode(example()), "n7", problem);
+  ASSERT_TRUE(read) << problem;
+  EXPECT_EQ(encode(*read), encode(example()));
+  EXPECT_EQ(read->list.revision, 41);
+  ASSERT_EQ(read->list.endpoints.size(), 2U);
+  EXPECT_EQ(read->list.endpoints[0].ports[0].second, 7687);
+  EXPECT_EQ(read->list.endpoints[1].phase, protocol::ListedEndpoint::Phase::Terminating);
+  EXPECT_EQ(read->callCost, 20'000);
+  EXPECT_EQ(read->initialLatency, 4'200);
 }
 
-TEST(Snapshots, EveryCutAndEveryDamagedByteIsSeen) {
+TEST(Snapshots, EveryTruncationAndEveryDamagedByteIsDetected) {
   const std::string bytes = encode(example());
   std::string problem;
   for (std::size_t size = 0; size < bytes.size(); ++size) {
@@ -71,20 +71,20 @@
   }
 }
 
-TEST(Snapshots, OfOthersAndOfTheFutureAreNamed) {
+TEST(Snapshots, OfOtherGatewaysAndUnknownVersionsAreRejected) {
   std::string problem;
   EXPECT_FALSE(decode(encode(example()), "n8", problem));
   EXPECT_NE(problem.find("n7"), std::string::npos);
   std::string later = encode(example());
-  later[19] = 3;  // behind the mark
+  later[19] = 3;  // the version, behind the magic text
   EXPECT_FALSE(decode(later, "n7", problem));
   EXPECT_NE(problem.find("version 3"), std::string::npos);
   later[19] = 0;
   EXPECT_FALSE(decode(later, "n7", problem));
 }
 
-// As version 0.2.0 of the program wrote it: without the source of its list.
-TEST(Snapshots, OfTheVersionBeforeAreReadWithoutTheirSource) {
+// As version 0.2.0 of the program wrote it: without the source of the list.
+TEST(Snapshots, OfVersion1AreReadWithoutASource) {
   using Port = std::tuple<std::string, std::uint16_t>;
   using Entry = std::tuple<std::string, std::string, std::string, std::uint32_t, std::uint8_t, double,
                            std::int64_t, bool, std::vector<Port>>;
@@ -99,26 +99,26 @@
   for (int i = 0; i < 8; ++i) bytes += static_cast<char>(sum >> (8 * i));
   bytes.append(content.data(), content.size());
   std::string problem;
-  const auto back = decode(bytes, "n7", problem);
-  ASSERT_TRUE(back) << problem;
-  EXPECT_EQ(back->source, "");
-  EXPECT_EQ(back->list.revision, 41);
-  EXPECT_EQ(back->callCost, 20'000);
-  EXPECT_EQ(back->youngDeaths, 2U);
+  const auto read = decode(bytes, "n7", problem);
+  ASSERT_TRUE(read) << problem;
+  EXPECT_EQ(read->source, "");
+  EXPECT_EQ(read->list.revision, 41);
+  EXPECT_EQ(read->callCost, 20'000);
+  EXPECT_EQ(read->earlyCrashes, 2U);
 }
 
-TEST(Snapshots, TellNoRoleBeyondItsTimeAndNoListBeyondItsOwn) {
+TEST(Snapshots, GiveNoRolesAfterThePollIntervalAndNoListAfterItsMaximumAge) {
   const discovery::CachedListSettings settings{10 * kS, 600 * kS, true};
   const Snapshot kept = example();
-  const auto young = believed(kept, kept.listTrueAt + 5 * kS, settings);
-  ASSERT_TRUE(young);
-  EXPECT_TRUE(young->endpoints[0].primary);
-  const auto old = believed(kept, kept.listTrueAt + 60 * kS, settings);
+  const auto recent = trustedList(kept, kept.listTrueAt + 5 * kS, settings);
+  ASSERT_TRUE(recent);
+  EXPECT_TRUE(recent->endpoints[0].primary);
+  const auto old = trustedList(kept, kept.listTrueAt + 60 * kS, settings);
   ASSERT_TRUE(old);
   EXPECT_FALSE(old->endpoints[0].primary);
   EXPECT_EQ(old->endpoints[1].phase, protocol::ListedEndpoint::Phase::Terminating);
-  EXPECT_FALSE(believed(kept, kept.listTrueAt + 601 * kS, settings));
-  EXPECT_FALSE(believed(Snapshot{}, kS, settings)) << "no list at all";
+  EXPECT_FALSE(trustedList(kept, kept.listTrueAt + 601 * kS, settings));
+  EXPECT_FALSE(trustedList(Snapshot{}, kS, settings)) << "no list at all";
 }
 
 struct Folder : test::TemporaryFolder {
@@ -129,14 +129,14 @@
   const Folder folder;
   std::string problem;
   EXPECT_FALSE(load(folder.file(), "n7", problem));
-  EXPECT_EQ(problem, "") << "a first life has no file";
+  EXPECT_EQ(problem, "") << "at the first start there is no file";
   Snapshot kept = example();
   ASSERT_TRUE(save(folder.file(), kept, files::Durable::Yes, problem)) << problem;
   kept.list.revision = 42;
   ASSERT_TRUE(save(folder.file(), kept, files::Durable::Yes, problem)) << problem;
-  const auto back = load(folder.file(), "n7", problem);
-  ASSERT_TRUE(back) << problem;
-  EXPECT_EQ(back->list.revision, 42);
+  const auto read = load(folder.file(), "n7", problem);
+  ASSERT_TRUE(read) << problem;
+  EXPECT_EQ(read->list.revision, 42);
   EXPECT_FALSE(std::filesystem::exists(folder.file() + ".new"));
   EXPECT_FALSE(save(folder.path() + "/none/n7.snapshot", kept, files::Durable::Yes, problem));
   EXPECT_NE(problem.find("can't be written"), std::string::npos);
@@ -152,27 +152,27 @@
   EXPECT_TRUE(std::filesystem::exists(folder.file() + ".unusable"));
 }
 
-TEST(Lists, AreKeptWholeThroughChanges) {
-  protocol::EndpointList whole = example().list;
-  protocol::EndpointList news;
-  news.revision = 42;
-  protocol::ListedEndpoint gone = whole.endpoints[0];
-  gone.phase = protocol::ListedEndpoint::Phase::Gone;
-  protocol::ListedEndpoint fresh = whole.endpoints[0];
-  fresh.id = "s-3";
-  protocol::ListedEndpoint back = whole.endpoints[1];
-  back.phase = protocol::ListedEndpoint::Phase::Ready;
-  news.endpoints = {gone, fresh, back};
-  protocol::apply(news, whole);
-  EXPECT_EQ(whole.revision, 42);
-  ASSERT_EQ(whole.endpoints.size(), 2U);
-  EXPECT_EQ(whole.endpoints[0].id, "s-2");
-  EXPECT_EQ(whole.endpoints[0].phase, protocol::ListedEndpoint::Phase::Ready);
-  EXPECT_EQ(whole.endpoints[1].id, "s-3");
-  news.complete = true;
-  news.endpoints = {fresh};
-  protocol::apply(news, whole);
-  EXPECT_EQ(whole.endpoints.size(), 1U);
+TEST(EndpointLists, StayCompleteWhenChangesAreApplied) {
+  protocol::EndpointList list = example().list;
+  protocol::EndpointList changes;
+  changes.revision = 42;
+  protocol::ListedEndpoint removed = list.endpoints[0];
+  removed.phase = protocol::ListedEndpoint::Phase::Gone;
+  protocol::ListedEndpoint added = list.endpoints[0];
+  added.id = "s-3";
+  protocol::ListedEndpoint returned = list.endpoints[1];
+  returned.phase = protocol::ListedEndpoint::Phase::Ready;
+  changes.endpoints = {removed, added, returned};
+  protocol::apply(changes, list);
+  EXPECT_EQ(list.revision, 42);
+  ASSERT_EQ(list.endpoints.size(), 2U);
+  EXPECT_EQ(list.endpoints[0].id, "s-2");
+  EXPECT_EQ(list.endpoints[0].phase, protocol::ListedEndpoint::Phase::Ready);
+  EXPECT_EQ(list.endpoints[1].id, "s-3");
+  changes.complete = true;
+  changes.endpoints = {added};
+  protocol::apply(changes, list);
+  EXPECT_EQ(list.endpoints.size(), 1U);
 }
 
 }  // namespace
