--- a/src/emulator/gossip.cpp
+++ b/src/emulator/gossip.cpp
@@ -36,7 +36,7 @@
   talk.kill(victim);
   while (talk.now() < died + kDeathKnownMost) {
     if (!runFor(talk, kMicrosPerSecond, goesOn)) return {};
-    const auto [last, by] = talk.seen(membership::Happened::Kind::Failed, victim, died);
+    const auto [last, by] = talk.seen(membership::MembershipEvent::Kind::Failed, victim, died);
     if (by + 1 < gateways) continue;
     out.deathKnownSeconds = static_cast<double>(last - died) / kMicrosPerSecond;
     return out;
--- a/src/fleet/talk.cpp
+++ b/src/fleet/talk.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using membership::Message;
-using membership::Sending;
+using membership::OutgoingMessage;
 using membership::State;
 
 // What a paused gateway's socket keeps.
@@ -33,7 +33,7 @@
   node.detector = std::make_unique<Detector>(settings, now_);
   node.paused = false;
   node.kept.clear();
-  std::vector<Sending> none;
+  std::vector<OutgoingMessage> none;
   settle(gateway, none);
 }
 
@@ -43,25 +43,25 @@
 void Talk::resume(unsigned gateway) {
   Node& node = nodes_[gateway];
   node.paused = false;
-  std::vector<Sending> sendings;
-  node.detector->turn(now_, sendings);
+  std::vector<OutgoingMessage> sendings;
+  node.detector->tick(now_, sendings);
   for (auto& [from, message] : std::exchange(node.kept, {}))
-    node.detector->hear(now_, nameOf(from), message, sendings);
+    node.detector->receive(now_, nameOf(from), message, sendings);
   settle(gateway, sendings);
 }
 
 void Talk::leave(unsigned gateway) {
-  std::vector<Sending> sendings;
-  nodes_[gateway].detector->leave(now_, sendings);
+  std::vector<OutgoingMessage> sendings;
+  nodes_[gateway].detector->leave(sendings);
   post(gateway, sendings);
   kill(gateway);
 }
 
-void Talk::post(unsigned from, std::vector<Sending>& sendings) {
-  for (Sending& sending : sendings) {
+void Talk::post(unsigned from, std::vector<OutgoingMessage>& sendings) {
+  for (OutgoingMessage& sending : sendings) {
     const unsigned to = numberOf(sending.address);
     ++messages_;
-    words_ += sending.message.words.size();
+    words_ += sending.message.updates.size();
     if (to >= nodes_.size() || cuts_.contains({from, to})) continue;
     const int copies = (random() >= plan_.loss ? 1 : 0) + (random() < plan_.twice ? 1 : 0);
     for (int i = 0; i < copies; ++i) {
@@ -73,18 +73,18 @@
   sendings.clear();
 }
 
-void Talk::settle(unsigned gateway, std::vector<Sending>& sendings) {
+void Talk::settle(unsigned gateway, std::vector<OutgoingMessage>& sendings) {
   post(gateway, sendings);
   Detector& detector = *nodes_[gateway].detector;
   for (auto& event : detector.events()) events_.push_back({now_, gateway, std::move(event)});
-  const Micros due = std::max(now_ + 1, detector.due());
+  const Micros due = std::max(now_ + 1, detector.nextTickAt());
   nodes_[gateway].wake = due;
   turns_.emplace(due, gateway);
 }
 
 void Talk::run(Micros span) {
   const Micros end = now_ + span;
-  std::vector<Sending> sendings;
+  std::vector<OutgoingMessage> sendings;
   for (;;) {
     const Micros message = flying_.empty() ? end + 1 : flying_.top().at;
     const Micros turn = turns_.empty() ? end + 1 : turns_.top().first;
@@ -99,7 +99,7 @@
         if (node.kept.size() < kKeptMost) node.kept.emplace_back(flown.from, flown.message);
         continue;
       }
-      node.detector->hear(now_, nameOf(flown.from), flown.message, sendings);
+      node.detector->receive(now_, nameOf(flown.from), flown.message, sendings);
       settle(flown.to, sendings);
     } else {
       const unsigned gateway = turns_.top().second;
@@ -107,7 +107,7 @@
       Node& node = nodes_[gateway];
       if (!node.detector || node.paused || node.wake != turn) continue;
       now_ = std::max(now_, turn);
-      node.detector->turn(now_, sendings);
+      node.detector->tick(now_, sendings);
       settle(gateway, sendings);
     }
   }
@@ -128,7 +128,7 @@
   return true;
 }
 
-std::pair<Micros, unsigned> Talk::seen(membership::Happened::Kind kind, unsigned gateway,
+std::pair<Micros, unsigned> Talk::seen(membership::MembershipEvent::Kind kind, unsigned gateway,
                                        Micros since) const {
   std::set<unsigned> by;
   Micros last = 0;
--- a/src/fleet/talk.h
+++ b/src/fleet/talk.h
@@ -33,7 +33,7 @@
 struct TalkEvent {
   Micros at = 0;
   unsigned gateway = 0;  // who saw it
-  membership::Happened what;
+  membership::MembershipEvent what;
 };
 
 class Talk {
@@ -62,7 +62,8 @@
   // Whether all that are up see each other as alive, and nobody else.
   bool agreed() const;
   // The time of the last of these events about a gateway, and how many of those that are up have seen it.
-  std::pair<Micros, unsigned> seen(membership::Happened::Kind kind, unsigned gateway, Micros since) const;
+  std::pair<Micros, unsigned> seen(membership::MembershipEvent::Kind kind, unsigned gateway,
+                                   Micros since) const;
 
  private:
   struct Node {
@@ -79,8 +80,8 @@
     membership::Message message;
     bool operator>(const Flying& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
-  void post(unsigned from, std::vector<membership::Sending>& sendings);
-  void settle(unsigned gateway, std::vector<membership::Sending>& sendings);
+  void post(unsigned from, std::vector<membership::OutgoingMessage>& sendings);
+  void settle(unsigned gateway, std::vector<membership::OutgoingMessage>& sendings);
   double random() { return uniformUnit(random_()); }
 
   TalkPlan plan_;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// Who of the gateways is there: many of them under a virtual clock, with losses, pauses, cuts and deaths.
+// Failure detection among many gateways under a virtual clock, with lost messages, stalls, partitions and
+// crashes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +12,7 @@
 
 using fleet::Talk;
 using fleet::TalkPlan;
-using Kind = Happened::Kind;
+using Kind = MembershipEvent::Kind;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
@@ -29,7 +30,7 @@
                     [&](const auto& e) { return e.what.kind == kind && e.at >= since; }));
 }
 
-TEST(Members, ThatStartTogetherFindEachOtherBySeeds) {
+TEST(Membership, GatewaysThatStartTogetherJoinBySeeds) {
   for (const unsigned gateways : {2U, 5U, 60U}) {
     Talk talk(plan(gateways));
     talk.run(15 * kS);
@@ -38,29 +39,29 @@
   }
 }
 
-TEST(Members, ADeathIsKnownEverywhereWithinSeconds) {
+TEST(Membership, ACrashIsDetectedByAllWithinSeconds) {
   Talk talk(plan(100));
   talk.run(20 * kS);
   ASSERT_TRUE(talk.agreed());
-  const Micros died = talk.now();
+  const Micros crashedAt = talk.now();
   talk.kill(7);
   talk.run(20 * kS);
-  const auto [last, by] = talk.seen(Kind::Failed, 7, died);
+  const auto [last, by] = talk.seen(Kind::Failed, 7, crashedAt);
   EXPECT_EQ(by, 99U);
-  EXPECT_LT(last - died, 10 * kS);
+  EXPECT_LT(last - crashedAt, 10 * kS);
   EXPECT_TRUE(talk.agreed());
 }
 
-TEST(Members, SevenInTenThatDieAtOnceAreAllKnown) {
+TEST(Membership, CrashesOfSevenInTenAreDetected) {
   Talk talk(plan(50));
   talk.run(20 * kS);
   for (unsigned i = 0; i < 35; ++i) talk.kill(i);
   talk.run(60 * kS);
   EXPECT_TRUE(talk.agreed());
-  for (unsigned i = 35; i < 50; ++i) EXPECT_EQ(talk.at(i).living(), 14U);
+  for (unsigned i = 35; i < 50; ++i) EXPECT_EQ(talk.at(i).livingCount(), 14U);
 }
 
-TEST(Members, LossAndDoublesAreNoDeaths) {
+TEST(Membership, LostMessagesCauseNoFailures) {
   TalkPlan lossy = plan(40, 3);
   Talk talk(lossy);
   talk.run(15 * kS);
@@ -70,39 +71,39 @@
   EXPECT_EQ(count(talk, Kind::Failed, since), 0U);
 }
 
-TEST(Members, OneThatStoodStillAccusesNobodyAndIsBack) {
+TEST(Membership, AStalledGatewayDeclaresNoOtherFailedAndRejoins) {
   for (const Micros pause : {500 * kMs, 2 * kS, 20 * kS}) {
     Talk talk(plan(30));
     talk.run(15 * kS);
     ASSERT_TRUE(talk.agreed());
     talk.pause(4);
     talk.run(pause);
-    const Micros woke = talk.now();
+    const Micros resumedAt = talk.now();
     talk.resume(4);
     talk.run(20 * kS);
     EXPECT_TRUE(talk.agreed()) << pause;
     for (const auto& event : talk.events()) {
-      const bool own = event.at >= woke && event.gateway == 4;
+      const bool own = event.at >= resumedAt && event.gateway == 4;
       EXPECT_FALSE(own && event.what.kind == Kind::Failed) << event.what.name;
     }
   }
 }
 
-TEST(Members, ACutBetweenTwoIsNoDeathAndIsToldApart) {
+TEST(Membership, ALostDirectPathIsNoFailure) {
   Talk talk(plan(12));
   talk.run(15 * kS);
   const Micros since = talk.now();
   talk.cut(2, 5);
   talk.run(60 * kS);
   EXPECT_EQ(count(talk, Kind::Failed, since), 0U);
-  EXPECT_TRUE(talk.at(2).view().at("n5").cut);
-  EXPECT_FALSE(talk.at(3).view().at("n5").cut);
+  EXPECT_TRUE(talk.at(2).view().at("n5").directPathLost);
+  EXPECT_FALSE(talk.at(3).view().at("n5").directPathLost);
   talk.heal();
   talk.run(40 * kS);
-  EXPECT_FALSE(talk.at(2).view().at("n5").cut);
+  EXPECT_FALSE(talk.at(2).view().at("n5").directPathLost);
 }
 
-TEST(Members, OneThatReachesNobodyDoubtsItself) {
+TEST(Membership, AnIsolatedGatewayKnowsThatItLostContact) {
   Talk talk(plan(12));
   talk.run(15 * kS);
   const Micros since = talk.now();
@@ -111,20 +112,20 @@
     talk.cut(i, 0);
   }
   talk.run(40 * kS);
-  EXPECT_TRUE(talk.at(0).unsure());
-  // At the most what it began to suspect before it knew better.
-  std::size_t accused = 0;
+  EXPECT_TRUE(talk.at(0).contactLost());
+  // At most those that it suspected before it lost contact.
+  std::size_t declaredFailed = 0;
   for (const auto& event : talk.events())
-    accused += event.gateway == 0 && event.at >= since && event.what.kind == Kind::Failed ? 1 : 0;
-  EXPECT_LE(accused, 2U);
+    declaredFailed += event.gateway == 0 && event.at >= since && event.what.kind == Kind::Failed ? 1 : 0;
+  EXPECT_LE(declaredFailed, 2U);
   EXPECT_EQ(talk.at(5).view().at("n0").state, State::Failed);
   talk.heal();
   talk.run(120 * kS);
-  EXPECT_FALSE(talk.at(0).unsure());
+  EXPECT_FALSE(talk.at(0).contactLost());
   EXPECT_TRUE(talk.agreed());
 }
 
-TEST(Members, HalvesThatGrewApartFindEachOtherAgain) {
+TEST(Membership, PartitionsJoinAgain) {
   Talk talk(plan(16));
   talk.run(15 * kS);
   for (unsigned a = 0; a < 8; ++a) {
@@ -140,16 +141,16 @@
   EXPECT_TRUE(talk.agreed());
 }
 
-TEST(Members, ARestartUnderTheSameNameIsANewLife) {
+TEST(Membership, ARestartUnderTheSameNameIsANewIncarnation) {
   Talk talk(plan(20));
   talk.run(15 * kS);
-  const Life before = talk.at(3).view().at("n9").life;
+  const Incarnation before = talk.at(3).view().at("n9").incarnation;
   talk.kill(9);
-  talk.run(200 * kMs);  // before anyone noticed
+  talk.run(200 * kMs);  // before it is detected
   talk.start(9);
   talk.run(20 * kS);
   EXPECT_TRUE(talk.agreed());
-  EXPECT_GT(talk.at(3).view().at("n9").life, before);
+  EXPECT_GT(talk.at(3).view().at("n9").incarnation, before);
   talk.kill(9);
   talk.run(30 * kS);  // and after it was declared failed
   EXPECT_EQ(talk.at(3).view().at("n9").state, State::Failed);
@@ -158,7 +159,7 @@
   EXPECT_TRUE(talk.agreed());
 }
 
-TEST(Members, OneThatLeavesHasLeftAndHasNotFailed) {
+TEST(Membership, AGatewayThatLeavesHasNotFailed) {
   Talk talk(plan(20));
   talk.run(15 * kS);
   const Micros since = talk.now();
@@ -168,85 +169,86 @@
   EXPECT_EQ(talk.seen(Kind::Failed, 6, since).second, 0U);
 }
 
-// ---- Words, one by one ----
+// ---- Single updates ----
 
-struct Alone {
-  Alone() : detector(settings(), kS) {}
+struct SingleDetector {
+  SingleDetector() : detector(settings(), kS) {}
   static DetectorSettings settings() {
     DetectorSettings out;
     out.name = out.address = "me";
     return out;
   }
-  void say(State state, std::uint64_t start, std::uint32_t number = 0, const std::string& name = "x") {
+  void receive(State state, std::uint64_t start, std::uint32_t refutations = 0,
+               const std::string& name = "x") {
     Message message;
-    message.kind = Message::Kind::Exchanged;
+    message.kind = Message::Kind::SyncResponse;
     message.from = "y";
-    message.words = {{name, name, {start, start}, number, state, "y"}};
-    detector.hear(2 * kS, "y", message, out);
+    message.updates = {{name, name, {start, start}, refutations, state, "y"}};
+    detector.receive(2 * kS, "y", message, out);
   }
   State state() { return detector.view().at("x").state; }
   Detector detector;
-  std::vector<Sending> out;
+  std::vector<OutgoingMessage> out;
 };
 
-TEST(Words, AnEndedLifeNeverComesBackAndALaterOneDoes) {
-  Alone one;
-  one.say(State::Alive, 5);
+TEST(StateUpdates, AnEndedIncarnationNeverReturnsAndALaterOneDoes) {
+  SingleDetector one;
+  one.receive(State::Alive, 5);
   EXPECT_EQ(one.state(), State::Alive);
-  one.say(State::Failed, 5);
-  one.say(State::Alive, 5, 9);
+  one.receive(State::Failed, 5);
+  one.receive(State::Alive, 5, 9);
   EXPECT_EQ(one.state(), State::Failed);
-  one.say(State::Alive, 4);
+  one.receive(State::Alive, 4);
   EXPECT_EQ(one.state(), State::Failed);
-  one.say(State::Alive, 6);
+  one.receive(State::Alive, 6);
   EXPECT_EQ(one.state(), State::Alive);
 }
 
-TEST(Words, AnEndThatWasHeardFirstKeepsItsLifeOut) {
-  Alone one;
-  one.say(State::Failed, 5);
-  one.say(State::Alive, 5, 3);
+TEST(StateUpdates, AnEndThatArrivesFirstKeepsItsIncarnationOut) {
+  SingleDetector one;
+  one.receive(State::Failed, 5);
+  one.receive(State::Alive, 5, 3);
   EXPECT_EQ(one.state(), State::Failed);
 }
 
-TEST(Words, ARefutationHasAHigherNumberThanTheSuspicion) {
-  Alone one;
-  one.say(State::Alive, 5);
-  one.say(State::Suspected, 5, 0);
+TEST(StateUpdates, ARefutationHasAHigherNumberThanTheSuspicion) {
+  SingleDetector one;
+  one.receive(State::Alive, 5);
+  one.receive(State::Suspected, 5, 0);
   EXPECT_EQ(one.state(), State::Suspected);
-  one.say(State::Alive, 5, 0);
+  one.receive(State::Alive, 5, 0);
   EXPECT_EQ(one.state(), State::Suspected);
-  one.say(State::Alive, 5, 1);
+  one.receive(State::Alive, 5, 1);
   EXPECT_EQ(one.state(), State::Alive);
-  one.say(State::Suspected, 5, 0);
+  one.receive(State::Suspected, 5, 0);
   EXPECT_EQ(one.state(), State::Alive) << "an old suspicion";
-  one.say(State::Failed, 5, 0);
-  EXPECT_EQ(one.state(), State::Alive) << "and what came of it";
+  one.receive(State::Failed, 5, 0);
+  EXPECT_EQ(one.state(), State::Alive) << "and the failure that followed from it";
 }
 
-TEST(Words, WhoIsCalledDeadBeginsANewLifeAndWhoIsSuspectedRefutes) {
-  Alone one;
-  const Life before = one.detector.life();
+TEST(StateUpdates, ASuspectedGatewayRefutesAndAFailedOneBeginsANewIncarnation) {
+  SingleDetector one;
+  const Incarnation before = one.detector.incarnation();
   Message message;
   message.kind = Message::Kind::Ping;
   message.from = "y";
-  message.words = {{"me", "me", before, 0, State::Suspected, "y"}};
-  one.detector.hear(2 * kS, "y", message, one.out);
+  message.updates = {{"me", "me", before, 0, State::Suspected, "y"}};
+  one.detector.receive(2 * kS, "y", message, one.out);
   ASSERT_FALSE(one.out.empty());
-  EXPECT_EQ(one.out.back().message.words[0].number, 1U);
-  EXPECT_EQ(one.detector.life(), before);
-  message.words[0].state = State::Failed;
-  message.words[0].number = 1;
-  one.detector.hear(3 * kS, "y", message, one.out);
-  EXPECT_GT(one.detector.life(), before);
-}
-
-TEST(Words, TwoOfOneNameAreBothTold) {
-  Alone one;
-  one.say(State::Alive, 50 * kS, 0, "me");
-  bool told = false;
-  for (const auto& event : one.detector.events()) told = told || event.kind == Kind::Twin;
-  EXPECT_TRUE(told);
+  EXPECT_EQ(one.out.back().message.updates[0].refutations, 1U);
+  EXPECT_EQ(one.detector.incarnation(), before);
+  message.updates[0].state = State::Failed;
+  message.updates[0].refutations = 1;
+  one.detector.receive(3 * kS, "y", message, one.out);
+  EXPECT_GT(one.detector.incarnation(), before);
+}
+
+TEST(StateUpdates, ADuplicateNameIsReported) {
+  SingleDetector one;
+  one.receive(State::Alive, 50 * kS, 0, "me");
+  bool reported = false;
+  for (const auto& event : one.detector.events()) reported = reported || event.kind == Kind::DuplicateName;
+  EXPECT_TRUE(reported);
 }
 
 }  // namespace
