--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -6,7 +6,7 @@
 
 #include "common/hash.h"
 #include "routing/outcome.h"
-#include "wallclock/positions.h"
+#include "wallclock/endpoint_time.h"
 
 namespace heathflow::routing {
 namespace {
@@ -289,7 +289,7 @@
   }
   if (asked.afterMs) {
     const Micros after = std::min(*asked.afterMs, kLatestMs) * kMicrosPerMilli;
-    request.timeSinceLastWrite = loop_.now() - router_.endpointTime().ofClient(after, loop_.now());
+    request.timeSinceLastWrite = loop_.now() - router_.endpointTime().fromSessionToken(after, loop_.now());
   }
   return request;
 }
--- a/src/emulator/subset_cost.cpp
+++ b/src/emulator/subset_cost.cpp
@@ -44,13 +44,14 @@
   for (unsigned i = 0; i < gateways; ++i) all.push_back("n" + std::to_string(i));
   fewer.assign(all.begin(), all.end() - 1);
   return costOf(gateways, [&](std::size_t group, std::size_t there) {
-    return subset::rendezvous("group-" + std::to_string(group), there == gateways ? all : fewer, each);
+    return subset::rendezvousSubset("group-" + std::to_string(group), there == gateways ? all : fewer, each);
   });
 }
 
 SubsetCost dealtCost(unsigned gateways, unsigned each) {
-  return costOf(gateways,
-                [&](std::size_t group, std::size_t there) { return subset::dealt(group, there, each); });
+  return costOf(gateways, [&](std::size_t group, std::size_t there) {
+    return subset::deterministicSubset(group, there, each);
+  });
 }
 
 }  // namespace heathflow::emulator
--- a/src/files/files.cpp
+++ b/src/files/files.cpp
@@ -11,29 +11,31 @@
 #include <cstdio>
 #include <filesystem>
 #include <system_error>
+#include <utility>
 
 namespace heathflow::files {
 namespace {
 
-constexpr std::size_t kPiece = 64 << 10;
-constexpr mode_t kMode = 0644;
-constexpr std::string_view kMark = ".new.";
+constexpr std::size_t kReadSize = 64 << 10;
+constexpr mode_t kFileMode = 0644;
+// A temporary file is named by this and the process id of its writer.
+constexpr std::string_view kTemporarySuffix = ".new.";
 
-// An open descriptor; closed at the end of its scope.
-class Opened {
+// An open file or folder; closed at the end of its scope.
+class FileDescriptor {
  public:
-  Opened(const std::string& path, int flags) {
+  FileDescriptor(const std::string& path, int flags) {
     do {
-      fd_ = ::open(path.c_str(), flags | O_CLOEXEC, kMode);
+      fd_ = ::open(path.c_str(), flags | O_CLOEXEC, kFileMode);
     } while (fd_ < 0 && errno == EINTR);
   }
-  ~Opened() { (void)close(); }
-  Opened(const Opened&) = delete;
-  Opened& operator=(const Opened&) = delete;
+  ~FileDescriptor() { (void)close(); }
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
 
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
-  // 0, or why what was written may not have been taken.
+  // Returns 0, or the error with which the system may have lost what was written.
   int close() {
     if (fd_ < 0) return 0;
     const int result = ::close(fd_);
@@ -47,9 +49,9 @@
 
 int writeAll(int fd, std::string_view bytes) {
   while (!bytes.empty()) {
-    const ssize_t wrote = ::write(fd, bytes.data(), bytes.size());
-    if (wrote > 0) bytes.remove_prefix(static_cast<std::size_t>(wrote));
-    if (wrote < 0 && errno != EINTR) return errno;
+    const ssize_t written = ::write(fd, bytes.data(), bytes.size());
+    if (written > 0) bytes.remove_prefix(static_cast<std::size_t>(written));
+    if (written < 0 && errno != EINTR) return errno;
   }
   return 0;
 }
@@ -66,60 +68,65 @@
   return folder.empty() ? std::filesystem::path(".") : folder;
 }
 
-int writeAside(const std::string& path, std::string_view bytes, Durable durable) {
-  Opened file(path, O_WRONLY | O_CREAT | O_TRUNC);
+int writeNew(const std::string& path, std::string_view bytes, Durable durable) {
+  FileDescriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
   if (!file) return errno;
   int error = writeAll(file.get(), bytes);
   if (error == 0 && durable == Durable::Yes) error = sync(file.get());
-  const int closed = file.close();
-  return error != 0 ? error : closed;
+  const int closeError = file.close();
+  return error != 0 ? error : closeError;
 }
 
+// The process that wrote a temporary file of that name; nothing where it is no such name.
+std::optional<pid_t> writerOf(std::string_view name, std::string_view prefix) {
+  if (!name.starts_with(prefix)) return std::nullopt;
+  pid_t writer = 0;
+  const char* end = name.data() + name.size();
+  const auto [last, error] = std::from_chars(name.data() + prefix.size(), end, writer);
+  if (error != std::errc() || last != end || writer <= 0) return std::nullopt;
+  return writer;
+}
+
+bool isRunning(pid_t process) { return ::kill(process, 0) == 0 || errno != ESRCH; }
+
 }  // namespace
 
-Content read(const std::string& path, std::size_t largest) {
-  const Opened file(path, O_RDONLY);
+Content read(const std::string& path, std::size_t maxSize) {
+  const FileDescriptor file(path, O_RDONLY);
   if (!file) return {{}, errno};
   std::string bytes;
-  std::array<char, kPiece> piece;
+  std::array<char, kReadSize> part;
   for (;;) {
-    const ssize_t got = ::read(file.get(), piece.data(), piece.size());
-    if (got == 0) return {std::move(bytes), 0};
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) return {{}, errno};
-    bytes.append(piece.data(), static_cast<std::size_t>(got));
-    if (bytes.size() > largest) return {{}, EFBIG};
+    const ssize_t size = ::read(file.get(), part.data(), part.size());
+    if (size == 0) return {std::move(bytes), 0};
+    if (size < 0 && errno == EINTR) continue;
+    if (size < 0) return {{}, errno};
+    bytes.append(part.data(), static_cast<std::size_t>(size));
+    if (bytes.size() > maxSize) return {{}, EFBIG};
   }
 }
 
 int replace(const std::string& path, std::string_view bytes, Durable durable) {
-  const std::string aside = path + std::string(kMark) + std::to_string(::getpid());
-  int error = writeAside(aside, bytes, durable);
-  if (error == 0 && std::rename(aside.c_str(), path.c_str()) != 0) error = errno;
+  const std::string temporary = path + std::string(kTemporarySuffix) + std::to_string(::getpid());
+  int error = writeNew(temporary, bytes, durable);
+  if (error == 0 && std::rename(temporary.c_str(), path.c_str()) != 0) error = errno;
   if (error != 0) {
-    ::unlink(aside.c_str());
+    ::unlink(temporary.c_str());
     return error;
   }
   if (durable == Durable::No) return 0;
-  const Opened folder(folderOf(path).string(), O_RDONLY | O_DIRECTORY);
+  const FileDescriptor folder(folderOf(path).string(), O_RDONLY | O_DIRECTORY);
   return folder ? sync(folder.get()) : errno;
 }
 
 void removeLeftovers(const std::string& path) {
-  const std::string start = std::filesystem::path(path).filename().string() + std::string(kMark);
+  const std::string prefix = std::filesystem::path(path).filename().string() + std::string(kTemporarySuffix);
   std::error_code error;
-  // By hand: stepping on by '++' would throw where the folder can't be read on.
-  std::filesystem::directory_iterator at(folderOf(path), error);
-  for (; !error && at != std::filesystem::directory_iterator(); at.increment(error)) {
-    const std::filesystem::directory_entry& entry = *at;
-    const std::string name = entry.path().filename().string();
-    if (!name.starts_with(start)) continue;
-    pid_t writer = 0;
-    const char* end = name.data() + name.size();
-    const auto [read, problem] = std::from_chars(name.data() + start.size(), end, writer);
-    if (problem != std::errc() || read != end || writer <= 0) continue;
-    const bool gone = ::kill(writer, 0) != 0 && errno == ESRCH;
-    if (gone || writer == ::getpid()) ::unlink(entry.path().c_str());
+  // Not a range-based loop: its '++' throws where the folder can't be read further.
+  std::filesystem::directory_iterator entry(folderOf(path), error);
+  for (; !error && entry != std::filesystem::directory_iterator(); entry.increment(error)) {
+    const auto writer = writerOf(entry->path().filename().string(), prefix);
+    if (writer && (!isRunning(*writer) || *writer == ::getpid())) ::unlink(entry->path().c_str());
   }
 }
 
--- a/src/files/files.h
+++ b/src/files/files.h
@@ -1,5 +1,5 @@
-// Files as wholes: read to their end whatever a short read or a signal says, and replaced so that a reader
-// sees the old one or the new one. Errors are numbers of the system.
+// Reads and replaces complete files: a read is not cut short by a signal or a partial read, and a replacement
+// is atomic, so that a reader sees the old file or the new one. Errors are errno values.
 #pragma once
 
 #include <cstddef>
@@ -9,23 +9,23 @@
 
 namespace heathflow::files {
 
-// Guards memory against a file that can't be meant: bytes.
-inline constexpr std::size_t kLargest = 64 << 20;
+// Bounds the memory that a file can take; bytes.
+inline constexpr std::size_t kMaxFileSize = 64 << 20;
 
 struct Content {
-  std::optional<std::string> bytes;  // nothing where it could not be read to its end
-  int error = 0;                     // why not; EFBIG where it is larger than 'largest'
+  std::optional<std::string> bytes;  // nothing where the file could not be read to its end
+  int error = 0;                     // why not; EFBIG where it is larger than 'maxSize'
 };
-Content read(const std::string& path, std::size_t largest = kLargest);
+Content read(const std::string& path, std::size_t maxSize = kMaxFileSize);
 
-// Whether what is written is on the disk before it counts. Without it a crash of the machine, but none of the
-// process, may leave an empty or a half file behind.
+// Whether a write waits until the disk has it. Without that a crash of the machine, but not of the process,
+// may leave an empty or incomplete file.
 enum class Durable { No, Yes };
 
-// Writes beside 'path' under a name of this process's own, then renames. 0, or the error; then 'path' is as
-// it was, or, where only the folder could not be synced, already the new one.
+// Writes a temporary file beside 'path' and renames it. Returns 0 or the error; after an error 'path' is
+// unchanged, or already the new file where only its folder could not be synced.
 int replace(const std::string& path, std::string_view bytes, Durable durable);
-// Removes what processes that are gone have left half written beside 'path'.
+// Removes temporary files beside 'path' that processes which no longer run have left.
 void removeLeftovers(const std::string& path);
 
 }  // namespace heathflow::files
--- a/src/routing/outcome.cpp
+++ b/src/routing/outcome.cpp
@@ -4,7 +4,7 @@
 #include <limits>
 
 #include "protocol/load_report.h"
-#include "wallclock/positions.h"
+#include "wallclock/endpoint_time.h"
 
 namespace heathflow::routing {
 namespace {
@@ -75,7 +75,7 @@
     // What tells of the future can't be read, and nothing beside it is believed. It may have been rounded up
     // by as much as its last digit.
     const bool byPrimary = report.role == Role::Primary;
-    report.position = clocks.heard(position->micros - position->step, now, byPrimary);
+    report.position = clocks.observe(position->micros - position->step, now, byPrimary);
     if (!report.position) return {};
   }
   if (const auto held = numberAt(layout, layout.held, text)) {
@@ -90,7 +90,7 @@
   const protocol::Answer& answer = *end.answer;
   if (answer.primary) event.role = *answer.primary ? Role::Primary : Role::Replica;
   if (answer.positionMs && *answer.positionMs <= kLatestMs)
-    event.position = clocks.heard(*answer.positionMs * kMicrosPerMilli, now, event.role == Role::Primary);
+    event.position = clocks.observe(*answer.positionMs * kMicrosPerMilli, now, event.role == Role::Primary);
   event.report = readReport(settings, answer.report.of(end.bytes), now, clocks);
 }
 
--- a/src/routing/outcome.h
+++ b/src/routing/outcome.h
@@ -7,7 +7,7 @@
 #include "settings/settings.h"
 #include "stats/observer.h"
 #include "upstream/endpoint_connection.h"
-#include "wallclock/positions.h"
+#include "wallclock/endpoint_time.h"
 
 namespace heathflow::routing {
 
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -16,7 +16,7 @@
 #include "settings/settings.h"
 #include "stats/observer.h"
 #include "upstream/connection_pool.h"
-#include "wallclock/positions.h"
+#include "wallclock/endpoint_time.h"
 
 namespace heathflow::routing {
 
--- /dev/null
+++ b/src/wallclock/endpoint_time.cpp
@@ -0,0 +1,41 @@
+#include "wallclock/endpoint_time.h"
+
+#include <algorithm>
+
+namespace heathflow::wallclock {
+namespace {
+
+// A position counts for the rest of its window and for the next one.
+constexpr Micros kWindow = 30'000'000;
+// Positions are rounded to milliseconds, so that they may lead by so much where clocks agree.
+constexpr Micros kRounding = 2'000;
+// A position is older than its arrival by the network delay; PROTOCOL gives each limit so much more.
+constexpr Micros kMaxNetworkDelay = 50'000;
+// A session token that leads by more than this is cut to it.
+constexpr Micros kMaxTokenLead = 86'400'000'000;
+
+}  // namespace
+
+Micros EndpointTime::lead() const {
+  if (!primaryObserved_) return kMaxClockLead;
+  const Micros observed = std::max(highest_, previousHighest_);
+  return observed <= kRounding ? 0 : observed + kMaxNetworkDelay;
+}
+
+std::optional<Micros> EndpointTime::observe(Micros position, Micros now, bool byPrimary) {
+  if (position - now > kMaxClockLead) return std::nullopt;
+  primaryObserved_ = primaryObserved_ || byPrimary;
+  if (windowStart_ == kNever || now - windowStart_ >= kWindow) {
+    previousHighest_ = windowStart_ == kNever || now - windowStart_ >= 2 * kWindow ? 0 : highest_;
+    highest_ = 0;
+    windowStart_ = now;
+  }
+  highest_ = std::max(highest_, position - now);
+  return position - lead();
+}
+
+Micros EndpointTime::fromSessionToken(Micros position, Micros now) const {
+  return std::min(position, now + kMaxTokenLead) - lead();
+}
+
+}  // namespace heathflow::wallclock
--- a/src/wallclock/launch_times.cpp
+++ b/src/wallclock/launch_times.cpp
@@ -7,30 +7,30 @@
 void LaunchTimes::beginList(Micros now, bool confirmed) {
   now_ = now;
   confirmed_ = confirmed;
-  confirmedBefore_ = confirmedAt_;
+  previousConfirmedAt_ = confirmedAt_;
   if (confirmed) confirmedAt_ = now;
 }
 
-// A start that was told, no later than now and no earlier than what was seen allows: one that began long
-// before a time at which the endpoint was seen in an earlier life, or not there, can't be meant.
-Micros LaunchTimes::bounded(Micros told, Micros seenAt) const {
-  const Micros startedAt = std::min(told, now_);
-  const bool possible = seenAt == kNotYet || startedAt >= seenAt - kLateAtMost;
-  return possible ? startedAt : seenAt;
+// A start is not in the future, and not long before a time at which this incarnation was not yet running.
+// @param notRunningAt when a list named an earlier incarnation of the endpoint, or none; kNever: not known.
+Micros LaunchTimes::bounded(Micros listed, Micros notRunningAt) const {
+  const Micros startedAt = std::min(listed, now_);
+  const bool possible = notRunningAt == kNever || startedAt >= notRunningAt - kMaxListDelay;
+  return possible ? startedAt : notRunningAt;
 }
 
-Micros LaunchTimes::launchedAt(const std::string& endpoint, Micros told) {
+Micros LaunchTimes::launchedAt(const std::string& endpoint, Micros listed) {
   const auto [entry, isNew] = records_.try_emplace(endpoint);
   Record& record = entry->second;
   if (isNew) {
-    // Where an earlier list of the service did not name it, it started since, or that list was late.
-    record.startedAt = told == 0 ? 0 : bounded(told, confirmed_ ? confirmedBefore_ : kNotYet);
-  } else if (told != record.told && told != 0) {
-    // Another life: it began after the one before it was seen, whichever way its clock was stepped.
-    record.startedAt = std::max(bounded(told, record.seenAt), record.startedAt + 1);
+    // It started after the last confirmed list, which did not name it, or that list was late.
+    record.startedAt = listed == 0 ? 0 : bounded(listed, confirmed_ ? previousConfirmedAt_ : kNever);
+  } else if (listed != record.listed && listed != 0) {
+    // Another incarnation: it started after the earlier one, whichever way its clock was stepped.
+    record.startedAt = std::max(bounded(listed, record.confirmedAt), record.startedAt + 1);
   }
-  record.told = told;
-  if (confirmed_) record.seenAt = now_;
+  record.listed = listed;
+  if (confirmed_) record.confirmedAt = now_;
   return record.startedAt;
 }
 
--- a/src/wallclock/launch_times.h
+++ b/src/wallclock/launch_times.h
@@ -1,6 +1,6 @@
-// When endpoints started, in this process's own time. Lists tell it as a reading of a wall clock, which may
-// have been stepped, or differ from ours; what this process has seen itself bounds it. Decisions only, under
-// any one clock.
+// When endpoints started, by this process's own clock. The endpoint list gives it as a reading of another
+// wall clock, which may have been stepped or differ from this one; what this process has observed bounds it.
+// Decisions only, under any one clock.
 #pragma once
 
 #include <cstdint>
@@ -10,36 +10,37 @@
 
 namespace heathflow::wallclock {
 
-using Micros = std::int64_t;
+using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
-// Lists may be so late without a clock being wrong (STANDING: a change counts as told within 6 s).
-inline constexpr Micros kLateAtMost = 6'000'000;
+// A list may be so late without any clock being wrong (STANDING: a gateway counts as notified of a change
+// within 6 s).
+inline constexpr Micros kMaxListDelay = 6'000'000;
 
 class LaunchTimes {
  public:
-  // A list comes in. 'confirmed': by the list service, now; one of an earlier life is no word on the present.
+  // A list has arrived, whose endpoints follow.
+  // @param confirmed the list service has just given it; a cached list says nothing about the present.
   void beginList(Micros now, bool confirmed);
-  // When an endpoint that the list names as present started; 0: long ago. 'told': Unix microseconds, 0: long
-  // ago.
-  Micros launchedAt(const std::string& endpoint, Micros told);
-  // An endpoint is known no more.
+  // When an endpoint that the list names started; 0: long ago.
+  // @param listed the start that the list gives, in Unix microseconds; 0: long ago.
+  Micros launchedAt(const std::string& endpoint, Micros listed);
   void forget(const std::string& endpoint) { records_.erase(endpoint); }
-  std::size_t known() const { return records_.size(); }
+  std::size_t size() const { return records_.size(); }
 
  private:
-  static constexpr Micros kNotYet = std::numeric_limits<Micros>::min();
+  static constexpr Micros kNever = std::numeric_limits<Micros>::min();
   struct Record {
-    Micros told = 0;
+    Micros listed = 0;
     Micros startedAt = 0;
-    Micros seenAt = kNotYet;  // when the list service last named it so
+    Micros confirmedAt = kNever;  // when the list service last named the endpoint with this start
   };
-  Micros bounded(Micros told, Micros seenAt) const;
+  Micros bounded(Micros listed, Micros notRunningAt) const;
 
   std::unordered_map<std::string, Record> records_;
   Micros now_ = 0;
   bool confirmed_ = false;
-  Micros confirmedBefore_ = kNotYet;  // when the list before this one was confirmed
-  Micros confirmedAt_ = kNotYet;
+  Micros previousConfirmedAt_ = kNever;  // of the list before this one
+  Micros confirmedAt_ = kNever;
 };
 
 }  // namespace heathflow::wallclock
--- a/tests/launch_times_test.cpp
+++ b/tests/launch_times_test.cpp
@@ -1,9 +1,9 @@
-// Starts of endpoints, as lists tell them and as this process has seen them.
+// Starts of endpoints, bounded by what this process has observed, and the lead of their clocks.
 #include "wallclock/launch_times.h"
 
 #include <gtest/gtest.h>
 
-#include "wallclock/positions.h"
+#include "wallclock/endpoint_time.h"
 
 namespace heathflow::wallclock {
 namespace {
@@ -12,123 +12,123 @@
 constexpr Micros kHour = 3600 * kSecond;
 constexpr Micros kStart = 1'000'000 * kSecond;
 
-// Takes in a list that names one endpoint.
-Micros told(LaunchTimes& times, Micros now, Micros launched, bool confirmed = true) {
+// Takes in a list that names one endpoint, and returns its start.
+Micros startAfterList(LaunchTimes& times, Micros now, Micros listed, bool confirmed = true) {
   times.beginList(now, confirmed);
-  return times.launchedAt("m", launched);
+  return times.launchedAt("m", listed);
 }
 
-TEST(LaunchTimes, AreTakenAsToldWhereClocksAgree) {
+TEST(LaunchTimes, AreAsListedWhereClocksAgree) {
   LaunchTimes times;
-  EXPECT_EQ(told(times, kStart, 0), 0);
-  EXPECT_EQ(told(times, kStart + 20 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
-  EXPECT_EQ(told(times, kStart + 30 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
+  EXPECT_EQ(startAfterList(times, kStart, 0), 0);
+  EXPECT_EQ(startAfterList(times, kStart + 20 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
+  EXPECT_EQ(startAfterList(times, kStart + 30 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
 }
 
-// The operators' case: a wall clock is set by an hour, and the endpoint is back cold.
-TEST(LaunchTimes, OfAnEndpointThatCameBackAreBoundedByWhatWasSeen) {
+// Guards against an endpoint that is taken for warm after a restart with a stepped clock.
+TEST(LaunchTimes, OfARestartedEndpointAreBoundedByObservation) {
   for (const Micros step : {-kHour, -10 * kSecond, kSecond, 10 * kSecond, kHour}) {
     LaunchTimes times;
-    told(times, kStart, kStart - kHour);
-    told(times, kStart + 50 * kSecond, kStart - kHour);
+    startAfterList(times, kStart, kStart - kHour);
+    startAfterList(times, kStart + 50 * kSecond, kStart - kHour);
     const Micros restarted = kStart + 52 * kSecond;
     const Micros now = kStart + 53 * kSecond;
-    const Micros launched = told(times, now, restarted + step);
-    EXPECT_GE(launched, kStart + 50 * kSecond - kLateAtMost) << step;
+    const Micros launched = startAfterList(times, now, restarted + step);
+    EXPECT_GE(launched, kStart + 50 * kSecond - kMaxListDelay) << step;
     EXPECT_LE(launched, now) << step;
-    EXPECT_EQ(told(times, now + 5 * kSecond, restarted + step), launched) << "and it grows warm from there";
+    EXPECT_EQ(startAfterList(times, now + 5 * kSecond, restarted + step), launched) << "and stays";
   }
 }
 
-TEST(LaunchTimes, OfOneThatJoinedAreNoOlderThanTheListWithoutIt) {
+TEST(LaunchTimes, OfANewEndpointAreNoOlderThanTheListWithoutIt) {
   LaunchTimes times;
   times.beginList(kStart, true);
   const Micros now = kStart + 10 * kSecond;
-  EXPECT_EQ(told(times, now, now - kHour), kStart);
+  EXPECT_EQ(startAfterList(times, now, now - kHour), kStart);
   LaunchTimes first;
-  EXPECT_EQ(told(first, now, now - kHour), now - kHour) << "the first list names those that serve";
-  LaunchTimes old;
-  old.beginList(kStart, false);
-  EXPECT_EQ(told(old, now, now - kHour), now - kHour)
-      << "a list of an earlier life is no word on the present";
+  EXPECT_EQ(startAfterList(first, now, now - kHour), now - kHour) << "the first list names those that serve";
+  LaunchTimes cached;
+  cached.beginList(kStart, false);
+  EXPECT_EQ(startAfterList(cached, now, now - kHour), now - kHour)
+      << "a cached list says nothing about the present";
 }
 
-// One that serves does not turn cold because a list says nothing new, or left it out for a while.
-TEST(LaunchTimes, StayWhileTheLifeIsTheSame) {
+// An endpoint does not start again because a list left it out for a while.
+TEST(LaunchTimes, StayWithinAnIncarnation) {
   LaunchTimes times;
-  const Micros launched = told(times, kStart, kStart - 20 * kSecond);
+  const Micros launched = startAfterList(times, kStart, kStart - 20 * kSecond);
   times.beginList(kStart + kSecond, true);  // without it
-  EXPECT_EQ(told(times, kStart + 60 * kSecond, kStart - 20 * kSecond), launched);
-  EXPECT_EQ(told(times, kStart + 61 * kSecond, 0), launched) << "'long ago' is no new life";
+  EXPECT_EQ(startAfterList(times, kStart + 60 * kSecond, kStart - 20 * kSecond), launched);
+  EXPECT_EQ(startAfterList(times, kStart + 61 * kSecond, 0), launched) << "'long ago' is no new incarnation";
 }
 
-TEST(LaunchTimes, OfANewLifeAlwaysGrow) {
+TEST(LaunchTimes, OfANewIncarnationAreLater) {
   LaunchTimes times;
-  const Micros first = told(times, kStart, kStart - kSecond);
-  EXPECT_GT(told(times, kStart + kSecond, kStart - 2 * kSecond), first);
+  const Micros first = startAfterList(times, kStart, kStart - kSecond);
+  EXPECT_GT(startAfterList(times, kStart + kSecond, kStart - 2 * kSecond), first);
 }
 
 TEST(LaunchTimes, AreForgottenWithTheirEndpoints) {
   LaunchTimes times;
-  told(times, kStart, kStart - kSecond);
+  startAfterList(times, kStart, kStart - kSecond);
   times.forget("m");
-  EXPECT_EQ(times.known(), 0U);
+  EXPECT_EQ(times.size(), 0U);
 }
 
-TEST(EndpointClocks, ThatAgreeWithOursChangeNothing) {
+TEST(EndpointTime, HasNoLeadWhereClocksAgree) {
   EndpointTime clocks;
   for (int i = 0; i < 100; ++i)
-    EXPECT_EQ(clocks.heard(kStart - i * 1000, kStart, i % 2 == 0), kStart - i * 1000);
-  EXPECT_EQ(clocks.ahead(), 0);
-  EXPECT_EQ(clocks.ofClient(kStart - kSecond, kStart), kStart - kSecond);
+    EXPECT_EQ(clocks.observe(kStart - i * 1000, kStart, i % 2 == 0), kStart - i * 1000);
+  EXPECT_EQ(clocks.lead(), 0);
+  EXPECT_EQ(clocks.fromSessionToken(kStart - kSecond, kStart), kStart - kSecond);
   EXPECT_EQ(clocks.toEndpoints(kStart), kStart);
 }
 
-// A replica's position says little of its clock: until a primary has spoken ours may be as far behind as is
-// believed at all.
-TEST(EndpointClocks, MayBeAheadUntilAPrimaryHasTold) {
+// A replica's position says little about its clock.
+TEST(EndpointTime, HasTheMaximumLeadUntilAPrimaryHasReported) {
   EndpointTime clocks;
-  EXPECT_EQ(clocks.heard(kStart, kStart, false), kStart - kAheadAtMost);
-  EXPECT_EQ(clocks.ahead(), kAheadAtMost);
-  EXPECT_EQ(clocks.heard(kStart, kStart, true), kStart);
-  EXPECT_EQ(clocks.ahead(), 0);
+  EXPECT_EQ(clocks.observe(kStart, kStart, false), kStart - kMaxClockLead);
+  EXPECT_EQ(clocks.lead(), kMaxClockLead);
+  EXPECT_EQ(clocks.observe(kStart, kStart, true), kStart);
+  EXPECT_EQ(clocks.lead(), 0);
 }
 
-TEST(EndpointClocks, OfTheFutureAreNotBelieved) {
+TEST(EndpointTime, RejectsPositionsFarInTheFuture) {
   EndpointTime clocks;
-  EXPECT_EQ(clocks.heard(kStart + kAheadAtMost + 1, kStart, true), std::nullopt);
-  EXPECT_EQ(clocks.ahead(), kAheadAtMost) << "nothing has been told";
+  EXPECT_EQ(clocks.observe(kStart + kMaxClockLead + 1, kStart, true), std::nullopt);
+  EXPECT_EQ(clocks.lead(), kMaxClockLead) << "no position was taken";
 }
 
-TEST(EndpointClocks, ShowThatOursIsBehind) {
-  constexpr Micros kTold = 900'000;
-  constexpr Micros kBehind = kTold + 50'000;  // with what it was on its way for, at the most
+TEST(EndpointTime, HasTheLeadThatAPrimaryShows) {
+  constexpr Micros kObserved = 900'000;
+  constexpr Micros kBehind = kObserved + 50'000;  // with the longest network delay
   EndpointTime clocks;
-  EXPECT_EQ(clocks.heard(kStart + kTold, kStart, true), kStart + kTold - kBehind);
-  EXPECT_EQ(clocks.ahead(), kBehind);
+  EXPECT_EQ(clocks.observe(kStart + kObserved, kStart, true), kStart + kObserved - kBehind);
+  EXPECT_EQ(clocks.lead(), kBehind);
   // A replica that lags 2 s lags 2 s.
-  EXPECT_EQ(clocks.heard(kStart + kBehind - 2 * kSecond, kStart, false), kStart - 2 * kSecond);
-  EXPECT_EQ(clocks.ofClient(kStart + kBehind, kStart), kStart);
+  EXPECT_EQ(clocks.observe(kStart + kBehind - 2 * kSecond, kStart, false), kStart - 2 * kSecond);
+  EXPECT_EQ(clocks.fromSessionToken(kStart + kBehind, kStart), kStart);
   EXPECT_EQ(clocks.toEndpoints(kStart), kStart + kBehind);
-  EXPECT_EQ(clocks.heard(kStart + kAheadAtMost + 1, kStart, true), std::nullopt) << "they don't creep ahead";
+  EXPECT_EQ(clocks.observe(kStart + kMaxClockLead + 1, kStart, true), std::nullopt)
+      << "the lead does not grow beyond its maximum";
 }
 
-TEST(EndpointClocks, AreForgottenWhereNothingShowsThemAnyMore) {
+TEST(EndpointTime, ForgetsALeadThatNoPositionShowsAnyMore) {
   EndpointTime clocks;
-  (void)clocks.heard(kStart + 500'000, kStart, true);
+  (void)clocks.observe(kStart + 500'000, kStart, true);
   Micros at = kStart;
-  for (; at < kStart + 59 * kSecond; at += kSecond) (void)clocks.heard(at, at, true);
-  EXPECT_EQ(clocks.ahead(), 550'000) << "of this while, and of the one before";
-  for (; at < kStart + 70 * kSecond; at += kSecond) (void)clocks.heard(at, at, true);
-  EXPECT_EQ(clocks.ahead(), 0);
+  for (; at < kStart + 59 * kSecond; at += kSecond) (void)clocks.observe(at, at, true);
+  EXPECT_EQ(clocks.lead(), 550'000) << "of this window, and of the one before";
+  for (; at < kStart + 70 * kSecond; at += kSecond) (void)clocks.observe(at, at, true);
+  EXPECT_EQ(clocks.lead(), 0);
 }
 
-// A session's word is compared with endpoints', not with our clock, which may be behind both.
-TEST(EndpointClocks, OfSessionsMayBeAheadOfOurs) {
+// A session token is compared with the endpoints' positions, not with this machine's clock.
+TEST(EndpointTime, ConvertsSessionTokensThatAreAheadByADayAtMost) {
   EndpointTime clocks;
-  (void)clocks.heard(kStart, kStart, true);
-  EXPECT_EQ(clocks.ofClient(kStart + kHour, kStart), kStart + kHour);
-  EXPECT_EQ(clocks.ofClient(std::numeric_limits<Micros>::max(), kStart), kStart + 24 * kHour);
+  (void)clocks.observe(kStart, kStart, true);
+  EXPECT_EQ(clocks.fromSessionToken(kStart + kHour, kStart), kStart + kHour);
+  EXPECT_EQ(clocks.fromSessionToken(std::numeric_limits<Micros>::max(), kStart), kStart + 24 * kHour);
 }
 
 }  // namespace
--- a/tests/outcome_test.cpp
+++ b/tests/outcome_test.cpp
@@ -21,7 +21,7 @@
 wallclock::EndpointTime& agreeingClocks() {
   static wallclock::EndpointTime only;
   only = {};
-  (void)only.heard(kNow, kNow, true);
+  (void)only.observe(kNow, kNow, true);
   return only;
 }
 
