--- a/src/program/keeper.cpp
+++ b/src/program/keeper.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "discovery/belief.h"
+#include "discovery/crash_loop_delay.h"
 #include "program/log.h"
 
 namespace heathflow::program {
@@ -28,7 +28,7 @@
     : loop_(loop),
       settings_(settings),
       gateway_(gateway),
-      youngDeaths_(earlier ? earlier->youngDeaths : 0),
+      youngDeaths_(earlier ? earlier->earlyCrashes : 0),
       next_(loop, [this] { turn(); }) {}
 
 void Keeper::begin() {
@@ -38,7 +38,8 @@
   ++youngDeaths_;
   // Nothing is asked yet: there is time to wait for the disk.
   owed_ = !write(files::Durable::Yes);
-  next_.arm(begunAt_ + std::min<transport::Micros>(discovery::kYoung, settings_.every * kMicrosPerSecond));
+  next_.arm(begunAt_ +
+            std::min<transport::Micros>(discovery::kEarlyCrashTime, settings_.every * kMicrosPerSecond));
 }
 
 void Keeper::end() {
@@ -49,7 +50,7 @@
 }
 
 void Keeper::turn() {
-  const bool grown = youngDeaths_ > 0 && loop_.now() - begunAt_ >= discovery::kYoung;
+  const bool grown = youngDeaths_ > 0 && loop_.now() - begunAt_ >= discovery::kEarlyCrashTime;
   if (grown) youngDeaths_ = 0;
   owed_ = owed_ || grown;
   // Requests are out: what would have to wait for the disk would hold them up.
@@ -59,7 +60,7 @@
 
 bool Keeper::write(files::Durable durable) {
   snapshot::Snapshot now = gateway_.remember();
-  now.youngDeaths = youngDeaths_;
+  now.earlyCrashes = youngDeaths_;
   std::string problem;
   const bool good = snapshot::save(settings_.file, now, durable, problem);
   if (!good && !failing_) logLine(problem);  // once, until it goes well again
