--- a/src/discovery/discovery_backoff.h
+++ b/src/discovery/discovery_backoff.h
@@ -30,7 +30,7 @@
 
   // The wait after a failed call.
   // @param callCost what one call is assumed to cost the service.
-  // @param retryAfter the wait that the service asked for.
+  // @param retryAfter the wait that the service requested.
   Micros nextDelay(CallFailure failure, double callCost, std::optional<Micros> retryAfter);
   // A call has succeeded, or the service has moved.
   void reset() { failures_ = rejections_ = 0; }
--- a/src/discovery/discovery_call.h
+++ b/src/discovery/discovery_call.h
@@ -18,7 +18,7 @@
 struct CallError {
   stats::CallFailure failure = stats::CallFailure::Unreachable;
   std::string message;               // for the log
-  std::optional<Micros> retryAfter;  // the wait that the service asked for
+  std::optional<Micros> retryAfter;  // the wait that the service requested
 };
 
 class DiscoveryCall;
--- a/src/discovery/discovery_schedule.h
+++ b/src/discovery/discovery_schedule.h
@@ -28,7 +28,7 @@
   bool dedicatedService() const { return settings_.dedicatedService; }
   Micros firstCallAt() const { return firstCallAt_; }
   // When to call after a call brought no list.
-  // @param retryAfter the wait that the service asked for.
+  // @param retryAfter the wait that the service requested.
   Micros nextCallAfterFailure(Micros now, CallFailure failure, std::optional<Micros> retryAfter = {});
   // When to call the service at its new address, of which all gateways learn at once.
   Micros nextCallAfterMove(Micros now);
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -77,7 +77,7 @@
   newest_->start(revision_, wait);
 }
 
-// Whichever call is answered first has the newest list, because all asked for changes after one revision.
+// Whichever call is answered first has the newest list, because all requested changes after one revision.
 void DiscoveryWatch::onList(DiscoveryCall& call, const protocol::EndpointList& list) {
   closeAllExcept(call);
   calling_ = false;
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -17,7 +17,7 @@
 
 const char* phaseName(Phase phase) {
   if (phase == Phase::Ready) return "ready";
-  return phase == Phase::Gone ? "gone" : "draining";
+  return phase == Phase::Gone ? "removed" : "draining";
 }
 
 EndpointStatus statusOf(Phase phase) {
@@ -110,7 +110,7 @@
     if (!removed) {
       const auto address = transport::parseSocketAddress(listed.hostPort);
       if (!address) {
-        observer_.note(Topic::Discovery, "an endpoint's address can't be parsed: " + listed.hostPort);
+        observer_.note(Topic::Discovery, "an endpoint's address can't be read: " + listed.hostPort);
         continue;
       }
       pool_.place(entry.id, addressesOf(listed, *address));
--- a/src/membership/detector.h
+++ b/src/membership/detector.h
@@ -56,11 +56,11 @@
   struct Probe {
     std::string target;
     std::uint64_t sequence = 0;
-    Micros indirectAt = 0;  // when others are asked to probe, if there is no answer by then
+    Micros indirectAt = 0;  // when other gateways get a PingRequest, if there is no Ack by then
     Micros endsAt = 0;
     bool indirect = false;
     unsigned nacks = 0;
-    unsigned helpers = 0;  // how many others were asked
+    unsigned helpers = 0;  // to how many gateways that was sent
   };
   struct RelayedProbe {  // on behalf of another gateway
     std::string requester;
--- a/src/membership/detector_settings.h
+++ b/src/membership/detector_settings.h
@@ -16,7 +16,7 @@
   std::vector<std::string> seeds;    // addresses of gateways to join by
   Micros probePeriod = 1'000'000;    // from probe to probe
   Micros ackTimeout = 250'000;       // of a direct probe; the rest of the period is for indirect ones
-  unsigned indirectProbes = 3;       // how many gateways are asked to probe for this one
+  unsigned indirectProbes = 3;       // how many gateways get a PingRequest for an unanswered ping
   double minSuspicionPeriods = 1.0;  // for each power of ten of gateways, with many confirmations
   double maxSuspicionFactor = 3.0;   // times that, without confirmations
   double retransmitFactor = 3.0;     // how often an update is sent, for each doubling of gateways
--- a/tests/announced_drain_test.cpp
+++ b/tests/announced_drain_test.cpp
@@ -1,5 +1,5 @@
-// Endpoints that begin to drain while the list service rejects, is silent, or answers late: no request goes
-// to one once its drain counts as told.
+// Endpoints that begin to drain while the list service rejects calls, does not answer, or answers late: none
+// gets a request once the gateway counts as notified of its drain.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -10,16 +10,16 @@
 namespace heathflow::test {
 namespace {
 
-constexpr long kAskWithinMs = 10'000;
+constexpr long kMaxPollIntervalMs = 10'000;
 
-// One that drains: it turns health checks away, and serves what it is sent.
+// A draining endpoint rejects health checks and serves requests.
 void drain(EndpointStandIn& endpoint) {
   endpoint.healthCheck = [&endpoint](Line& line, const std::string&) { line.say(endpoint.error("57P03")); };
 }
 
-bool pass(GatewayRig& rig, transport::Micros time) {
-  const transport::Micros by = rig.loop.now() + time;
-  return rig.until([&] { return rig.loop.now() >= by; });
+bool waitFor(GatewayRig& rig, transport::Micros time) {
+  const transport::Micros until = rig.loop.now() + time;
+  return rig.until([&] { return rig.loop.now() >= until; });
 }
 
 std::size_t healthChecksAt(const GatewayRig& rig) {
@@ -28,16 +28,16 @@
   return out;
 }
 
-// The watch ends with the service's rejection, and from then on it rejects all.
-void rejectAll(GatewayRig& rig) {
+// The service ends the watch with a rejection, and rejects all calls from then on.
+void rejectAllCalls(GatewayRig& rig) {
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   rig.discovery.fails = true;
   std::exchange(rig.discovery.waiting, nullptr)->say(DiscoveryStandIn::response("", 503));
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures > 0; }));
 }
 
-// Every endpoint has a connection that stood while the list was true, 2 s before and later.
-void meetAll(GatewayRig& rig) {
+// Every endpoint gets a connection that is more than 2 s older than the newest list.
+void connectAll(GatewayRig& rig) {
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   ClientStandIn one(rig.loop, rig.socketAddress), two(rig.loop, rig.socketAddress),
       three(rig.loop, rig.socketAddress);
@@ -45,7 +45,7 @@
   two.ask(request("any", "two"));
   three.ask(request("save", "three"));
   for (ClientStandIn* client : {&one, &two, &three}) ASSERT_TRUE(client->answered());
-  ASSERT_TRUE(pass(rig, 2 * kSecond));
+  ASSERT_TRUE(waitFor(rig, 2 * kSecond));
   for (int lists = 0; lists < 2; ++lists) {
     const std::uint64_t before = rig.counters().listsTaken;
     std::exchange(rig.discovery.waiting, nullptr)
@@ -59,31 +59,30 @@
   }
 }
 
-// The list has expired, and every endpoint has a connection from before.
-void expireAll(GatewayRig& rig) {
-  meetAll(rig);
-  rejectAll(rig);
-  ASSERT_TRUE(pass(rig, 6 * kSecond));
+// The list expires, and every endpoint has a connection that is older.
+void expireList(GatewayRig& rig) {
+  connectAll(rig);
+  rejectAllCalls(rig);
+  ASSERT_TRUE(waitFor(rig, 6 * kSecond));
 }
 
 class DrainRule : public testing::TestWithParam<Speaks> {
  protected:
   static GatewayOptions speaking() {
-    GatewayOptions out = byHand(kAskWithinMs);
+    GatewayOptions out = byHand(kMaxPollIntervalMs);
     out.speaks = GetParam();
     return out;
   }
 };
 INSTANTIATE_TEST_SUITE_P(Protocols, DrainRule, kBoth, nameOf);
 
-// Both replicas drain while every call is rejected: what comes 6 s later asks endpoints first, and goes to
-// the one that says that it stays.
-TEST_P(DrainRule, WhatCanNotBeHeardOfBindsSixSecondsLaterByTheEndpointsOwnWord) {
+// Both replicas drain while every call is rejected: requests need a health check, and go to the primary.
+TEST_P(DrainRule, DrainingEndpointsGetNoRequestsSixSecondsLater) {
   GatewayRig rig(speaking());
-  expireAll(rig);
+  expireList(rig);
   drain(*rig.endpoints[1]);
   drain(*rig.endpoints[2]);
-  ASSERT_TRUE(pass(rig, 6 * kSecond));
+  ASSERT_TRUE(waitFor(rig, 6 * kSecond));
   ClientStandIn client(rig.loop, rig.socketAddress);
   std::size_t answers = 0;
   for (int i = 0; i < 5; ++i) {
@@ -95,10 +94,10 @@
   EXPECT_EQ(rig.endpoints[0]->statements.size(), 5U);
 }
 
-// Endpoints that stay are asked once in 6 s each at the most, however many requests come.
-TEST_P(DrainRule, EndpointsThatStayServeOnAndAreAskedNoMoreThanOnceInSixSeconds) {
+// However many requests come, an endpoint gets one health check in 6 s.
+TEST_P(DrainRule, RemainingEndpointsServeWithOneHealthCheckInSixSeconds) {
   GatewayRig rig(speaking());
-  expireAll(rig);
+  expireList(rig);
   const std::size_t before = healthChecksAt(rig);
   ClientStandIn client(rig.loop, rig.socketAddress);
   std::size_t answers = 0;
@@ -108,46 +107,46 @@
   }
   const std::size_t healthChecks = healthChecksAt(rig);
   EXPECT_EQ(rig.statements().size(), 20U);
-  EXPECT_EQ(rig.counters().listsExpired, 1U) << "told once, however many calls fail";
+  EXPECT_EQ(rig.counters().listsExpired, 1U) << "counted once, however many calls fail";
   EXPECT_GE(healthChecks, before + 1);
   EXPECT_LE(healthChecks, before + rig.endpoints.size());
 }
 
-// One that answered a health check and begins to drain then: 6 s later its word is too old.
-TEST_P(DrainRule, AnEndpointsOwnWordBindsNoLongerThanTheListsWould) {
+// An endpoint begins to drain after it has answered a health check.
+TEST_P(DrainRule, AHealthCheckCountsForNoMoreThanSixSeconds) {
   GatewayRig rig(speaking(), 2);
-  expireAll(rig);
+  expireList(rig);
   ClientStandIn client(rig.loop, rig.socketAddress);
   std::size_t answers = 0;
-  const auto ask = [&] {
+  const auto serveOne = [&] {
     client.ask(request("any", "a" + std::to_string(answers)));
     return client.answered(++answers);
   };
-  for (int i = 0; i < 8; ++i) ASSERT_TRUE(ask());
+  for (int i = 0; i < 8; ++i) ASSERT_TRUE(serveOne());
   const std::size_t before = rig.endpoints[1]->statements.size();
   EXPECT_GE(before, 1U);
   drain(*rig.endpoints[1]);
-  ASSERT_TRUE(pass(rig, 6 * kSecond));
-  for (int i = 0; i < 8; ++i) ASSERT_TRUE(ask());
+  ASSERT_TRUE(waitFor(rig, 6 * kSecond));
+  for (int i = 0; i < 8; ++i) ASSERT_TRUE(serveOne());
   EXPECT_EQ(rig.endpoints[1]->statements.size(), before);
   EXPECT_EQ(rig.endpoints[0]->statements.size(), 16U - before);
 }
 
-// Issue 47: an endpoint is removed and comes back while every call is rejected. It answers health checks at
-// once, but its return is not told before the next list.
-TEST_P(DrainRule, OneThatIsBackIsSentNothingBeforeTheNextList) {
+// Guards against requests to an endpoint that was removed and returned while every call was rejected (issue
+// 47): it answers health checks, but only the next list can say that it is back.
+TEST_P(DrainRule, AReturnedEndpointGetsNoRequestsBeforeTheNextList) {
   GatewayRig rig(speaking(), 2);
-  expireAll(rig);
+  expireList(rig);
   rig.endpoints[1]->shut();
-  ASSERT_TRUE(pass(rig, 3 * kSecond));
+  ASSERT_TRUE(waitFor(rig, 3 * kSecond));
   rig.endpoints[1]->reopen();
-  const transport::Micros backAt = rig.loop.now();
+  const transport::Micros returnedAt = rig.loop.now();
   ClientStandIn client(rig.loop, rig.socketAddress);
   std::size_t answers = 0;
-  for (int i = 0; rig.loop.now() < backAt + 30 * kSecond; ++i) {
+  for (int i = 0; rig.loop.now() < returnedAt + 30 * kSecond; ++i) {
     client.ask(request("any", std::to_string(i)));
     ASSERT_TRUE(client.answered(++answers));
-    ASSERT_TRUE(pass(rig, kSecond / 2));
+    ASSERT_TRUE(waitFor(rig, kSecond / 2));
   }
   EXPECT_TRUE(rig.endpoints[1]->statements.empty());
   EXPECT_FALSE(rig.endpoints[0]->statements.empty());
@@ -157,13 +156,13 @@
     client.ask(request("any", "late" + std::to_string(i)));
     ASSERT_TRUE(client.answered(++answers));
   }
-  EXPECT_FALSE(rig.endpoints[1]->statements.empty()) << "the list says that it is there";
+  EXPECT_FALSE(rig.endpoints[1]->statements.empty()) << "the list names it";
 }
 
-// Chosen while the list counted, and written when it no longer does: the connection comes up too late.
-TEST_P(DrainRule, WhatWaitedForItsConnectionIsAskedForOnceMore) {
+// The endpoint is chosen before the list expires, and its connection is open after that.
+TEST_P(DrainRule, AnAttemptThatWaitedForItsConnectionIsPlacedAgain) {
   GatewayRig rig(speaking(), 2);
-  rejectAll(rig);
+  rejectAllCalls(rig);
   const transport::Micros rejectedAt = rig.loop.now();
   rig.endpoints[1]->welcomes = false;
   ClientStandIn client(rig.loop, rig.socketAddress);
@@ -173,14 +172,15 @@
   ASSERT_TRUE(rig.until([&] { return rig.loop.now() >= rejectedAt + 7 * kSecond; }));
   rig.endpoints[1]->welcomeNow();
   ASSERT_TRUE(client.answered());
-  EXPECT_TRUE(rig.statements().empty()) << "neither has stood for long, so that nobody is sent it";
+  EXPECT_TRUE(rig.statements().empty())
+      << "no connection is old enough, so that no endpoint gets the request";
 }
 
-// With the next list the endpoints' own word is not asked for any more.
-TEST_P(DrainRule, TheNextListCountsAgain) {
+// With the next list, requests need no health checks any more.
+TEST_P(DrainRule, TheNextListIsUsedAgain) {
   GatewayRig rig(speaking());
-  rejectAll(rig);
-  ASSERT_TRUE(pass(rig, 6 * kSecond));
+  rejectAllCalls(rig);
+  ASSERT_TRUE(waitFor(rig, 6 * kSecond));
   rig.discovery.fails = false;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const std::size_t before = healthChecksAt(rig);
@@ -192,10 +192,10 @@
   EXPECT_TRUE(rig.endpoints[0]->statements.empty());
 }
 
-// Replicas began to drain before this process did, and its first call fails: the list that it was given is no
-// reason any more to send to anybody, and nobody can show that he was there before.
-TEST(FirstCalls, ThatFailLeaveNothingOfTheListGivenAtTheStart) {
-  GatewayRig rig(byHand(kAskWithinMs));
+// Replicas began to drain before this process started. After the failed call the configured list is not used,
+// and no endpoint has a connection old enough.
+TEST(FirstCalls, ThatFailEndTheUseOfTheConfiguredList) {
+  GatewayRig rig(byHand(kMaxPollIntervalMs));
   rig.discovery.fails = true;
   drain(*rig.endpoints[1]);
   drain(*rig.endpoints[2]);
@@ -203,8 +203,8 @@
   ClientStandIn client(rig.loop, rig.socketAddress);
   for (std::size_t i = 1; i <= 10; ++i) {
     client.ask(request("any", std::to_string(i)));
-    ASSERT_TRUE(client.answered(i)) << "at once, and not held back";
-    ASSERT_TRUE(pass(rig, kSecond));
+    ASSERT_TRUE(client.answered(i)) << "at once, and not queued";
+    ASSERT_TRUE(waitFor(rig, kSecond));
   }
   EXPECT_TRUE(rig.statements().empty());
   rig.discovery.fails = false;
@@ -214,9 +214,9 @@
   EXPECT_EQ(rig.statements().size(), 1U);
 }
 
-// Where lists are pushed what the agent has counts from the first moment.
-TEST(FirstCalls, OfAnAgentThatIsSilentLeaveNothingOfTheListGivenAtTheStart) {
-  GatewayOptions options = byHand(kAskWithinMs);
+// Where lists are pushed, changes count as soon as the agent has them.
+TEST(FirstCalls, ThatTimeOutEndTheUseOfTheConfiguredListWhereListsArePushed) {
+  GatewayOptions options = byHand(kMaxPollIntervalMs);
   options.discovery = "push";
   GatewayRig rig(options, 2);
   rig.discovery.silent = true;
@@ -224,38 +224,38 @@
   for (std::size_t i = 1; i <= 10; ++i) {
     client.ask(request("any", std::to_string(i)));
     ASSERT_TRUE(client.answered(i));
-    ASSERT_TRUE(pass(rig, kSecond));
+    ASSERT_TRUE(waitFor(rig, kSecond));
   }
   EXPECT_TRUE(rig.statements().empty());
 }
 
-// A rejected watch is over: its wait of 10 s is none.
+// The lease does not last for the wait of 10 s of a watch that was rejected.
 TEST(RejectedWatches, EndTheirWait) {
-  GatewayOptions options = byHand(kAskWithinMs);
+  GatewayOptions options = byHand(kMaxPollIntervalMs);
   options.gateways = 300;
   GatewayRig rig(options, 2);
   // The service is slow, so that watches are long.
   rig.discovery.silent = true;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() == 1; }));
-  ASSERT_TRUE(pass(rig, kSecond));
+  ASSERT_TRUE(waitFor(rig, kSecond));
   rig.discovery.silent = false;
   rig.discovery.lines.front()->say(DiscoveryStandIn::response(rig.discovery.document(false, "[]")));
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   ASSERT_NE(rig.discovery.calls.back().find("timeout_ms=10000 "), std::string::npos);
-  rejectAll(rig);
+  rejectAllCalls(rig);
   drain(*rig.endpoints[1]);
-  ASSERT_TRUE(pass(rig, 6 * kSecond));
+  ASSERT_TRUE(waitFor(rig, 6 * kSecond));
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
   EXPECT_TRUE(rig.endpoints[1]->statements.empty());
 }
 
-// ---- Calls beside one another ----
+// ---- Several calls in flight ----
 
-// The service's line is long: the first call's answer comes after the second has gone out, and counts.
-TEST(OverdueCalls, AreAnsweredAfterAll) {
-  GatewayRig rig(byHand(kAskWithinMs), 2);
+// The service's queue is long: the first call is answered after the second was sent.
+TEST(OverdueCalls, AreUsedWhenTheyAreAnsweredLate) {
+  GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() == 2; }));
   ASSERT_EQ(rig.discovery.lines.size(), 2U);
@@ -266,7 +266,7 @@
   rig.discovery.lines.front()->say(
       DiscoveryStandIn::response(rig.discovery.document(false, "[" + rig.entryOf(1, "Terminating") + "]")));
   ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
-  ASSERT_TRUE(rig.until([&] { return rig.discovery.lines.back()->ended; })) << "the later call is not wanted";
+  ASSERT_TRUE(rig.until([&] { return rig.discovery.lines.back()->ended; })) << "the later call is closed";
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   EXPECT_EQ(rig.discovery.waiting, rig.discovery.lines.front().get()) << "the connection is kept";
   ClientStandIn client(rig.loop, rig.socketAddress);
@@ -275,10 +275,10 @@
   EXPECT_TRUE(rig.endpoints[1]->statements.empty());
 }
 
-// A service that never answers holds three connections of a gateway at the most, and one call after the other
-// goes out within the time that leaves room for an answer.
-TEST(OverdueCalls, AreThreeAtTheMostWithTheNewest) {
-  GatewayRig rig(byHand(kAskWithinMs), 2);
+// A service that never answers holds three connections of a gateway at most, and each next call goes out in
+// time for an answer.
+TEST(OverdueCalls, AreThreeAtMostWithTheNewest) {
+  GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() >= 8; }));
   EXPECT_LE(rig.discovery.openLines(), 3U);
@@ -289,9 +289,9 @@
   ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
 }
 
-// The newest fails, and one before it is answered while the next has yet to go out.
-TEST(OverdueCalls, AreAnsweredWhileTheNextWaitsForItsTime) {
-  GatewayRig rig(byHand(kAskWithinMs), 2);
+// The newest call fails, and an earlier one is answered before the next one is sent.
+TEST(OverdueCalls, AreUsedWhileTheNextCallIsScheduled) {
+  GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() == 2; }));
   rig.discovery.lines.back()->say(DiscoveryStandIn::response("", 503));
@@ -304,9 +304,9 @@
   EXPECT_EQ(rig.discovery.calls.size(), 3U) << "the call that was due is the watch";
 }
 
-// An overdue call is turned away: that was counted as it became overdue, and moves nothing.
-TEST(OverdueCalls, ThatFailLaterAreForgotten) {
-  GatewayRig rig(byHand(kAskWithinMs), 2);
+// An overdue call is rejected: it was counted as failed when it became overdue.
+TEST(OverdueCalls, ThatFailLaterChangeNothing) {
+  GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() == 2; }));
   Line* first = rig.discovery.lines.front().get();
@@ -320,16 +320,16 @@
   ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
 }
 
-// ---- Health checks of one that drains ----
+// ---- Health checks of a draining endpoint ----
 
-// A primary that drains turns health checks away; reads that need its word do not ask it again and again.
-TEST(HealthChecksTurnedAway, AreNotRepeatedAtThePaceOfTheirAnswers) {
-  GatewayOptions options = byHand(kAskWithinMs);
+// Reads that need the position of a draining primary do not repeat its health checks without a pause.
+TEST(RejectedHealthChecks, AreNotRepeatedWithoutAPause) {
+  GatewayOptions options = byHand(kMaxPollIntervalMs);
   options.viewConsistency = "fresh";
   GatewayRig rig(options, 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   drain(*rig.endpoints[0]);
-  ASSERT_TRUE(pass(rig, 10 * kSecond));
+  ASSERT_TRUE(waitFor(rig, 10 * kSecond));
   const std::size_t before = rig.endpoints[0]->healthChecks;
   const transport::Micros from = rig.loop.now();
   ClientStandIn client(rig.loop, rig.socketAddress);
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -1,5 +1,5 @@
-// Lists of 1,500 endpoints, and settings that name 1,500 gateways, in the built program: taken in, indented
-// too, with one thread and within 32 MB, and requests are served afterwards.
+// Lists of 1,500 endpoints, and settings for 1,500 gateways, in the built program: they are used, also when
+// indented, with one thread and within 32 MB of memory.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -15,10 +15,10 @@
 constexpr unsigned kGateways = 1'500;
 constexpr std::size_t kGroups = 300;
 constexpr std::size_t kMemoryMb = 32;
-constexpr std::size_t kServedAtTheEnd = 50;
-constexpr std::size_t kOthers = 20;  // clients
-constexpr long kShortMs = 100;
-// Long names: the page gives them no width.
+constexpr std::size_t kRequestsAtTheEnd = 50;
+constexpr std::size_t kGroupClients = 20;
+constexpr long kShortDeadlineMs = 100;
+// Long names, because the protocol does not limit them.
 const std::string kName(48, 'n');
 const std::string kLocality(32, 'z');
 
@@ -48,23 +48,22 @@
   Site() : first(loop, kLoopback + 1), second(loop, kLoopback + 2), discovery(loop) {
     first.primary = second.primary = true;
   }
-  // Endpoints of all groups. Those of the first are reached at the stand-in that leads it, the others
-  // nowhere.
-  std::string entries(const std::string& firstAddress, std::int64_t upSinceMs) const {
+  // Endpoints of all groups. The primary of the first group is a stand-in; the others can't be reached.
+  std::string entries(const std::string& primaryAddress, std::int64_t upSinceMs) const {
     std::string out;
     for (std::size_t i = 0; i < kEndpoints; ++i) {
       const std::size_t group = i % kGroups;
-      const bool leads = i < kGroups;
+      const bool primary = i < kGroups;
       const std::string number = std::to_string(i);
       const std::string address =
-          i == 0 ? firstAddress
+          i == 0 ? primaryAddress
                  : "127." + std::to_string(100 + i / 250) + ".200." + std::to_string(1 + i % 250) + ":65432";
       out += (i == 0 ? "" : ",");
       out += "{\"id\":\"s-" + kName + number + "\",\"host_port\":\"" + address + "\",\"locality\":\"" +
              kLocality + std::to_string(i % 7) + "\",\"flavor\":\"" + kName +
              "\",\"cell\":" + std::to_string(group) +
              ",\"phase\":\"Ready\",\"size\":1.0,\"up_since_ms\":" + std::to_string(upSinceMs) +
-             ",\"mode\":\"" + (leads ? "read-write" : "read-only") + "\"}";
+             ",\"mode\":\"" + (primary ? "read-write" : "read-only") + "\"}";
     }
     return "[" + out + "]";
   }
@@ -88,60 +87,67 @@
   return out;
 }
 
-// In the configuration, then as a whole list that moves the first group's leader, then as changes of all.
-TEST(LargeLists, AreTakenInWithinTheMemoryOfASmallProcess) {
-  Site site;
-  site.discovery.silent = true;
-  const std::string known = indented(site.entries(site.first.address(), 0));
-  Process process(configText(options(), site.discovery.address(), known));
-  ASSERT_TRUE(site.until([&] { return process.says("serves at"); })) << process.log();
-  ClientStandIn client(site.loop, process.socketAddress());
-  client.ask(request("save", "by-the-configuration"));
-  ASSERT_TRUE(client.answered());
-  EXPECT_EQ(client.value(), "from " + site.first.address());
-
-  site.discovery.silent = false;
-  site.discovery.revision = 2;
-  site.discovery.endpoints = site.discovery.news = indented(site.entries(site.second.address(), 0));
-  ASSERT_TRUE(site.until([&] { return site.discovery.waiting != nullptr; })) << process.log();
+// A write to the first group has to reach its primary.
+void expectServedBy(ClientStandIn& client, const EndpointStandIn& primary, const std::string& id) {
   client.forget();
-  client.ask(request("save", "by-a-list"));
+  client.ask(request("save", id));
   ASSERT_TRUE(client.answered());
-  EXPECT_EQ(client.value(), "from " + site.second.address());
+  EXPECT_EQ(client.value(), "from " + primary.address());
+}
 
-  // Every entry changes, five times over, and each time the first group's leader is another.
-  for (int i = 0; i < 5; ++i) {
-    EndpointStandIn& leads = i % 2 == 0 ? site.first : site.second;
-    site.discovery.tell(indented(site.entries(leads.address(), 0)));
+// Each list changes every entry, and names another primary of the first group.
+void changeAllEntries(Site& site, Process& process, ClientStandIn& client, int times) {
+  for (int i = 0; i < times; ++i) {
+    EndpointStandIn& primary = i % 2 == 0 ? site.first : site.second;
+    site.discovery.tell(indented(site.entries(primary.address(), 0)));
     ASSERT_TRUE(site.until([&] { return site.discovery.waiting != nullptr; })) << process.log();
-    client.forget();
-    client.ask(request("save", "by-changes" + std::to_string(i)));
-    ASSERT_TRUE(client.answered());
-    EXPECT_EQ(client.value(), "from " + leads.address());
+    ASSERT_NO_FATAL_FAILURE(expectServedBy(client, primary, "by-changes" + std::to_string(i)));
     if (kResidentIsOwn) {
       EXPECT_LT(residentOf(process.pid()), kMemoryMb * 1'000'000);
     }
   }
+}
 
-  // Requests to every group: none but the first can be reached, and each has its answer.
-  std::list<ClientStandIn> others;
-  for (std::size_t i = 0; i < kOthers; ++i) others.emplace_back(site.loop, process.socketAddress());
-  auto next = others.begin();
+// Only the first group can be reached; requests to the others have to be answered nevertheless.
+void requestFromOtherGroups(Site& site, Process& process) {
+  std::list<ClientStandIn> clients;
+  for (std::size_t i = 0; i < kGroupClients; ++i) clients.emplace_back(site.loop, process.socketAddress());
+  auto next = clients.begin();
   for (std::size_t group = 1; group < kGroups; ++group) {
-    std::string text = request("any", "group" + std::to_string(group), "", kShortMs);
+    std::string text = request("any", "group" + std::to_string(group), "", kShortDeadlineMs);
     text.replace(text.find("cluster=0"), 9, "cluster=" + std::to_string(group));
     next->ask(text);
-    if (++next == others.end()) next = others.begin();
+    if (++next == clients.end()) next = clients.begin();
   }
   std::size_t answers = 0;
   ASSERT_TRUE(site.until([&] {
-    for (auto& other : others) {
-      for (const auto& message : other.messages()) answers += message.type == 'Z' ? 1 : 0;
-      other.forget();
+    for (auto& client : clients) {
+      for (const auto& message : client.messages()) answers += message.type == 'Z' ? 1 : 0;
+      client.forget();
     }
     return answers == kGroups - 1;
   }));
-  for (std::size_t i = 0; i < kServedAtTheEnd; ++i) {
+}
+
+// Lists come from the configuration, as a complete list with another primary, and as changes of all entries.
+TEST(LargeLists, AreUsedWithinTheMemoryOfASmallProcess) {
+  Site site;
+  site.discovery.silent = true;
+  const std::string known = indented(site.entries(site.first.address(), 0));
+  Process process(configText(options(), site.discovery.address(), known));
+  ASSERT_TRUE(site.until([&] { return process.says("serves at"); })) << process.log();
+  ClientStandIn client(site.loop, process.socketAddress());
+  ASSERT_NO_FATAL_FAILURE(expectServedBy(client, site.first, "by-the-configuration"));
+
+  site.discovery.silent = false;
+  site.discovery.revision = 2;
+  site.discovery.endpoints = site.discovery.news = indented(site.entries(site.second.address(), 0));
+  ASSERT_TRUE(site.until([&] { return site.discovery.waiting != nullptr; })) << process.log();
+  ASSERT_NO_FATAL_FAILURE(expectServedBy(client, site.second, "by-a-list"));
+
+  ASSERT_NO_FATAL_FAILURE(changeAllEntries(site, process, client, 5));
+  ASSERT_NO_FATAL_FAILURE(requestFromOtherGroups(site, process));
+  for (std::size_t i = 0; i < kRequestsAtTheEnd; ++i) {
     client.forget();
     client.ask(request("any", "last" + std::to_string(i)));
     ASSERT_TRUE(client.answered());
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -1,4 +1,4 @@
-// Lists of endpoints that come late, in halves, from a new place or not at all.
+// Endpoint lists that arrive late, incomplete, from a new address or not at all.
 // docs/crossings.md lists the pairs.
 #include <gtest/gtest.h>
 
@@ -10,31 +10,31 @@
 namespace heathflow::test {
 namespace {
 
-// Moves a gateway's discovery to another place.
-void moveTo(GatewayRig& rig, const transport::SocketAddress& place) {
+// Reloads the configuration with another address of the list service.
+void moveTo(GatewayRig& rig, const transport::SocketAddress& address) {
   program::Config fresh = rig.config;
-  fresh.discovery = place;
+  fresh.discovery = address;
   rig.gateway->reload(fresh);
 }
 
 std::string withoutLength(const std::string& body) { return "HTTP/1.1 200 OK\r\n\r\n" + body; }
 
-// A list whose response has no length: whole where the connection closes, nothing where it is reset, though
-// what has come of it could be read as a list.
-TEST(CrossingLists, WithoutALengthAreWholeAtACloseAndNothingAtAReset) {
+// Guards against an incomplete list: a response without a length is complete when its connection closes, not
+// when it is reset.
+TEST(EndpointListResponses, WithoutALengthAreCompleteAtACloseButNotAtAReset) {
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  PlainListener place(rig.loop);
-  moveTo(rig, place.socketAddress());
-  auto call = place.next();
+  PlainListener service(rig.loop);
+  moveTo(rig, service.socketAddress());
+  auto call = service.next();
   ASSERT_TRUE(call && call->reads("\r\n\r\n"));
-  // As if the second and third endpoint were gone. Body and reset are there before the loop turns again.
+  // The list lacks two endpoints. Body and reset arrive before the next turn of the event loop.
   const std::uint64_t before = rig.counters().listsTaken;
   ASSERT_TRUE(call->send(withoutLength(rig.discovery.document(true, "[" + rig.entryOf(0) + "]"))));
   call->resetNow();
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures == 1; }));
   EXPECT_EQ(rig.counters().listsTaken, before);
-  call = place.next();
+  call = service.next();
   ASSERT_TRUE(call && call->reads("\r\n\r\n"));
   ASSERT_TRUE(call->send(withoutLength(rig.discovery.document(true, "[" + rig.entryOf(0) + "]"))));
   call->hangUp();
@@ -46,17 +46,17 @@
   EXPECT_EQ(rig.endpoints[0]->statements.size(), 1U);
 }
 
-// A list longer than what one read takes, with its close right behind it, both there in one turn.
-TEST(CrossingLists, LongerThanOneReadAreTakenWholeWhenTheirConnectionCloses) {
+// The list is longer than one read, and its connection is closed right behind it.
+TEST(EndpointListResponses, LongerThanOneReadAreTakenCompletelyWhenTheirConnectionCloses) {
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   std::string entries = rig.entryOf(0);
   for (int i = 0; i < 2000; ++i)
     entries += ",\n        " + entry("s" + std::to_string(i), "127.0.0.9:1", false);
   for (const bool withLength : {false, true}) {
-    PlainListener place(rig.loop);
-    moveTo(rig, place.socketAddress());
-    auto call = place.next();
+    PlainListener service(rig.loop);
+    moveTo(rig, service.socketAddress());
+    auto call = service.next();
     ASSERT_TRUE(call && call->reads("\r\n\r\n"));
     const std::string body = rig.discovery.document(true, "[" + entries + "]");
     ASSERT_GT(body.size(), 200'000U);
@@ -71,8 +71,8 @@
   }
 }
 
-// Where the settings say that lists are pushed, a push comes over a watch all the same.
-TEST(CrossingLists, ThatArePushedAreWatchedForFromTheStart) {
+// Pushed lists arrive over a watch as well.
+TEST(EndpointListResponses, ThatArePushedAreWatchedFromTheStart) {
   GatewayOptions options;
   options.discovery = "push";
   GatewayRig rig(options);
@@ -86,9 +86,9 @@
   EXPECT_TRUE(rig.endpoints[2]->statements.empty());
 }
 
-// A watch falls silent right after its call. What it misses counts as told 2 s after its wait of 5 s, and the
-// next call, on a new connection, has to bring it before.
-TEST(CrossingLists, WhoseWatchFallsSilentAreAskedForAnewWithinTheTimeThatCounts) {
+// A watch has no response. The gateway counts as notified of what it misses 2 s after its wait of 5 s, so
+// that the next call has to be out before.
+TEST(EndpointListResponses, OfAWatchThatTimesOutAreRequestedAgainBeforeTheDeadline) {
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const transport::Micros silentFrom = rig.discovery.calledAt.back();
@@ -107,8 +107,8 @@
   EXPECT_TRUE(rig.endpoints[1]->statements.empty());
 }
 
-// The next call is silent as well: the one after it still comes within 6 s of the first silence.
-TEST(CrossingLists, WhoseNextCallIsSilentTooAreAskedForWithinSixSeconds) {
+// The next call has no response either.
+TEST(EndpointListResponses, OfTwoCallsThatTimeOutAreRequestedAgainWithinSixSeconds) {
   GatewayRig rig(byHand(4'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const transport::Micros silentFrom = rig.discovery.calledAt.back();
@@ -119,27 +119,27 @@
   EXPECT_LE(rig.discovery.calledAt.back(), silentFrom + 6 * kSecond - kSecond / 4);
 }
 
-// Half a list and then nothing: it is no list, and the rest of it is no part of the next.
-TEST(CrossingLists, ThatStopHalfwayAreNothing) {
+// The rest of an incomplete list that arrives later is not part of the next one.
+TEST(EndpointListResponses, ThatStopHalfwayAreNotUsed) {
   GatewayRig rig(byHand(4'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   Line* line = std::exchange(rig.discovery.waiting, nullptr);
   ++rig.discovery.revision;
-  const std::string whole =
+  const std::string complete =
       DiscoveryStandIn::response(rig.discovery.document(false, "[" + rig.entryOf(1, "Terminating") + "]"));
   const std::uint64_t before = rig.counters().listsTaken;
-  line->say(whole.substr(0, whole.size() - 1));
+  line->say(complete.substr(0, complete.size() - 1));
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures == 1; }));
   EXPECT_EQ(rig.counters().listsTaken, before);
-  line->say(whole.substr(whole.size() - 1));
+  line->say(complete.substr(complete.size() - 1));
   ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
   EXPECT_EQ(rig.counters().discoveryFailures, 1U);
   EXPECT_NE(rig.discovery.calls[rig.discovery.calls.size() - 2].find("since=1&"), std::string::npos)
-      << "what the half list named as its revision is not held";
+      << "the revision of the incomplete list is not used";
 }
 
-// The answer and its limit are both there in one turn.
-TEST(CrossingLists, ThatComeInTheTurnOfTheirLimitAreTaken) {
+// The response arrives in the same turn of the event loop as its timeout.
+TEST(EndpointListResponses, ThatArriveTogetherWithTheirTimeoutAreTaken) {
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const std::uint64_t before = rig.counters().listsTaken;
@@ -149,17 +149,16 @@
   EXPECT_EQ(rig.counters().discoveryFailures, 0U);
 }
 
-// A push comes from an agent of the gateway's own, whose word counts at once when it is back: it is not left
-// alone for longer the longer it was away.
-TEST(CrossingLists, ThatArePushedAreAskedForSoonHoweverLongTheAgentWasAway) {
+// A dedicated agent's list counts as soon as the agent is back, so that the backoff does not grow.
+TEST(EndpointListResponses, ThatArePushedAreRequestedSoonHoweverLongTheAgentWasAway) {
   GatewayOptions options = byHand(60'000);
   options.discovery = "push";
   GatewayRig rig(options, 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   rig.discovery.waiting = nullptr;
   rig.discovery.shut();
-  const transport::Micros gone = rig.loop.now();
-  ASSERT_TRUE(rig.until([&] { return rig.loop.now() > gone + 8 * kSecond; }));
+  const transport::Micros wentAway = rig.loop.now();
+  ASSERT_TRUE(rig.until([&] { return rig.loop.now() > wentAway + 8 * kSecond; }));
   const std::size_t calls = rig.discovery.calls.size();
   rig.discovery.reopen();
   const transport::Micros back = rig.loop.now();
@@ -167,28 +166,28 @@
   EXPECT_LE(rig.discovery.calledAt.back(), back + kSecond / 4 + kSecond / 50);
 }
 
-// A new configuration moves discovery, and the first call there gets no answer: what the new place has to say
-// counts as told 4 s later.
-TEST(CrossingLists, FromANewPlaceWhoseFirstCallIsSilentComeWithinFourSeconds) {
+// The list service moves, and the first call to its new address has no response: the gateway counts as
+// notified of the new list 4 s after the move.
+TEST(EndpointListResponses, FromANewAddressWhoseFirstCallTimesOutArriveWithinFourSeconds) {
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  DiscoveryStandIn place(rig.loop);
-  place.endpoints = rig.discovery.endpoints;
-  place.revision = 0;  // its revisions are its own
-  place.silent = true;
+  DiscoveryStandIn service(rig.loop);
+  service.endpoints = rig.discovery.endpoints;
+  service.revision = 0;  // its revisions are its own
+  service.silent = true;
   const transport::Micros moved = rig.loop.now();
-  moveTo(rig, place.socketAddress());
-  ASSERT_TRUE(rig.until([&] { return place.calls.size() == 1; }));
-  place.silent = false;
-  ASSERT_TRUE(rig.until([&] { return place.waiting != nullptr; }));
-  EXPECT_LE(place.calledAt[1], moved + 4 * kSecond - kSecond / 4);
-  EXPECT_EQ(place.calls[1], "GET /v1/endpoints HTTP/1.1") << "the whole list";
+  moveTo(rig, service.socketAddress());
+  ASSERT_TRUE(rig.until([&] { return service.calls.size() == 1; }));
+  service.silent = false;
+  ASSERT_TRUE(rig.until([&] { return service.waiting != nullptr; }));
+  EXPECT_LE(service.calledAt[1], moved + 4 * kSecond - kSecond / 4);
+  EXPECT_EQ(service.calls[1], "GET /v1/endpoints HTTP/1.1") << "the complete list";
   EXPECT_TRUE(rig.until([&] { return rig.discovery.openLines() == 0; }));
 }
 
-// Two new configurations in one turn, and one that names the place it has: the last one counts, what the one
-// between would have said is nothing, and a watch that stands is left alone.
-TEST(CrossingLists, FollowTheLastOfTwoNewConfigurations) {
+// Two moves in one turn of the event loop: the last one counts. A move to the present address changes
+// nothing.
+TEST(EndpointListResponses, FollowTheLastOfTwoMoves) {
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   DiscoveryStandIn between(rig.loop);
@@ -206,7 +205,7 @@
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(rig.endpoints[1]->statements.size(), 1U) << "the replica is still known";
   EXPECT_EQ(last.calls.size(), calls);
-  // And back to where it came from: its old revision is not asked from.
+  // After a move back the old revision is not used.
   const std::size_t first = rig.discovery.calls.size();
   moveTo(rig, rig.discovery.socketAddress());
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() > first; }));
--- a/tests/snapshot_source_test.cpp
+++ b/tests/snapshot_source_test.cpp
@@ -1,4 +1,4 @@
-// A snapshot of a list that another list service gave: revisions of two services say nothing of each other.
+// A snapshot with the list of another list service: revisions of two services are not comparable.
 #include <gtest/gtest.h>
 
 #include "crossing.h"
@@ -8,16 +8,16 @@
 namespace heathflow::test {
 namespace {
 
-constexpr std::int64_t kKeptRevision = 41;
+constexpr std::int64_t kCachedRevision = 41;
 
-// A gateway whose earlier life had its list from that place.
-class Restarted {
+// A gateway whose snapshot has its list from that address.
+class RestartedGateway {
  public:
-  explicit Restarted(const std::string& source)
+  explicit RestartedGateway(const std::string& source)
       : loop(transport::Clock::byHand(transport::Clock().now())), discovery(loop), endpoint(loop) {
     endpoint.primary = true;
     discovery.endpoints = "[" + entry("m0", endpoint.address(), true) + "]";
-    discovery.revision = 2 * kKeptRevision;
+    discovery.revision = 2 * kCachedRevision;
     GatewayOptions options;
     options.knownRevision = 1;
     std::string problem;
@@ -29,9 +29,9 @@
     earlier.listTrueAt = loop.now();
     earlier.source = source.empty() ? discovery.address() : source;
     protocol::EndpointList list = config.known;
-    list.revision = kKeptRevision;
+    list.revision = kCachedRevision;
     list.endpoints.push_back(list.endpoints.front());
-    list.endpoints.back().id = "gone-before-the-move";
+    list.endpoints.back().id = "removed-before-the-move";
     earlier.list = list;
     gateway = std::make_unique<program::Gateway>(loop, config, notes, installation, earlier);
     if (gateway->listen(problem) != 0) throw std::runtime_error(problem);
@@ -52,15 +52,15 @@
   std::unique_ptr<program::Gateway> gateway;
 };
 
-TEST(SnapshotSource, OfTheSamePlaceGoesOnFromItsRevision) {
-  Restarted restarted("");
-  EXPECT_NE(restarted.firstCall().find("since=" + std::to_string(kKeptRevision)), std::string::npos);
+TEST(SnapshotSource, OfTheSameServiceContinuesFromItsRevision) {
+  RestartedGateway restarted("");
+  EXPECT_NE(restarted.firstCall().find("since=" + std::to_string(kCachedRevision)), std::string::npos);
 }
 
-// Else one that went before the move would stay in the list for good.
-TEST(SnapshotSource, OfAnotherPlaceIsNoRevisionOfThisOne) {
-  Restarted restarted("127.0.0.9:8500");
-  EXPECT_EQ(restarted.firstCall().find("since=" + std::to_string(kKeptRevision)), std::string::npos);
+// Guards against an endpoint that was removed before the move and stays in the list for ever.
+TEST(SnapshotSource, OfAnotherServiceDoesNotContinueFromItsRevision) {
+  RestartedGateway restarted("127.0.0.9:8500");
+  EXPECT_EQ(restarted.firstCall().find("since=" + std::to_string(kCachedRevision)), std::string::npos);
 }
 
 }  // namespace
--- a/tests/start_retry_test.cpp
+++ b/tests/startup_backoff_test.cpp
@@ -1,4 +1,4 @@
-// A start for which something is lacking for a moment, and one for which something is wrong.
+// Starts and reloads whose system calls fail: transient errors are retried, others end them.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -16,17 +16,17 @@
   return emulator::withFaults(HEATHFLOW_FAULT_LIBRARY, plan);
 }
 
-// Of each kind of call that a start makes.
-constexpr std::array kMomentary = {"socket=1#2",
-                                   "create=1#2",
-                                   "watch=1#3",
-                                   "listen=1#2",
-                                   "file-open=1#1",
-                                   "file-read=1#1",
-                                   "interrupt=0.3;interrupt-io=0.3"};
+// Transient errors of each kind of call that a start makes.
+constexpr std::array kTransientFaults = {"socket=1#2",
+                                         "create=1#2",
+                                         "watch=1#3",
+                                         "listen=1#2",
+                                         "file-open=1#1",
+                                         "file-read=1#1",
+                                         "interrupt=0.3;interrupt-io=0.3"};
 
-TEST(MomentaryLack, EndsNoStart) {
-  for (const char* plan : kMomentary) {
+TEST(StartupBackoff, RetriesTransientErrors) {
+  for (const char* plan : kTransientFaults) {
     ProcessSite site;
     Process process(site.config(), {}, failing(plan));
     ASSERT_TRUE(site.until([&] { return process.says("serves at") || process.over(); })) << plan;
@@ -40,8 +40,8 @@
   }
 }
 
-// A signal that comes while the start still waits for something is no end of the process.
-TEST(EarlySignal, WaitsUntilItCanBeTaken) {
+// Guards against a signal that ends the process while a start is being retried.
+TEST(EarlySignal, IsHandledAfterTheStart) {
   ProcessSite site;
   Process process(site.config(), {}, failing("file-open=1#6"));
   ASSERT_TRUE(site.until([&] { return process.says("is tried again") || process.over(); }));
@@ -56,7 +56,7 @@
 }
 
 // The same while the settings of the installation are read, which comes first.
-TEST(EarlySignal, WaitsWhileTheSettingsAreRead) {
+TEST(EarlySignal, IsHandledAfterTheSettingsAreRead) {
   ProcessSite site;
   TemporaryFolder folder;
   const std::string settings = folder.path() + "/heathflow.xml";
@@ -68,8 +68,7 @@
   EXPECT_FALSE(process.over()) << process.log();
 }
 
-// What the reading of a new configuration fails for at present is tried again too.
-TEST(Reload, IsTriedAgainWhereTheFileCantBeReadForAMoment) {
+TEST(Reload, RetriesTransientErrors) {
   ProcessSite site;
   DiscoveryStandIn elsewhere(site.loop);
   elsewhere.endpoints = site.discovery.endpoints;
@@ -83,8 +82,8 @@
   EXPECT_TRUE(site.until([&] { return !elsewhere.calls.empty(); })) << process.log();
 }
 
-// What can't pass is not waited for, and is called by its own name.
-TEST(WrongStart, EndsAtOnceWithItsTrueName) {
+// An error that is not transient.
+TEST(StartupBackoff, EndsAtOnceWithTheErrorsNameWhereItIsNotTransient) {
   ProcessSite site;
   std::string config = site.config();
   const std::string listen = "127.0.0.1:0";
@@ -97,8 +96,8 @@
   EXPECT_FALSE(process.says("is tried again")) << process.log();
 }
 
-// A lack that does not pass ends the start in time, and its name is no word on the address.
-TEST(LastingLack, EndsTheStartWithItsTrueName) {
+// The message names the system error and does not blame the address.
+TEST(StartupBackoff, EndsAfterTheRetryTimeWithTheErrorsName) {
   ProcessSite site;
   Process process(site.config(), {}, failing("socket=1"));
   ASSERT_TRUE(site.until([&] { return process.over(); }));
