--- a/src/emulator/bursts.h
+++ b/src/emulator/burst_counter.h
@@ -9,9 +9,9 @@
 
 namespace heathflow::emulator {
 
-class Bursts {
+class BurstCounter {
  public:
-  explicit Bursts(std::size_t kept) : kept_(kept) {}
+  explicit BurstCounter(std::size_t kept) : kept_(kept) {}
 
   void add(transport::Micros at) {
     times_.push_back(at);
--- a/src/emulator/child.cpp
+++ b/src/emulator/child_process.cpp
@@ -1,4 +1,4 @@
-#include "emulator/child.h"
+#include "emulator/child_process.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -18,8 +18,8 @@
 namespace heathflow::emulator {
 namespace {
 
-constexpr std::size_t kLogKept = 4 << 20;
-constexpr std::size_t kEventsKept = 50'000;
+constexpr std::size_t kMaxLogBytes = 4 << 20;
+constexpr std::size_t kMaxLogEvents = 50'000;
 
 }  // namespace
 
@@ -29,17 +29,17 @@
       {"LD_PRELOAD", library}, {faultshim::kVariable, plan}, {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
-Child::Child(std::string program, const std::string& config, std::vector<std::string> arguments,
-             Environment environment)
+ChildProcess::ChildProcess(std::string program, const std::string& config, std::vector<std::string> arguments,
+                           Environment environment)
     : program_(std::move(program)), arguments_(std::move(arguments)), environment_(std::move(environment)) {
   file_ = folder_.path() + "/config.json";
   configure(config);
   start();
 }
 
-Child::~Child() { kill(); }
+ChildProcess::~ChildProcess() { kill(); }
 
-void Child::start() {
+void ChildProcess::start() {
   int pipe[2] = {-1, -1};
   if (::pipe2(pipe, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
   const pid_t parent = ::getpid();
@@ -65,41 +65,41 @@
   ::close(pipe[1]);
   output_ = transport::UniqueFd(pipe[0]);
   ::fcntl(output_.get(), F_SETFL, O_NONBLOCK);
-  over_ = deaf_ = false;
-  ++lives_;
-  lifeFrom_ = events_.size();
+  exited_ = logUnread_ = false;
+  ++incarnations_;
+  incarnationBegin_ = events_.size();
 }
 
-void Child::configure(const std::string& config) { std::ofstream(file_) << config; }
-void Child::withoutConfiguration() { std::filesystem::remove(file_); }
+void ChildProcess::configure(const std::string& config) { std::ofstream(file_) << config; }
+void ChildProcess::removeConfiguration() { std::filesystem::remove(file_); }
 
-void Child::signal(int number) {
+void ChildProcess::signal(int number) {
   if (!over()) ::kill(pid_, number);
 }
-void Child::pause() { signal(SIGSTOP); }
-void Child::resume() { signal(SIGCONT); }
+void ChildProcess::pause() { signal(SIGSTOP); }
+void ChildProcess::resume() { signal(SIGCONT); }
 
-void Child::kill() {
+void ChildProcess::kill() {
   if (over()) return;
   ::kill(pid_, SIGKILL);
   ::waitpid(pid_, &status_, 0);
-  over_ = true;
+  exited_ = true;
   readLog();
 }
 
-void Child::restart() {
+void ChildProcess::restart() {
   kill();
   if (!partial_.empty()) events_.push_back({clock_.now(), std::exchange(partial_, {})});
   start();
 }
 
-void Child::setDeaf(bool deaf) {
-  deaf_ = deaf;
+void ChildProcess::setLogUnread(bool deaf) {
+  logUnread_ = deaf;
   if (deaf) ::fcntl(output_.get(), F_SETPIPE_SZ, 4096);
 }
 
-void Child::readLog() {
-  if (deaf_) return;
+void ChildProcess::readLog() {
+  if (logUnread_) return;
   char bytes[4096];
   for (;;) {
     const ssize_t got = ::read(output_.get(), bytes, sizeof bytes);
@@ -107,25 +107,25 @@
     text_.append(bytes, static_cast<std::size_t>(got));
     partial_.append(bytes, static_cast<std::size_t>(got));
   }
-  if (text_.size() > kLogKept) text_.erase(0, text_.size() - kLogKept);
+  if (text_.size() > kMaxLogBytes) text_.erase(0, text_.size() - kMaxLogBytes);
   std::size_t from = 0;
   for (std::size_t end; (end = partial_.find('\n', from)) != std::string::npos; from = end + 1) {
-    if (events_.size() < kEventsKept) events_.push_back({clock_.now(), partial_.substr(from, end - from)});
+    if (events_.size() < kMaxLogEvents) events_.push_back({clock_.now(), partial_.substr(from, end - from)});
   }
   partial_.erase(0, from);
 }
 
-const std::string& Child::log() {
+const std::string& ChildProcess::log() {
   readLog();
   return text_;
 }
 
-const std::vector<LogEvent>& Child::events() {
+const std::vector<LogEvent>& ChildProcess::events() {
   readLog();
   return events_;
 }
 
-std::vector<LogEvent> Child::linesWith(const std::string& text) {
+std::vector<LogEvent> ChildProcess::linesContaining(const std::string& text) {
   std::vector<LogEvent> out;
   for (const LogEvent& event : events()) {
     if (event.text.find(text) != std::string::npos) out.push_back(event);
@@ -133,10 +133,10 @@
   return out;
 }
 
-std::map<std::string, std::uint64_t> Child::counters() {
+std::map<std::string, std::uint64_t> ChildProcess::counters() {
   std::map<std::string, std::uint64_t> out;
   readLog();
-  for (std::size_t i = lifeFrom_; i < events_.size(); ++i) {
+  for (std::size_t i = incarnationBegin_; i < events_.size(); ++i) {
     // "heathflow: GROUP: NAME=VALUE NAME=VALUE"
     std::istringstream words(events_[i].text);
     std::string program, group;
@@ -152,10 +152,10 @@
   return out;
 }
 
-std::optional<transport::SocketAddress> Child::socketAddress() {
+std::optional<transport::SocketAddress> ChildProcess::socketAddress() {
   static const std::string mark = "serves at ";
   readLog();
-  for (std::size_t i = lifeFrom_; i < events_.size(); ++i) {
+  for (std::size_t i = incarnationBegin_; i < events_.size(); ++i) {
     const std::size_t at = events_[i].text.find(mark);
     if (at != std::string::npos)
       return transport::parseSocketAddress(events_[i].text.substr(at + mark.size()));
@@ -163,11 +163,11 @@
   return {};
 }
 
-bool Child::over() {
-  if (!over_) over_ = ::waitpid(pid_, &status_, WNOHANG) == pid_;
-  return over_;
+bool ChildProcess::over() {
+  if (!exited_) exited_ = ::waitpid(pid_, &status_, WNOHANG) == pid_;
+  return exited_;
 }
 
-int Child::status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : -WTERMSIG(status_); }
+int ChildProcess::status() const { return WIFEXITED(status_) ? WEXITSTATUS(status_) : -WTERMSIG(status_); }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/child.h
+++ b/src/emulator/child_process.h
@@ -25,33 +25,33 @@
   std::string text;
 };
 
-// Variables of a child beside those of the rig.
+// Variables of a child beside those of the emulator.
 using Environment = std::map<std::string, std::string>;
 
 // So that a program's system calls fail by a plan (faultshim/fault_plan.h): what it needs in its environment.
 // 'library': the file of heathflow_faults.
 Environment withFaults(const std::string& library, const std::string& plan);
 
-class Child {
+class ChildProcess {
  public:
   // Starts a program with this configuration; its folder is the child's own and ends with it.
-  Child(std::string program, const std::string& config, std::vector<std::string> arguments = {},
-        Environment environment = {});
-  ~Child();
-  Child(const Child&) = delete;
-  Child& operator=(const Child&) = delete;
+  ChildProcess(std::string program, const std::string& config, std::vector<std::string> arguments = {},
+               Environment environment = {});
+  ~ChildProcess();
+  ChildProcess(const ChildProcess&) = delete;
+  ChildProcess& operator=(const ChildProcess&) = delete;
 
   // What the configuration's file holds from now on; it is read at a start and at SIGHUP.
   void configure(const std::string& config);
-  void withoutConfiguration();
+  void removeConfiguration();
   void signal(int number);
   // Stops it where it stands, and lets it go on.
   void pause();
   void resume();
   // Ends it without a word, and waits until it has gone.
   void kill();
-  // What its environment holds beside the rig's from the next start on.
-  void surround(Environment environment) { environment_ = std::move(environment); }
+  // What its environment holds beside the emulator's from the next start on.
+  void setEnvironment(Environment environment) { environment_ = std::move(environment); }
   // Starts it again with the file as it is; its log goes on behind what was there.
   void restart();
 
@@ -59,11 +59,11 @@
   const std::string& log();
   bool says(const std::string& what) { return log().find(what) != std::string::npos; }
   // For as long as it is deaf nothing of the log is read, and the pipe holds as little as the system allows.
-  void setDeaf(bool deaf);
+  void setLogUnread(bool deaf);
   // Its lines, each with the time at which it was read here.
   const std::vector<LogEvent>& events();
   // The newest life's lines and those before it that hold this text.
-  std::vector<LogEvent> linesWith(const std::string& text);
+  std::vector<LogEvent> linesContaining(const std::string& text);
   // The newest word of each counter, by "group.name".
   std::map<std::string, std::uint64_t> counters();
   // Where its newest life serves; nothing before it says so.
@@ -73,7 +73,7 @@
   // The exit status once it is over; below 0: of the signal that ended it.
   int status() const;
   pid_t pid() const { return pid_; }
-  unsigned lives() const { return lives_; }
+  unsigned incarnations() const { return incarnations_; }
 
  private:
   void start();
@@ -89,10 +89,10 @@
   std::string text_;
   std::string partial_;  // a line that has no end yet
   std::vector<LogEvent> events_;
-  std::size_t lifeFrom_ = 0;  // the first event of the newest life
-  unsigned lives_ = 0;
-  bool over_ = false;
-  bool deaf_ = false;
+  std::size_t incarnationBegin_ = 0;  // the first event of the newest life
+  unsigned incarnations_ = 0;
+  bool exited_ = false;
+  bool logUnread_ = false;
   int status_ = 0;
   transport::Clock clock_;
 };
--- a/src/emulator/later.h
+++ b/src/emulator/delayed_actions.h
@@ -11,9 +11,9 @@
 
 namespace heathflow::emulator {
 
-class Later {
+class DelayedActions {
  public:
-  explicit Later(transport::EventLoop& loop) : loop_(loop) {}
+  explicit DelayedActions(transport::EventLoop& loop) : loop_(loop) {}
 
   void at(transport::Micros when, std::function<void()> what) {
     due_.push_back(nullptr);
--- a/src/emulator/emulated_endpoint.cpp
+++ b/src/emulator/emulated_endpoint.cpp
@@ -26,7 +26,7 @@
       model_(costs, primary, seed),
       judge_(judge),
       server_(loop),
-      later_(loop) {
+      delayedActions_(loop) {
   server_.keepsStatements = false;
   server_.door = [this](test::Line& line) { welcome(line); };
   server_.answer = [this](test::Line& line, const std::string& statement) { asked(line, statement); };
@@ -37,7 +37,7 @@
   model_.die(loop_.now());
   server_.shut();
   shut_ = true;
-  later_.clear();
+  delayedActions_.clear();
 }
 
 void EmulatedEndpoint::start() {
@@ -49,7 +49,7 @@
 }
 
 void EmulatedEndpoint::sayAt(Micros at, test::Line& line, std::function<std::string()> what, bool thenClose) {
-  later_.at(at, [&line, what = std::move(what), thenClose] {
+  delayedActions_.at(at, [&line, what = std::move(what), thenClose] {
     const std::string words = what();
     if (!line.ended && !line.stream.closed()) line.say(words);
     if (thenClose) line.hangUp();
@@ -81,9 +81,9 @@
   }
   std::optional<Micros> told;
   if (comment->timeoutMs) told = *comment->timeoutMs * kMicrosPerMilli;
-  judge_.reached(id, name_, now, verdict.position, told);
+  judge_.attemptReceived(id, name_, now, verdict.position, told);
   sayAt(verdict.at, line, [this, id, position = verdict.position] {
-    judge_.ran(id, name_, loop_.now());
+    judge_.requestExecuted(id, name_, loop_.now());
     return test::pg::row(id) + test::EndpointStandIn::news(model_.primary(), position / kMicrosPerMilli) +
            test::pg::ready();
   });
--- a/src/emulator/emulated_endpoint.h
+++ b/src/emulator/emulated_endpoint.h
@@ -6,9 +6,9 @@
 #include <memory>
 #include <string>
 
+#include "emulator/delayed_actions.h"
 #include "emulator/endpoint_model.h"
 #include "emulator/judge.h"
-#include "emulator/later.h"
 #include "standins/standins.h"
 #include "transport/event_loop.h"
 
@@ -48,7 +48,7 @@
   EndpointModel model_;
   Judge& judge_;
   test::EndpointStandIn server_;
-  Later later_;
+  DelayedActions delayedActions_;
   std::int64_t startedAt_ = 0;
   bool shut_ = false;
   bool draining_ = false;
--- a/src/emulator/endpoint_model.cpp
+++ b/src/emulator/endpoint_model.cpp
@@ -73,7 +73,7 @@
   return out;
 }
 
-bool EndpointModel::hasRoom(Micros now) const {
+bool EndpointModel::hasCapacity(Micros now) const {
   return alive_ && *std::min_element(free_.begin(), free_.end()) <= now;
 }
 
--- a/src/emulator/endpoint_model.h
+++ b/src/emulator/endpoint_model.h
@@ -7,7 +7,7 @@
 #include <random>
 #include <vector>
 
-#include "emulator/bursts.h"
+#include "emulator/burst_counter.h"
 #include "transport/clock.h"
 
 namespace heathflow::emulator {
@@ -49,7 +49,7 @@
   std::uint64_t connectionsTaken() const { return taken_; }
   std::uint64_t connectionsTurnedAway() const { return turnedAway_; }
   // When they came in, those that were turned away too.
-  const Bursts& connects() const { return connects_; }
+  const BurstCounter& connects() const { return connects_; }
 
   struct Verdict {
     enum class Kind { Served, Full, NotPrimary } kind = Kind::Served;
@@ -58,7 +58,7 @@
   };
   Verdict ask(Micros now, bool write);
   // Whether one more request would be served at once.
-  bool hasRoom(Micros now) const;
+  bool hasCapacity(Micros now) const;
 
   bool primary() const { return primary_; }
   void lead();
@@ -73,7 +73,7 @@
   std::mt19937_64 random_;
   std::vector<Micros> free_;    // when each slot is
   std::deque<Micros> waiting_;  // when those that wait will begin
-  Bursts connects_{50'000};
+  BurstCounter connects_{50'000};
   Micros startedAt_ = 0;
   Micros stalledAt_ = 0;
   Micros acceptsAt_ = 0;
--- a/src/emulator/file_text.h
+++ b/src/emulator/file_text.h
@@ -1,4 +1,4 @@
-// The text of a file that a person wrote, for the rig's own readers.
+// The text of a file that a person wrote, for the emulator's own readers.
 #pragma once
 
 #include <cstring>
--- a/src/emulator/driver_fleet.cpp
+++ b/src/emulator/gateway_fleet.cpp
@@ -1,4 +1,4 @@
-#include "emulator/driver_fleet.h"
+#include "emulator/gateway_fleet.h"
 
 #include <sstream>
 #include <utility>
@@ -20,13 +20,13 @@
          std::to_string(endpoint & 0xFFU) + ":5432";
 }
 
-Weather clear() { return Weather({}, kLinkSeed); }
+LinkConditions clear() { return LinkConditions({}, kLinkSeed); }
 
-Weather silent() {
+LinkConditions silent() {
   Fault fault;
   fault.cutForth = true;
   fault.cutBack = true;
-  return Weather({fault}, kLinkSeed);
+  return LinkConditions({fault}, kLinkSeed);
 }
 
 }  // namespace
@@ -72,7 +72,7 @@
 void GatewayFleet::start() {
   for (unsigned i = 0; i < plan_.real; ++i) {
     const std::string config = configOf(plan_.hollow + i, feed_.socketAddress());
-    real_.push_back(std::make_unique<Child>(plan_.program, config));
+    real_.push_back(std::make_unique<ChildProcess>(plan_.program, config));
   }
   for (const auto& gateway : hollow_) gateway->start();
 }
--- a/src/emulator/driver_fleet.h
+++ b/src/emulator/gateway_fleet.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/child.h"
+#include "emulator/child_process.h"
 #include "emulator/hollow.h"
 #include "emulator/link.h"
 #include "emulator/list_feed.h"
@@ -47,7 +47,7 @@
   ListFeed& feed() { return feed_; }
   // Gateways that watch and hold the list as it is now.
   std::size_t upToDate() const { return feed_.watching(feed_.revision()); }
-  std::vector<std::unique_ptr<Child>>& real() { return real_; }
+  std::vector<std::unique_ptr<ChildProcess>>& real() { return real_; }
   const std::vector<std::unique_ptr<HollowGateway>>& hollow() const { return hollow_; }
 
  private:
@@ -58,7 +58,7 @@
   std::unique_ptr<StreamLink> link_;
   std::size_t cuttable_ = 0;
   std::vector<std::unique_ptr<HollowGateway>> hollow_;
-  std::vector<std::unique_ptr<Child>> real_;
+  std::vector<std::unique_ptr<ChildProcess>> real_;
 };
 
 }  // namespace heathflow::emulator
--- a/src/emulator/client_crowd.cpp
+++ b/src/emulator/idle_connections.cpp
@@ -1,4 +1,4 @@
-#include "emulator/client_crowd.h"
+#include "emulator/idle_connections.h"
 
 #include <algorithm>
 
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-struct ClientCrowd::Client final : transport::StreamOwner {
-  explicit Client(ClientCrowd& all) : crowd(all), stream(all.loop_, *this, kLimits) {}
+struct IdleConnections::Client final : transport::StreamOwner {
+  explicit Client(IdleConnections& all) : crowd(all), stream(all.loop_, *this, kLimits) {}
 
   void onOpen() override { say(test::pg::startup()); }
   void onInput() override {
@@ -41,7 +41,7 @@
     stream.flush();
   }
 
-  ClientCrowd& crowd;
+  IdleConnections& crowd;
   transport::Stream stream;
   std::string got;
   bool greeted = false;
@@ -50,12 +50,12 @@
   bool ended = false;
 };
 
-ClientCrowd::ClientCrowd(transport::EventLoop& loop, const transport::SocketAddress& gateway)
+IdleConnections::IdleConnections(transport::EventLoop& loop, const transport::SocketAddress& gateway)
     : loop_(loop), gateway_(gateway) {}
 
-ClientCrowd::~ClientCrowd() = default;
+IdleConnections::~IdleConnections() = default;
 
-void ClientCrowd::grow(std::size_t to) {
+void IdleConnections::grow(std::size_t to) {
   while (clients_.size() < to) {
     clients_.push_back(std::make_unique<Client>(*this));
     int error = 0;
@@ -63,17 +63,17 @@
   }
 }
 
-std::size_t ClientCrowd::settled() const {
+std::size_t IdleConnections::settled() const {
   return static_cast<std::size_t>(std::count_if(
       clients_.begin(), clients_.end(), [](const auto& client) { return client->known || client->ended; }));
 }
 
-std::size_t ClientCrowd::held() const {
+std::size_t IdleConnections::held() const {
   return static_cast<std::size_t>(std::count_if(
       clients_.begin(), clients_.end(), [](const auto& client) { return client->known && !client->ended; }));
 }
 
-void ClientCrowd::ask(std::size_t asking, std::size_t statements) {
+void IdleConnections::ask(std::size_t asking, std::size_t statements) {
   left_ = statements;
   for (const auto& client : clients_) {
     if (asking == 0) return;
@@ -83,14 +83,14 @@
   }
 }
 
-void ClientCrowd::askNext(Client& client) {
+void IdleConnections::askNext(Client& client) {
   if (left_ == 0) return;
   --left_;
   client.asking = true;
   ask(client);
 }
 
-void ClientCrowd::ask(Client& client) {
+void IdleConnections::ask(Client& client) {
   client.say(test::pg::query(test::request(kClass, "r" + std::to_string(++asked_))));
 }
 
--- a/src/emulator/client_crowd.h
+++ b/src/emulator/idle_connections.h
@@ -12,10 +12,10 @@
 
 namespace heathflow::emulator {
 
-class ClientCrowd {
+class IdleConnections {
  public:
-  ClientCrowd(transport::EventLoop& loop, const transport::SocketAddress& gateway);
-  ~ClientCrowd();
+  IdleConnections(transport::EventLoop& loop, const transport::SocketAddress& gateway);
+  ~IdleConnections();
 
   // Opens connections until there were so many; each asks once.
   void grow(std::size_t to);
--- a/src/emulator/judge.h
+++ b/src/emulator/judge.h
@@ -1,5 +1,5 @@
 // The five rules, judged from outside: by what clients asked and got, and by what endpoints and the list
-// service saw. No I/O; times are of one clock, that of the rig.
+// service saw. No I/O; times are of one clock, that of the emulator.
 #pragma once
 
 #include <array>
@@ -21,25 +21,25 @@
 enum class Rule {
   OneAnswer,
   NoSecondEffect,
-  DrainsKept,
-  ColdSpared,
+  DrainsRespected,
+  SlowStartRespected,
   NoStaleRead,
-  NothingForDeparted,
-  TimeTold,
+  NoAttemptAfterDisconnect,
+  DeadlineForwarded,
   InvariantsKept
 };
 inline constexpr std::size_t kRules = 8;
 const char* nameOf(Rule rule);
 
-enum class Answered { Served, Rejected, Failed, Broken };  // Broken: the connection ended without one
+enum class RequestResult { Served, Rejected, Failed, Broken };  // Broken: the connection ended without one
 
 struct JudgeLimits {
   Micros slack = 70'000;        // an answer may come so long after the client's time (with the bench's 50 ms)
   Micros drainGrace = 300'000;  // sends to an endpoint that was told to drain (with the same)
   Micros overloadWindow = 2'000'000;  // a cold endpoint's work is summed over this
   double overloadMultiple = 2.5;      // and may be so many times what it can do, and chance beyond it
-  Micros departed = 150'000;  // an attempt may begin so long after its client has gone (with the same)
-  Micros told = 200'000;      // beyond what its client has left (with the same)
+  Micros afterDisconnect = 150'000;  // an attempt may begin so long after its client has gone (with the same)
+  Micros deadlineSlack = 200'000;    // beyond what its client has left (with the same)
 };
 
 struct Breach {
@@ -54,7 +54,7 @@
   explicit Judge(JudgeLimits limits = {}) : limits_(limits) {}
 
   // ---- What clients saw ----
-  struct Asked {
+  struct ClientRequest {
     std::string id;
     std::string gateway;
     Micros at = 0;                // when its last byte was written
@@ -63,57 +63,57 @@
     bool rejectable = true;       // a rejection is allowed although it may have run
     std::optional<Micros> bound;  // a read: how old its data may be when it is sent
   };
-  void asked(const Asked& request);
-  void answered(const std::string& id, Micros at, Answered how);
+  void requestSent(const ClientRequest& request);
+  void requestAnswered(const std::string& id, Micros at, RequestResult how);
   // Its client went away by itself: nothing is owed any more.
-  void left(const std::string& id, Micros at);
-  // A gateway was ended by the rig: what it held is not its fault.
-  void killed(const std::string& gateway, Micros at);
+  void clientDisconnected(const std::string& id, Micros at);
+  // A gateway was ended by the emulator: what it held is not its fault.
+  void gatewayKilled(const std::string& gateway, Micros at);
 
   // ---- What endpoints saw ----
   // A gateway has written an attempt, where the path to the endpoint is looked at; without that it counts as
   // sent when it reached the endpoint.
-  void sent(const std::string& id, const std::string& endpoint, Micros at);
+  void attemptSent(const std::string& id, const std::string& endpoint, Micros at);
   // 'at': when its last byte came. 'position': up to when the endpoint had applied all commits. 'told': for
   // how long its gateway will wait, where it says.
-  void reached(const std::string& id, const std::string& endpoint, Micros at, Micros position,
-               std::optional<Micros> told = {});
+  void attemptReceived(const std::string& id, const std::string& endpoint, Micros at, Micros position,
+                       std::optional<Micros> told = {});
   // It ended there with its effect, or without.
-  void ran(const std::string& id, const std::string& endpoint, Micros at);
+  void requestExecuted(const std::string& id, const std::string& endpoint, Micros at);
   // An endpoint is cold from a time on: how many requests it can do in a second at its age.
-  void coldCapacity(const std::string& endpoint, Micros at, double requestsPerSecond);
-  void warm(const std::string& endpoint);
+  void endpointWarmingUp(const std::string& endpoint, Micros at, double requestsPerSecond);
+  void endpointWarm(const std::string& endpoint);
 
   // ---- What the list service told ----
   // What counts as told to whom; whoever plays the service and the gateways feeds it.
   Notifications& notifications() { return notifications_; }
 
-  // A gateway's own guard, or the rig, has seen something broken.
-  void seen(Rule rule, Micros at, const std::string& gateway, const std::string& what) {
+  // A gateway's own guard, or the emulator, has seen something broken.
+  void reportBreach(Rule rule, Micros at, const std::string& gateway, const std::string& what) {
     breach(rule, at, gateway, what);
   }
   // A gateway's end came while it owed answers, as late as a platform allows: what it held is lost by its
   // fault.
-  void endedOwing(const std::string& gateway, Micros at);
+  void gatewayEndedWithOpenRequests(const std::string& gateway, Micros at);
 
   // What is still open when all is over, and all breaches in the order in which they were seen.
   const std::vector<Breach>& finish(Micros at);
   const std::vector<Breach>& breaches() const { return breaches_; }
   std::size_t count(Rule rule) const;
   std::uint64_t requests() const { return requests_; }
-  std::uint64_t byAnswer(Answered how) const { return answers_[static_cast<std::size_t>(how)]; }
+  std::uint64_t byAnswer(RequestResult how) const { return answers_[static_cast<std::size_t>(how)]; }
   // A line for each rule.
   std::string verdict() const;
 
  private:
   struct Known {
-    Asked asked;
+    ClientRequest request;
     unsigned answers = 0;
     bool over = false;  // left, or lost with its gateway
     bool mayHaveRun = false;
-    bool exempt = false;  // its gateway was killed or stood still by the rig's doing
+    bool exempt = false;  // its gateway was killed or stood still by the emulator's doing
     bool rejected = false;
-    std::optional<Micros> leftAt;
+    std::optional<Micros> disconnectedAt;
     std::map<std::string, Micros> sent;  // by endpoint, the newest
     unsigned effects = 0;
     Micros lastPosition = 0;
--- a/src/emulator/latencies.h
+++ b/src/emulator/latency_histogram.h
@@ -8,7 +8,7 @@
 
 namespace heathflow::emulator {
 
-class Latencies {
+class LatencyHistogram {
  public:
   void add(transport::Micros value) {
     steps_(static_cast<double>(value < 1 ? 1 : value));
--- a/src/emulator/link.cpp
+++ b/src/emulator/link.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr transport::Stream::Limits kLimits = {1 << 20, 8 << 20};
-constexpr std::size_t kDatagramMost = 65'536;
+constexpr std::size_t kMaxDatagramBytes = 65'536;
 // What flies at once; beyond it datagrams are dropped, as a full path does.
-constexpr std::size_t kFlyingMost = 10'000;
+constexpr std::size_t kMaxDatagramsInFlight = 10'000;
 // Held bytes are looked at again so often while a way is cut.
-constexpr Micros kLookAgain = 5'000;
+constexpr Micros kRecheckInterval = 5'000;
 
 sockaddr_in socketNameOf(const transport::SocketAddress& socketAddress) {
   sockaddr_in out{};
@@ -84,11 +84,11 @@
         auto& [when, bytes] = half->held.front();
         const bool cut = when == 0;
         if (cut) {
-          const auto arrival = link.weather_.streamArrival(time, half->way, half->last);
+          const auto arrival = link.conditions_.streamArrival(time, half->way, half->last);
           if (arrival) when = half->last = std::max<Micros>(1, *arrival);
         }
         if (when == 0 || when > time) {
-          const Micros again = when == 0 ? time + kLookAgain : when;
+          const Micros again = when == 0 ? time + kRecheckInterval : when;
           wake = wake == 0 ? again : std::min(wake, again);
           break;
         }
@@ -99,8 +99,8 @@
       }
       // An end arrives behind all that was sent before it, and not through a cut.
       if (half->ended && half->held.empty()) {
-        if (link.weather_.streamArrival(time, half->way, 0)) return link.remove(*this);
-        wake = wake == 0 ? time + kLookAgain : std::min(wake, time + kLookAgain);
+        if (link.conditions_.streamArrival(time, half->way, 0)) return link.remove(*this);
+        wake = wake == 0 ? time + kRecheckInterval : std::min(wake, time + kRecheckInterval);
       }
     }
     if (wake != 0) due.arm(link.start_ + wake);
@@ -114,7 +114,7 @@
 
 void StreamLink::Half::onInput() {
   if (way == Way::Forth && link.onForth) link.onForth(stream.input().view());
-  const auto arrival = link.weather_.streamArrival(link.now(), way, last);
+  const auto arrival = link.conditions_.streamArrival(link.now(), way, last);
   // Bytes behind held ones wait with them, so that their order stays.
   const bool behind = !held.empty() && held.back().first == 0;
   Micros when = 0;
@@ -130,9 +130,9 @@
 }
 
 StreamLink::StreamLink(transport::EventLoop& loop, const transport::SocketAddress& at,
-                       const transport::SocketAddress& to, Weather weather)
-    : loop_(loop), to_(to), weather_(std::move(weather)), start_(loop.now()), next_(loop, [this] {
-        turnOfWeather();
+                       const transport::SocketAddress& to, LinkConditions conditions)
+    : loop_(loop), to_(to), conditions_(std::move(conditions)), start_(loop.now()), next_(loop, [this] {
+        applyNextConditions();
       }) {
   transport::Opened opened = transport::listenOn(at, 512);
   if (!opened.fd) throw std::runtime_error("a link can't listen");
@@ -145,24 +145,24 @@
 StreamLink::~StreamLink() { loop_.unwatch(listener_.get(), *this); }
 
 // Times count from the schedule's start: those that are known move with it.
-void StreamLink::change(Weather weather) {
+void StreamLink::change(LinkConditions conditions) {
   const Micros before = now();
   for (const auto& pair : pairs_) {
     pair->client.moveBack(before);
     pair->server.moveBack(before);
   }
-  weather_ = std::move(weather);
+  conditions_ = std::move(conditions);
   start_ = loop_.now();
-  turnOfWeather();
+  applyNextConditions();
 }
 
 void StreamLink::arm() {
-  if (const auto next = weather_.nextAfter(now())) next_.arm(start_ + *next);
+  if (const auto next = conditions_.nextChangeAfter(now())) next_.arm(start_ + *next);
 }
 
-void StreamLink::turnOfWeather() {
+void StreamLink::applyNextConditions() {
   arm();
-  if (!weather_.at(now()).resets) return;
+  if (!conditions_.at(now()).resets) return;
   while (!pairs_.empty()) remove(*pairs_.front());
 }
 
@@ -171,7 +171,7 @@
     transport::Opened opened = transport::acceptFrom(listener_.get());
     if (!opened.fd) return;
     resetOnClose(opened.fd.get());
-    if (weather_.at(now()).rejects) {
+    if (conditions_.at(now()).rejects) {
       ++rejected_;
       continue;
     }
@@ -198,14 +198,14 @@
 }
 
 DatagramLink::DatagramLink(transport::EventLoop& loop, const transport::SocketAddress& at,
-                           const transport::SocketAddress& to, Weather weather)
+                           const transport::SocketAddress& to, LinkConditions conditions)
     : loop_(loop),
       to_(to),
-      weather_(std::move(weather)),
+      conditions_(std::move(conditions)),
       start_(loop.now()),
       front_(datagramSocket(at)),
       rear_(datagramSocket({at.address, 0})),
-      landing_(loop, [this] { land(); }) {
+      deliveryTimer_(loop, [this] { deliverDue(); }) {
   socketAddress_ = transport::boundTo(front_.get()).value_or(at);
   loop_.watch(front_.get(), *this);
   loop_.watch(rear_.get(), *this);
@@ -216,11 +216,11 @@
   loop_.unwatch(rear_.get(), *this);
 }
 
-void DatagramLink::change(Weather weather) {
+void DatagramLink::change(LinkConditions conditions) {
   const Micros before = now();
-  for (auto& [when, flown] : std::exchange(flying_, {}))
-    flying_.emplace(std::max<Micros>(0, when - before), std::move(flown));
-  weather_ = std::move(weather);
+  for (auto& [when, flown] : std::exchange(inFlight_, {}))
+    inFlight_.emplace(std::max<Micros>(0, when - before), std::move(flown));
+  conditions_ = std::move(conditions);
   start_ = loop_.now();
 }
 
@@ -230,7 +230,7 @@
 }
 
 void DatagramLink::take(int fd, Way way) {
-  std::string bytes(kDatagramMost, '\0');
+  std::string bytes(kMaxDatagramBytes, '\0');
   for (;;) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
@@ -238,23 +238,23 @@
         ::recvfrom(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (got < 0) break;
     if (way == Way::Forth) peer_ = {ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)};
-    const auto arrivals = weather_.arrivals(now(), way);
+    const auto arrivals = conditions_.arrivals(now(), way);
     if (arrivals.empty()) ++dropped_;
     for (const Micros when : arrivals) {
-      if (flying_.size() >= kFlyingMost) {
+      if (inFlight_.size() >= kMaxDatagramsInFlight) {
         ++dropped_;
         continue;
       }
-      flying_.emplace(when, Flying{way, bytes.substr(0, static_cast<std::size_t>(got))});
+      inFlight_.emplace(when, DatagramInFlight{way, bytes.substr(0, static_cast<std::size_t>(got))});
     }
   }
-  land();
+  deliverDue();
 }
 
-void DatagramLink::land() {
-  while (!flying_.empty() && flying_.begin()->first <= now()) {
-    const Flying flown = std::move(flying_.begin()->second);
-    flying_.erase(flying_.begin());
+void DatagramLink::deliverDue() {
+  while (!inFlight_.empty() && inFlight_.begin()->first <= now()) {
+    const DatagramInFlight flown = std::move(inFlight_.begin()->second);
+    inFlight_.erase(inFlight_.begin());
     const auto target = flown.way == Way::Forth ? std::optional(to_) : peer_;
     if (!target) continue;
     const sockaddr_in address = socketNameOf(*target);
@@ -263,7 +263,7 @@
              sizeof address);
     ++delivered_;
   }
-  if (!flying_.empty()) landing_.arm(start_ + flying_.begin()->first);
+  if (!inFlight_.empty()) deliveryTimer_.arm(start_ + inFlight_.begin()->first);
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/link.h
+++ b/src/emulator/link.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "emulator/faults.h"
+#include "emulator/link_conditions.h"
 #include "transport/event_loop.h"
 #include "transport/socket.h"
 #include "transport/stream.h"
@@ -22,16 +22,16 @@
  public:
   // At 'at' (port 0: any free one) for 'to'; the schedule's times count from now.
   StreamLink(transport::EventLoop& loop, const transport::SocketAddress& at,
-             const transport::SocketAddress& to, Weather weather);
+             const transport::SocketAddress& to, LinkConditions conditions);
   ~StreamLink() override;
 
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   // Hears of the bytes that come from who opened a connection, as they come.
   std::function<void(std::string_view bytes)> onForth;
   // Where new connections are passed on to from now on.
-  void leadTo(const transport::SocketAddress& to) { to_ = to; }
+  void connectTo(const transport::SocketAddress& to) { to_ = to; }
   // A new schedule, from now on.
-  void change(Weather weather);
+  void change(LinkConditions conditions);
   std::size_t passing() const { return pairs_.size(); }
   std::uint64_t taken() const { return taken_; }
   std::uint64_t rejected() const { return rejected_; }
@@ -42,13 +42,13 @@
 
   void onReady(std::uint32_t events) override;
   void arm();
-  void turnOfWeather();
+  void applyNextConditions();
   void remove(Pair& pair);
   Micros now() const { return loop_.now() - start_; }
 
   transport::EventLoop& loop_;
   transport::SocketAddress to_;
-  Weather weather_;
+  LinkConditions conditions_;
   Micros start_ = 0;
   transport::UniqueFd listener_;
   transport::SocketAddress socketAddress_;
@@ -64,34 +64,34 @@
  public:
   // Datagrams that come to endpoint() go to 'to', and what 'to' answers goes back to who sent last.
   DatagramLink(transport::EventLoop& loop, const transport::SocketAddress& at,
-               const transport::SocketAddress& to, Weather weather);
+               const transport::SocketAddress& to, LinkConditions conditions);
   ~DatagramLink() override;
 
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
-  void change(Weather weather);
+  void change(LinkConditions conditions);
   std::uint64_t delivered() const { return delivered_; }
   std::uint64_t dropped() const { return dropped_; }
 
  private:
-  struct Flying {
+  struct DatagramInFlight {
     Way way;
     std::string bytes;
   };
   void onReady(std::uint32_t events) override;
   void take(int fd, Way way);
-  void land();
+  void deliverDue();
   Micros now() const { return loop_.now() - start_; }
 
   transport::EventLoop& loop_;
   transport::SocketAddress to_;
-  Weather weather_;
+  LinkConditions conditions_;
   Micros start_ = 0;
   transport::UniqueFd front_;
   transport::UniqueFd rear_;
   transport::SocketAddress socketAddress_;
   std::optional<transport::SocketAddress> peer_;
-  std::multimap<Micros, Flying> flying_;  // by when it arrives
-  transport::Timer landing_;
+  std::multimap<Micros, DatagramInFlight> inFlight_;  // by when it arrives
+  transport::Timer deliveryTimer_;
   std::uint64_t delivered_ = 0;
   std::uint64_t dropped_ = 0;
 };
--- a/src/emulator/faults.cpp
+++ b/src/emulator/link_conditions.cpp
@@ -1,4 +1,4 @@
-#include "emulator/faults.h"
+#include "emulator/link_conditions.h"
 
 #include <algorithm>
 #include <utility>
@@ -12,30 +12,30 @@
 
 }  // namespace
 
-Weather::Weather(std::vector<Fault> schedule, std::uint64_t seed)
+LinkConditions::LinkConditions(std::vector<Fault> schedule, std::uint64_t seed)
     : schedule_(std::move(schedule)), random_(seed) {
   std::stable_sort(schedule_.begin(), schedule_.end(),
                    [](const Fault& a, const Fault& b) { return a.from < b.from; });
 }
 
-const Fault& Weather::at(Micros now) const {
+const Fault& LinkConditions::at(Micros now) const {
   const auto next = std::upper_bound(schedule_.begin(), schedule_.end(), now,
                                      [](Micros when, const Fault& fault) { return when < fault.from; });
   return next == schedule_.begin() ? kNone : *std::prev(next);
 }
 
-std::optional<Micros> Weather::nextAfter(Micros now) const {
+std::optional<Micros> LinkConditions::nextChangeAfter(Micros now) const {
   const auto next = std::upper_bound(schedule_.begin(), schedule_.end(), now,
                                      [](Micros when, const Fault& fault) { return when < fault.from; });
   if (next == schedule_.end()) return {};
   return next->from;
 }
 
-Micros Weather::lateness(const Fault& fault) {
+Micros LinkConditions::lateness(const Fault& fault) {
   return fault.delay + static_cast<Micros>(random() * static_cast<double>(fault.jitter));
 }
 
-std::vector<Micros> Weather::arrivals(Micros now, Way way) {
+std::vector<Micros> LinkConditions::arrivals(Micros now, Way way) {
   const Fault& fault = at(now);
   // Drawn also where they do not count, so that one fault's luck does not hang on another.
   const bool lost = random() < fault.loss;
@@ -47,7 +47,7 @@
   return {first, second};
 }
 
-std::optional<Micros> Weather::streamArrival(Micros now, Way way, Micros notBefore) {
+std::optional<Micros> LinkConditions::streamArrival(Micros now, Way way, Micros notBefore) {
   const Fault& fault = at(now);
   if (cut(fault, way)) return {};
   return std::max(notBefore, now + lateness(fault));
--- a/src/emulator/faults.h
+++ b/src/emulator/link_conditions.h
@@ -29,15 +29,15 @@
   bool resets = false;   // those that stand are reset once, when this begins
 };
 
-// One path's weather. Equal seeds, schedules and questions give equal answers.
-class Weather {
+// One path's conditions. Equal seeds, schedules and questions give equal answers.
+class LinkConditions {
  public:
   // The schedule is sorted by its times; before its first nothing is wrong.
-  Weather(std::vector<Fault> schedule, std::uint64_t seed);
+  LinkConditions(std::vector<Fault> schedule, std::uint64_t seed);
 
   const Fault& at(Micros now) const;
   // When the next fault of the schedule begins; nothing after the last.
-  std::optional<Micros> nextAfter(Micros now) const;
+  std::optional<Micros> nextChangeAfter(Micros now) const;
 
   // When the copies of a datagram that is sent now arrive: none, one or two.
   std::vector<Micros> arrivals(Micros now, Way way);
--- a/src/emulator/list_feed.cpp
+++ b/src/emulator/list_feed.cpp
@@ -54,7 +54,7 @@
 }
 
 void ListFeed::comeUp() {
-  arrivals_ = Bursts(kArrivalsKept);
+  arrivals_ = BurstCounter(kArrivalsKept);
   reopen();
 }
 
@@ -97,7 +97,7 @@
   const Text text = responseTo(since);
   traffic_.bytesOut += text->size();
   if (wantsAll(since)) {
-    ++traffic_.wholeLists;
+    ++traffic_.completeLists;
   } else if (since < revision_) {
     ++traffic_.deltas;
   }
--- a/src/emulator/list_feed.h
+++ b/src/emulator/list_feed.h
@@ -9,7 +9,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "emulator/bursts.h"
+#include "emulator/burst_counter.h"
 #include "emulator/list_model.h"
 #include "standins/standins.h"
 #include "transport/event_loop.h"
@@ -26,7 +26,7 @@
     std::uint64_t calls = 0;
     std::uint64_t bytesIn = 0;   // of the calls
     std::uint64_t bytesOut = 0;  // of the answers, with their heads
-    std::uint64_t wholeLists = 0;
+    std::uint64_t completeLists = 0;
     std::uint64_t deltas = 0;  // answers with something new that are no whole list
   };
 
@@ -43,7 +43,7 @@
   std::size_t size() const { return entries_.size(); }
   const Traffic& traffic() const { return traffic_; }
   // When calls came in since it was last up.
-  const Bursts& arrivals() const { return arrivals_; }
+  const BurstCounter& arrivals() const { return arrivals_; }
 
   // Down: connections break and new ones are rejected, until it is up again. Changes go on.
   void goDown();
@@ -75,7 +75,7 @@
   std::map<std::int64_t, Text> made_;  // of this revision, by the caller's; of whole lists below the first
   std::unordered_map<test::Line*, Waiting> waiting_;
   Traffic traffic_;
-  Bursts arrivals_;
+  BurstCounter arrivals_;
 };
 
 }  // namespace heathflow::emulator
--- a/src/emulator/list_model.cpp
+++ b/src/emulator/list_model.cpp
@@ -71,7 +71,7 @@
 ListModel::Answer ListModel::serve(Micros now, std::int64_t since) {
   Answer out;
   const std::size_t lines = write(since, out);
-  if (since < 0 || since > revision_) ++wholeLists_;
+  if (since < 0 || since > revision_) ++completeLists_;
   busyUntil_ = std::max(busyUntil_, now) + costs_.call + static_cast<Micros>(lines) * costs_.line;
   out.at = busyUntil_;
   return out;
@@ -87,14 +87,14 @@
     ++resets_;
     return broken;
   }
-  if (drawn(crowded_)) return turnedAway(now);
+  if (drawn(rejectShare_)) return turnedAway(now);
   if (mayWait && !newerThan(since)) return {};
   if (busyUntil_ - now > costs_.patience) return turnedAway(now);
   return serve(now, since);
 }
 
 ListModel::Answer ListModel::news(Micros now, std::int64_t since) {
-  return drawn(crowded_) ? turnedAway(now) : serve(now, since);
+  return drawn(rejectShare_) ? turnedAway(now) : serve(now, since);
 }
 
 bool ListModel::drawn(double share) { return share > 0 && uniformUnit(random_()) < share; }
--- a/src/emulator/list_model.h
+++ b/src/emulator/list_model.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/bursts.h"
+#include "emulator/burst_counter.h"
 #include "transport/clock.h"
 
 namespace heathflow::emulator {
@@ -56,14 +56,14 @@
   void setDown(bool down) { down_ = down; }
   // This share of calls is reset, drawn by a seed: by their count alone, callers that come again until they
   // are served would leave each reset to the same one.
-  void resetShare(double share, std::uint64_t seed) {
+  void setResetShare(double share, std::uint64_t seed) {
     resetShare_ = share;
     random_.seed(seed);
   }
   // It has too many callers: this share of calls, and of watches that would be told news, is turned away.
-  void setCrowded(double share) { crowded_ = share; }
+  void setRejectShare(double share) { rejectShare_ = share; }
   // So many entries only are told, as if that were the whole list; nothing: all.
-  void tellOnly(std::optional<std::size_t> entries) { partial_ = entries; }
+  void limitEntries(std::optional<std::size_t> entries) { partial_ = entries; }
 
   // A call that has come in at a time: its answer, and when it goes out. 'since': the revision that the
   // caller holds; below 0: it asks for the whole list. Nothing: it waits for news, see news().
@@ -77,10 +77,10 @@
   std::uint64_t calls() const { return calls_; }
   std::uint64_t turnedAway() const { return turnedAway_; }
   std::uint64_t resets() const { return resets_; }
-  std::uint64_t wholeLists() const { return wholeLists_; }
+  std::uint64_t completeLists() const { return completeLists_; }
   const ListCosts& costs() const { return costs_; }
   // When they came in.
-  const Bursts& arrivals() const { return arrivals_; }
+  const BurstCounter& arrivals() const { return arrivals_; }
 
  private:
   Answer serve(Micros now, std::int64_t since);
@@ -96,15 +96,15 @@
   std::int64_t revision_ = 0;
   bool down_ = false;
   double resetShare_ = 0;
-  double crowded_ = 0;
+  double rejectShare_ = 0;
   std::mt19937_64 random_;
   std::optional<std::size_t> partial_;
   Micros busyUntil_ = 0;
   std::uint64_t calls_ = 0;
   std::uint64_t turnedAway_ = 0;
   std::uint64_t resets_ = 0;
-  std::uint64_t wholeLists_ = 0;
-  Bursts arrivals_{100'000};
+  std::uint64_t completeLists_ = 0;
+  BurstCounter arrivals_{100'000};
 };
 
 }  // namespace heathflow::emulator
--- a/src/emulator/list_service.cpp
+++ b/src/emulator/list_service.cpp
@@ -24,33 +24,33 @@
 }  // namespace
 
 ListService::ListService(transport::EventLoop& loop, ListCosts costs, std::uint32_t address)
-    : Listening(loop, address), model_(costs), later_(loop) {}
+    : Listening(loop, address), model_(costs), delayedActions_(loop) {}
 
-std::size_t ListService::addDoor() {
-  doors_.push_back(std::make_unique<Door>(loop_, *this, doors_.size() + 1));
-  return doors_.size();
+std::size_t ListService::addListener() {
+  listeners_.push_back(std::make_unique<Listener>(loop_, *this, listeners_.size() + 1));
+  return listeners_.size();
 }
 
-const transport::SocketAddress& ListService::door(std::size_t number) const {
-  return number == 0 ? socketAddress() : doors_.at(number - 1)->socketAddress();
+const transport::SocketAddress& ListService::listenerAddress(std::size_t number) const {
+  return number == 0 ? socketAddress() : listeners_.at(number - 1)->socketAddress();
 }
 
-void ListService::heard(test::Line& line, std::size_t door) {
+void ListService::heard(test::Line& line, std::size_t listener) {
   for (;;) {
     const std::size_t end = line.got.find("\r\n\r\n");
     if (end == std::string::npos) return;
     const std::string call = line.got.substr(0, line.got.find("\r\n"));
     line.got.erase(0, end + 4);
-    called(line, call, door);
+    called(line, call, listener);
   }
 }
 
-void ListService::called(test::Line& line, const std::string& call, std::size_t door) {
+void ListService::called(test::Line& line, const std::string& call, std::size_t listener) {
   const std::int64_t since = numberOf(call, "since", -1);
   const Micros wait = numberOf(call, "timeout_ms", 0) * kMicrosPerMilli;
   const auto now = model_.call(loop_.now(), since, wait > kMicrosPerMilli);
-  if (now) return answer(line, *now, door);
-  waiting_.push_back({&line, since, door, loop_.now() + wait, nullptr});
+  if (now) return answer(line, *now, listener);
+  waiting_.push_back({&line, since, listener, loop_.now() + wait, nullptr});
   const auto entry = std::prev(waiting_.end());
   entry->limit = std::make_unique<transport::Timer>(loop_, [this, entry] {
     Waiting over = std::move(*entry);
@@ -61,16 +61,16 @@
   entry->limit->arm(loop_.now() + wait);
 }
 
-void ListService::answer(test::Line& line, const ListModel::Answer& what, std::size_t door) {
-  if (what.kind != ListModel::Answer::Kind::Served && onAnswer) onAnswer(door, what);
+void ListService::answer(test::Line& line, const ListModel::Answer& what, std::size_t listener) {
+  if (what.kind != ListModel::Answer::Kind::Served && onAnswer) onAnswer(listener, what);
   if (what.kind == ListModel::Answer::Kind::Reset) return line.hangUp();
   if (what.kind == ListModel::Answer::Kind::TurnedAway) {
     return line.say(response(503, "", model_.costs().retryAfterSeconds));
   }
-  later_.at(what.at, [this, &line, what, door] {
+  delayedActions_.at(what.at, [this, &line, what, listener] {
     if (line.ended || line.stream.closed()) return;
     line.say(response(200, what.body));
-    if (onAnswer) onAnswer(door, what);
+    if (onAnswer) onAnswer(listener, what);
   });
 }
 
@@ -79,7 +79,7 @@
   if (waiting.line->ended || waiting.line->stream.closed()) return;
   ListModel::Answer news = model_.news(loop_.now(), waiting.since);
   news.waitEnds = waiting.waitEnds;
-  answer(*waiting.line, news, waiting.door);
+  answer(*waiting.line, news, waiting.listener);
 }
 
 void ListService::set(std::vector<ListedEntry> entries) {
@@ -93,15 +93,15 @@
 void ListService::goDown() {
   model_.setDown(true);
   waiting_.clear();
-  later_.clear();
+  delayedActions_.clear();
   shut();
-  for (auto& door : doors_) door->shut();
+  for (auto& listener : listeners_) listener->shut();
 }
 
 void ListService::comeUp() {
   model_.setDown(false);
   reopen();
-  for (auto& door : doors_) door->reopen();
+  for (auto& listener : listeners_) listener->reopen();
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/list_service.h
+++ b/src/emulator/list_service.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "emulator/later.h"
+#include "emulator/delayed_actions.h"
 #include "emulator/list_model.h"
 #include "standins/standins.h"
 #include "transport/event_loop.h"
@@ -18,10 +18,10 @@
 
   // A further address of the same service, so that it can be told who calls; they are counted from 1, and 0
   // is the service's own.
-  std::size_t addDoor();
-  const transport::SocketAddress& door(std::size_t number) const;
-  // Hears of every call that is over: at which door, and with which answer.
-  std::function<void(std::size_t door, const ListModel::Answer& answer)> onAnswer;
+  std::size_t addListener();
+  const transport::SocketAddress& listenerAddress(std::size_t number) const;
+  // Hears of every call that is over: at which listener, and with which answer.
+  std::function<void(std::size_t listener, const ListModel::Answer& answer)> onAnswer;
 
   ListModel& model() { return model_; }
   const ListModel& model() const { return model_; }
@@ -35,13 +35,13 @@
   struct Waiting {
     test::Line* line = nullptr;
     std::int64_t since = 0;
-    std::size_t door = 0;
+    std::size_t listener = 0;
     Micros waitEnds = 0;
     std::unique_ptr<transport::Timer> limit;
   };
-  class Door final : public test::Listening {
+  class Listener final : public test::Listening {
    public:
-    Door(transport::EventLoop& loop, ListService& service, std::size_t number)
+    Listener(transport::EventLoop& loop, ListService& service, std::size_t number)
         : Listening(loop), service_(service), number_(number) {}
 
    private:
@@ -50,15 +50,15 @@
     std::size_t number_;
   };
   void onLineInput(test::Line& line) override { heard(line, 0); }
-  void heard(test::Line& line, std::size_t door);
-  void called(test::Line& line, const std::string& request, std::size_t door);
-  void answer(test::Line& line, const ListModel::Answer& answer, std::size_t door);
+  void heard(test::Line& line, std::size_t listener);
+  void called(test::Line& line, const std::string& request, std::size_t listener);
+  void answer(test::Line& line, const ListModel::Answer& answer, std::size_t listener);
   void tell(Waiting& waiting);
 
   ListModel model_;
-  std::vector<std::unique_ptr<Door>> doors_;
+  std::vector<std::unique_ptr<Listener>> listeners_;
   std::list<Waiting> waiting_;
-  Later later_;
+  DelayedActions delayedActions_;
 };
 
 }  // namespace heathflow::emulator
--- a/src/emulator/load.cpp
+++ b/src/emulator/load.cpp
@@ -29,7 +29,7 @@
         stream(owner.loop_, *this, kLimits),
         limit(owner.loop_, [this] { load.remove(*this); }),
         leave(owner.loop_, [this] {
-          load.judge_.left(id, load.loop_.now());
+          load.judge_.clientDisconnected(id, load.loop_.now());
           load.remove(*this);
         }) {}
 
@@ -42,14 +42,14 @@
   // The request counts from the time at which it goes out.
   void wrote() {
     if (!told) {
-      Judge::Asked request;
+      Judge::ClientRequest request;
       request.id = id;
       request.gateway = load.gateway_;
       request.at = load.loop_.now();
       request.patience = load.patience_;
       request.repeatable = request.rejectable = answer.kind != Kind::Save;
       if (answer.kind == Kind::View) request.bound = load.bound_;
-      load.judge_.asked(request);
+      load.judge_.requestSent(request);
       ++load.asked_;
       told = true;
     }
@@ -64,7 +64,7 @@
     told = false;
     answered = false;
     id = load.gateway_ + "-" + std::to_string(++load.sequence_);
-    answer = {arrival.at, 0, arrival.kind, arrival.group, Answered::Served};
+    answer = {arrival.at, 0, arrival.kind, arrival.group, RequestResult::Served};
     const std::string statement =
         arrival.kind == Kind::Save
             ? "INSERT INTO rows (handle, blob) VALUES ('key', '\\x9f03') RETURNING blob"
@@ -85,12 +85,12 @@
         welcomed = true;
       } else if (message.type == 'D') {
         answered = true;
-        answer.how = Answered::Served;
+        answer.how = RequestResult::Served;
       } else if (message.type == 'E') {
         const std::string code = test::pg::field(message.body, 'C');
         answered = true;
-        answer.how = code == "53300" || code == "57P03" ? Answered::Rejected : Answered::Failed;
-        if (!welcomed) return finish();  // turned away at the door
+        answer.how = code == "53300" || code == "57P03" ? RequestResult::Rejected : RequestResult::Failed;
+        if (!welcomed) return finish();  // rejected right after the connect
       } else if (message.type == 'Z' && answered) {
         finish();
       }
@@ -103,7 +103,7 @@
     leave.disarm();
     busy = false;
     answer.at = load.loop_.now();
-    load.judge_.answered(id, answer.at, answer.how);
+    load.judge_.requestAnswered(id, answer.at, answer.how);
     load.onAnswer_(answer);
   }
 
@@ -112,11 +112,11 @@
     const bool crossed =
         load.mayCross_ && how == transport::StreamEnd::Closed && load.loop_.now() - askedAt < kCrossing;
     if (busy && told && crossed) {
-      load.judge_.left(id, load.loop_.now());
+      load.judge_.clientDisconnected(id, load.loop_.now());
     } else if (busy && told) {
-      // Its gateway is dead, which the rig tells the judge, or has broken its word.
+      // Its gateway is dead, which the emulator tells the judge, or has broken its word.
       answer.at = load.loop_.now();
-      if (load.socketAddress_) load.judge_.answered(id, answer.at, Answered::Broken);
+      if (load.socketAddress_) load.judge_.requestAnswered(id, answer.at, RequestResult::Broken);
     } else if (busy) {
       ++load.unreached_;
     }
@@ -155,7 +155,7 @@
 
 Load::~Load() = default;
 
-void Load::leadTo(std::optional<transport::SocketAddress> socketAddress) {
+void Load::connectTo(std::optional<transport::SocketAddress> socketAddress) {
   if (socketAddress == socketAddress_) return;
   socketAddress_ = socketAddress;
   resting_ = keeping_ = mayCross_ = false;
--- a/src/emulator/load.h
+++ b/src/emulator/load.h
@@ -23,7 +23,7 @@
   Micros at = 0;
   Kind kind = Kind::View;
   unsigned group = 0;
-  Answered how = Answered::Served;
+  RequestResult how = RequestResult::Served;
 };
 
 class Load {
@@ -35,7 +35,7 @@
   ~Load();
 
   // Where the gateway serves; nothing: nowhere at present, and what would be asked is not.
-  void leadTo(std::optional<transport::SocketAddress> socketAddress);
+  void connectTo(std::optional<transport::SocketAddress> socketAddress);
   // Nothing new is sent there; what is out waits for its answer.
   void rest() { resting_ = true; }
   // The gateway was told to end: its close may cross a request that it has not read.
--- a/src/emulator/rough_clients.cpp
+++ b/src/emulator/misbehaving_clients.cpp
@@ -1,4 +1,4 @@
-#include "emulator/rough_clients.h"
+#include "emulator/misbehaving_clients.h"
 
 #include <algorithm>
 #include <cmath>
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-struct RoughClients::Client {
-  Client(RoughClients& owner, Kind what)
+struct MisbehavingClients::Client {
+  Client(MisbehavingClients& owner, Kind what)
       : all(owner),
         kind(what),
         line(owner.loop_, [this](test::Line&) { heard(); }),
@@ -37,12 +37,12 @@
 
   // What was asked of the judge's knowledge, in the order of the answers.
   void ask(const std::string& id, Micros patience) {
-    Judge::Asked asked;
+    Judge::ClientRequest asked;
     asked.id = id;
     asked.gateway = all.gateway_;
     asked.at = all.loop_.now();
     asked.patience = patience;
-    all.judge_.asked(asked);
+    all.judge_.requestSent(asked);
     open.push_back(id);
     askedSome = true;
   }
@@ -50,32 +50,32 @@
     for (const test::pg::Message& message : test::pg::cut(line.got)) {
       if (message.type != 'D' && message.type != 'E') continue;
       const std::string code = message.type == 'E' ? test::pg::field(message.body, 'C') : "";
-      const Answered how = message.type == 'D'                  ? Answered::Served
-                           : code == "53300" || code == "57P03" ? Answered::Rejected
-                                                                : Answered::Failed;
+      const RequestResult how = message.type == 'D'                  ? RequestResult::Served
+                                : code == "53300" || code == "57P03" ? RequestResult::Rejected
+                                                                     : RequestResult::Failed;
       if (open.empty()) {
         owedNothing = true;  // its error
         continue;
       }
-      all.judge_.answered(open.front(), all.loop_.now(), how);
+      all.judge_.requestAnswered(open.front(), all.loop_.now(), how);
       open.pop_front();
     }
     if (awaitsAnswers && askedSome && open.empty()) all.remove(*this);
   }
   void gone() {
-    for (const std::string& id : open) all.judge_.answered(id, all.loop_.now(), Answered::Broken);
+    for (const std::string& id : open) all.judge_.requestAnswered(id, all.loop_.now(), RequestResult::Broken);
     all.remove(*this);
   }
   void overdue() {
     if (!awaitsAnswers && !owedNothing)
-      all.judge_.seen(Rule::OneAnswer, all.loop_.now(), all.gateway_,
-                      "a client that stopped (" + std::to_string(static_cast<int>(kind)) +
-                          ") got neither an error nor a close");
+      all.judge_.reportBreach(Rule::OneAnswer, all.loop_.now(), all.gateway_,
+                              "a client that stopped (" + std::to_string(static_cast<int>(kind)) +
+                                  ") got neither an error nor a close");
     all.remove(*this);
   }
   void goOn() {
     if (kind == Kind::HitAndRun || kind == Kind::HalfClose) {
-      for (const std::string& id : open) all.judge_.left(id, all.loop_.now());
+      for (const std::string& id : open) all.judge_.clientDisconnected(id, all.loop_.now());
       open.clear();
       if (kind == Kind::HitAndRun) return all.remove(*this);
       line.stream.endSending();
@@ -92,7 +92,7 @@
     due.arm(all.loop_.now() + all.patience_ + kBeyond);
   }
 
-  RoughClients& all;
+  MisbehavingClients& all;
   Kind kind;
   test::Line line;
   transport::Timer due;
@@ -107,8 +107,8 @@
   bool askedSome = false;
 };
 
-RoughClients::RoughClients(transport::EventLoop& loop, std::string gateway, double perSecond, unsigned groups,
-                           Micros patience, std::uint64_t seed, Judge& judge)
+MisbehavingClients::MisbehavingClients(transport::EventLoop& loop, std::string gateway, double perSecond,
+                                       unsigned groups, Micros patience, std::uint64_t seed, Judge& judge)
     : loop_(loop),
       gateway_(std::move(gateway)),
       perSecond_(perSecond),
@@ -120,42 +120,42 @@
   if (perSecond_ > 0) next_.arm(loop_.now() + pause());
 }
 
-RoughClients::~RoughClients() = default;
+MisbehavingClients::~MisbehavingClients() = default;
 
-Micros RoughClients::pause() {
+Micros MisbehavingClients::pause() {
   return static_cast<Micros>(-std::log(1 - uniformUnit(random_())) / perSecond_ *
                              static_cast<double>(kMicrosPerSecond));
 }
 
-std::string RoughClients::nextId() { return gateway_ + "-rough-" + std::to_string(++sequence_); }
+std::string MisbehavingClients::nextId() { return gateway_ + "-rough-" + std::to_string(++sequence_); }
 
-std::string RoughClients::request(const std::string& id) {
+std::string MisbehavingClients::request(const std::string& id) {
   return test::pg::query("SELECT blob FROM rows WHERE handle = 'key' /* id=" + id +
                          ",c=any,d=" + std::to_string(patience_ / kMicrosPerMilli) +
                          ",cluster=" + std::to_string(random_() % groups_) + " */");
 }
 
-void RoughClients::leadTo(std::optional<transport::SocketAddress> socketAddress) {
+void MisbehavingClients::connectTo(std::optional<transport::SocketAddress> socketAddress) {
   if (socketAddress == socketAddress_) return;
   socketAddress_ = socketAddress;
   while (!clients_.empty()) {
     Client& client = *clients_.front();
-    for (const std::string& id : client.open) judge_.left(id, loop_.now());
+    for (const std::string& id : client.open) judge_.clientDisconnected(id, loop_.now());
     remove(client);
   }
 }
 
-void RoughClients::stop() {
+void MisbehavingClients::stop() {
   next_.disarm();
-  leadTo({});
+  connectTo({});
 }
 
-void RoughClients::turn() {
+void MisbehavingClients::turn() {
   next_.arm(loop_.now() + pause());
   if (socketAddress_ && clients_.size() < kClientsMost) begin(static_cast<Kind>(random_() % kKinds));
 }
 
-void RoughClients::begin(Kind kind) {
+void MisbehavingClients::begin(Kind kind) {
   clients_.push_back(std::make_unique<Client>(*this, kind));
   Client& client = *clients_.back();
   int error = 0;
@@ -206,7 +206,7 @@
   }
 }
 
-void RoughClients::remove(Client& client) {
+void MisbehavingClients::remove(Client& client) {
   if (std::exchange(client.removed, true)) return;
   client.due.disarm();
   client.step.disarm();
--- a/src/emulator/rough_clients.h
+++ b/src/emulator/misbehaving_clients.h
@@ -15,15 +15,15 @@
 
 namespace heathflow::emulator {
 
-class RoughClients {
+class MisbehavingClients {
  public:
   // 'perSecond': so many begin; 'groups': they ask for these.
-  RoughClients(transport::EventLoop& loop, std::string gateway, double perSecond, unsigned groups,
-               Micros patience, std::uint64_t seed, Judge& judge);
-  ~RoughClients();
+  MisbehavingClients(transport::EventLoop& loop, std::string gateway, double perSecond, unsigned groups,
+                     Micros patience, std::uint64_t seed, Judge& judge);
+  ~MisbehavingClients();
 
   // Where the gateway serves; nothing: nowhere at present. Those that are there go without a word.
-  void leadTo(std::optional<transport::SocketAddress> socketAddress);
+  void connectTo(std::optional<transport::SocketAddress> socketAddress);
   // No further ones, and nothing more is checked of those that are there.
   void stop();
 
--- a/src/emulator/notifications.cpp
+++ b/src/emulator/notifications.cpp
@@ -28,7 +28,7 @@
   lives_[gateway].words.push_back({at, at, at});
 }
 
-void Notifications::writtenIntoSilence(const std::string& gateway, Micros at, const Silence& silence) {
+void Notifications::answerWrittenIntoCutPath(const std::string& gateway, Micros at, const Silence& silence) {
   Micros counts = std::max(at, silence.since + terms_.atTheLatest);
   if (silence.waitEnds) counts = std::max(counts, *silence.waitEnds + terms_.afterWait);
   lives_[gateway].words.push_back({at, counts, std::min(counts, std::max(at, silence.until)), true});
@@ -75,8 +75,8 @@
   return counts;
 }
 
-std::optional<Micros> Notifications::toldNotReady(const std::string& gateway, const std::string& endpoint,
-                                                  Micros at) const {
+std::optional<Micros> Notifications::notifiedNotReadySince(const std::string& gateway,
+                                                           const std::string& endpoint, Micros at) const {
   const auto known = changes_.find(endpoint);
   const auto life = lives_.find(gateway);
   if (known == changes_.end() || life == lives_.end()) return std::nullopt;
--- a/src/emulator/notifications.h
+++ b/src/emulator/notifications.h
@@ -1,6 +1,6 @@
 // When a change of the list counts as told to a gateway, by the operators' pages: the one model by which the
 // judge holds gateways to drains, removals and returns. It shares no constant and no code with the gateway.
-// No I/O; times are of one clock, that of the rig.
+// No I/O; times are of one clock, that of the emulator.
 #pragma once
 
 #include <cstdint>
@@ -55,7 +55,7 @@
     Micros until = 0;
     std::optional<Micros> waitEnds;
   };
-  void writtenIntoSilence(const std::string& gateway, Micros at, const Silence& silence);
+  void answerWrittenIntoCutPath(const std::string& gateway, Micros at, const Silence& silence);
   // A call of it failed, was rejected, or was given up.
   void callFailed(const std::string& gateway, Micros at);
   // It was told by a signal that the service is elsewhere.
@@ -63,8 +63,8 @@
 
   // Since when it has been told, as of a time, that an endpoint drains or is gone; nothing where its newest
   // word is that the endpoint is ready.
-  std::optional<Micros> toldNotReady(const std::string& gateway, const std::string& endpoint,
-                                     Micros at) const;
+  std::optional<Micros> notifiedNotReadySince(const std::string& gateway, const std::string& endpoint,
+                                              Micros at) const;
 
  private:
   struct Change {
--- a/src/emulator/soak.cpp
+++ b/src/emulator/random_scenario.cpp
@@ -1,4 +1,4 @@
-#include "emulator/soak.h"
+#include "emulator/random_scenario.h"
 
 #include <algorithm>
 #include <array>
@@ -15,7 +15,7 @@
 using faultshim::FaultPlan;
 using faultshim::FaultShare;
 using Shim = faultshim::Fault;
-using Is = Happening::Kind;
+using Is = FaultEvent::Kind;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
@@ -28,9 +28,9 @@
 constexpr Micros kBetweenEndpoints = 6 * kS;
 constexpr Micros kListTroubleMost = 12 * kS;
 
-class Drawing {
+class ScenarioGenerator {
  public:
-  Drawing(std::uint64_t seed, const SoakOptions& options)
+  ScenarioGenerator(std::uint64_t seed, const RandomScenarioOptions& options)
       : options_(options), random_(seed * 0x9E3779B97F4A7C15U + 1) {
     out_.name = "soak-" + std::to_string(seed);
     out_.seed = seed;
@@ -48,8 +48,8 @@
       if (chance(0.6)) pathTrouble();
     }
     if (options_.failingCalls) out_.faults = callTrouble().text();
-    std::stable_sort(out_.happenings.begin(), out_.happenings.end(),
-                     [](const Happening& a, const Happening& b) { return a.at < b.at; });
+    std::stable_sort(out_.faultEvents.begin(), out_.faultEvents.end(),
+                     [](const FaultEvent& a, const FaultEvent& b) { return a.at < b.at; });
     return std::move(out_);
   }
 
@@ -68,8 +68,8 @@
     return chance(0.7) ? moment_ + between<Micros>(0, kMoment)
                        : between(kQuietAtFirst, std::max(kQuietAtFirst + kMs, out_.length - kQuietAtLast));
   }
-  void add(Is kind, Micros at, double share, Micros lasts) {
-    out_.happenings.push_back({kind, at, share, lasts});
+  void add(Is kind, Micros at, double share, Micros duration) {
+    out_.faultEvents.push_back({kind, at, share, duration});
   }
 
   void installation() {
@@ -124,8 +124,8 @@
   void listTrouble() {
     constexpr std::array kKinds = {Is::ListDown, Is::ListOlder, Is::ListMoves, Is::CutList, Is::ListCrowded};
     // Half of them within the term on changes, half beyond it, and about the time at which endpoints go.
-    const Micros lasts = chance(0.5) ? between(300 * kMs, 4 * kS) : between(6 * kS, kListTroubleMost);
-    add(oneOf(kKinds), when(), between(0.5, 1.0), lasts);
+    const Micros duration = chance(0.5) ? between(300 * kMs, 4 * kS) : between(6 * kS, kListTroubleMost);
+    add(oneOf(kKinds), when(), between(0.5, 1.0), duration);
   }
 
   void pathTrouble() {
@@ -172,7 +172,7 @@
     return plan;
   }
 
-  const SoakOptions& options_;
+  const RandomScenarioOptions& options_;
   std::mt19937_64 random_;
   Scenario out_;
   Micros moment_ = 0;
@@ -180,8 +180,8 @@
 
 }  // namespace
 
-Scenario soakScenario(std::uint64_t seed, const SoakOptions& options) {
-  return Drawing(seed, options).draw();
+Scenario randomScenario(std::uint64_t seed, const RandomScenarioOptions& options) {
+  return ScenarioGenerator(seed, options).draw();
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/soak.h
+++ b/src/emulator/random_scenario.h
@@ -8,13 +8,13 @@
 
 namespace heathflow::emulator {
 
-struct SoakOptions {
+struct RandomScenarioOptions {
   unsigned seconds = 20;
   unsigned gatewaysLeast = 10;
   unsigned gatewaysMost = 30;
   bool failingCalls = true;  // system calls fail and clocks are stepped
 };
 
-Scenario soakScenario(std::uint64_t seed, const SoakOptions& options);
+Scenario randomScenario(std::uint64_t seed, const RandomScenarioOptions& options);
 
 }  // namespace heathflow::emulator
--- a/src/emulator/scale.cpp
+++ b/src/emulator/scale.cpp
@@ -5,8 +5,8 @@
 #include <algorithm>
 #include <utility>
 
-#include "emulator/client_crowd.h"
 #include "emulator/gossip.h"
+#include "emulator/idle_connections.h"
 #include "emulator/subset_cost.h"
 #include "standins/standins.h"
 
@@ -147,7 +147,7 @@
   if (!startFleet(fleet)) return;
   const auto& traffic = fleet.feed().traffic();
   outcome_.results.add("drivers", "start_ms", size, milliseconds(now() - startedAt));
-  outcome_.results.add("drivers", "start_whole_lists", size, real(traffic.wholeLists));
+  outcome_.results.add("drivers", "start_whole_lists", size, real(traffic.completeLists));
   outcome_.results.add("drivers", "start_bytes", size, real(bytesOf(traffic)));
   quiet(part, fleet);
   changesOneByOne(part, fleet);
@@ -232,8 +232,8 @@
   GatewayFleet fleet(loop_, fleetOf(part.real, part.real), listOf(part.endpoints));
   if (!startFleet(fleet)) return;
   const Moment before = momentOf(fleet);
-  const auto count = static_cast<std::size_t>(rate * part.lasts / kMicrosPerSecond);
-  if (!changeEvenly(fleet, count, part.lasts) || !pass(before.at + part.lasts - now())) return;
+  const auto count = static_cast<std::size_t>(rate * part.duration / kMicrosPerSecond);
+  if (!changeEvenly(fleet, count, part.duration) || !pass(before.at + part.duration - now())) return;
   const Moment after = momentOf(fleet);
   const double span = seconds(after.at - before.at) * part.real;
   auto& results = outcome_.results;
@@ -260,9 +260,9 @@
   }
   GatewayFleet fleet(loop_, fleetOf(1, 1), entries);
   if (!startFleet(fleet)) return;
-  Child& gateway = *fleet.real().front();
+  ChildProcess& gateway = *fleet.real().front();
   if (!wait("a driver serves", [&] { return gateway.socketAddress().has_value(); })) return;
-  ClientCrowd crowd(loop_, *gateway.socketAddress());
+  IdleConnections crowd(loop_, *gateway.socketAddress());
   auto& results = outcome_.results;
   for (const unsigned size : part.sizes) {
     crowd.grow(size);
@@ -291,7 +291,7 @@
   for (const unsigned size : part.sizes) {
     if (over()) return;
     begin(std::to_string(size) + " drivers watch each other, in virtual time");
-    const auto cost = gossipAt(size, part.lasts, [this] { return step(0); });
+    const auto cost = gossipAt(size, part.duration, [this] { return step(0); });
     if (!cost && !over()) outcome_.problems.push_back("a death is known to all others: not in time");
     if (!cost) return;
     outcome_.results.add("gossip", "messages_per_s", size, cost->messagesPerSecond);
@@ -343,7 +343,8 @@
   auto& results = outcome_.results;
   results.fact("restart_half", "drivers", real(ended));
   results.fact("restart_half", "in_force_ms", milliseconds(after.at - before.at));
-  results.fact("restart_half", "whole_lists", real(after.traffic.wholeLists - before.traffic.wholeLists));
+  results.fact("restart_half", "whole_lists",
+               real(after.traffic.completeLists - before.traffic.completeLists));
   results.fact("restart_half", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
 
@@ -351,7 +352,7 @@
   if (hooks_.onProgress) hooks_.onProgress("the list service goes away and comes back");
   fleet.feed().goDown();
   fleet.feed().change(0);
-  if (!pass(part.lasts)) return;
+  if (!pass(part.duration)) return;
   const Moment before = momentOf(fleet);
   fleet.feed().comeUp();
   if (!waitUpToDate(fleet, fleet.size())) return;
@@ -360,7 +361,7 @@
   results.fact("list_away", "in_force_ms", milliseconds(after.at - before.at));
   results.fact("list_away", "calls", real(after.traffic.calls - before.traffic.calls));
   results.fact("list_away", "most_calls_in_100ms", real(fleet.feed().arrivals().mostWithin(kBurstSpan)));
-  results.fact("list_away", "whole_lists", real(after.traffic.wholeLists - before.traffic.wholeLists));
+  results.fact("list_away", "whole_lists", real(after.traffic.completeLists - before.traffic.completeLists));
   results.fact("list_away", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
 
@@ -371,7 +372,7 @@
   results.fact("cut_seventh", "drivers", real(fleet.cuttable()));
   const Micros others = changeOnce(fleet, 1, fleet.size() - fleet.cuttable());
   results.fact("cut_seventh", "others_in_force_ms", milliseconds(others));
-  if (!pass(part.lasts)) return;
+  if (!pass(part.duration)) return;
   const Moment before = momentOf(fleet);
   fleet.heal();
   if (!waitUpToDate(fleet, fleet.size())) return;
--- a/src/emulator/scale.h
+++ b/src/emulator/scale.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "emulator/driver_fleet.h"
+#include "emulator/gateway_fleet.h"
 #include "emulator/scale_plan.h"
 #include "emulator/scale_results.h"
 #include "transport/event_loop.h"
--- a/src/emulator/scale_plan.cpp
+++ b/src/emulator/scale_plan.cpp
@@ -58,7 +58,7 @@
   out.sizes = sizesOf(node);
   number(node, "members", out.endpoints);
   number(node, "real", out.real);
-  seconds(node, "seconds", out.lasts);
+  seconds(node, "seconds", out.duration);
   return out;
 }
 
@@ -73,7 +73,7 @@
 GossipPart readGossip(const Node* node) {
   GossipPart out;
   out.sizes = sizesOf(node);
-  seconds(node, "seconds", out.lasts);
+  seconds(node, "seconds", out.duration);
   return out;
 }
 
@@ -89,7 +89,7 @@
   number(node, "drivers", out.gateways);
   number(node, "members", out.endpoints);
   number(node, "real", out.real);
-  seconds(node, "seconds", out.lasts);
+  seconds(node, "seconds", out.duration);
   number(node, "burst", out.burst);
   return out;
 }
--- a/src/emulator/scale_plan.h
+++ b/src/emulator/scale_plan.h
@@ -35,7 +35,7 @@
   Sizes sizes;
   unsigned endpoints = 1000;
   unsigned real = 2;
-  transport::Micros lasts = 5'000'000;
+  transport::Micros duration = 5'000'000;
 };
 
 // Connections of clients to one real gateway.
@@ -48,7 +48,7 @@
 // Gateways that watch each other, in virtual time.
 struct GossipPart {
   Sizes sizes;
-  transport::Micros lasts = 30'000'000;
+  transport::Micros duration = 30'000'000;
 };
 
 // Gateways of which each group has so many.
@@ -62,7 +62,7 @@
   unsigned gateways = 0;
   unsigned endpoints = 100;
   unsigned real = 10;
-  transport::Micros lasts = 10'000'000;
+  transport::Micros duration = 10'000'000;
   unsigned burst = 100;  // changes in one second
 };
 
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -89,13 +89,13 @@
   number(node, "save", out.mix.save);
 }
 
-Happening readHappening(const Node* node) {
-  Happening out;
+FaultEvent readFaultEvent(const Node* node) {
+  FaultEvent out;
   duration(node, "at-ms", kMicrosPerMilli, out.at);
   const auto found = std::find(kKinds.begin(), kKinds.end(), attribute(node, "kind"));
-  if (found != kKinds.end()) out.kind = static_cast<Happening::Kind>(found - kKinds.begin());
+  if (found != kKinds.end()) out.kind = static_cast<FaultEvent::Kind>(found - kKinds.begin());
   number(node, "share", out.share);
-  duration(node, "for-ms", kMicrosPerMilli, out.lasts);
+  duration(node, "for-ms", kMicrosPerMilli, out.duration);
   return out;
 }
 
@@ -119,9 +119,9 @@
                          std::to_string(all.deadline / kMicrosPerMilli) + " is expected");
   std::string problem;
   if (!faultshim::parsePlan(all.faults, problem)) complain("drivers", problem);
-  for (const Happening& happening : all.happenings) {
-    if (happening.at >= all.length)
-      complain("fault", std::string("'") + nameOf(happening.kind) +
+  for (const FaultEvent& faultEvent : all.faultEvents) {
+    if (faultEvent.at >= all.length)
+      complain("fault", std::string("'") + nameOf(faultEvent.kind) +
                             "' begins when all is over: a time before " +
                             std::to_string(all.length / kMicrosPerMilli) + " ms is expected");
   }
@@ -129,12 +129,12 @@
 
 }  // namespace
 
-const char* nameOf(Happening::Kind kind) { return kKinds.at(static_cast<std::size_t>(kind)); }
+const char* nameOf(FaultEvent::Kind kind) { return kKinds.at(static_cast<std::size_t>(kind)); }
 
 bool needsPaths(const Scenario& scenario) {
-  return std::any_of(scenario.happenings.begin(), scenario.happenings.end(), [](const Happening& happening) {
-    return happening.kind >= Happening::Kind::CutEndpoints;
-  });
+  return std::any_of(
+      scenario.faultEvents.begin(), scenario.faultEvents.end(),
+      [](const FaultEvent& faultEvent) { return faultEvent.kind >= FaultEvent::Kind::CutEndpoints; });
 }
 
 std::string textOf(const Scenario& all) {
@@ -156,9 +156,9 @@
       << "\" rough=\"" << all.rough << "\" idle-clients=\"" << all.idleClients << "\" view=\"" << all.mix.view
       << "\" any=\"" << all.mix.any << "\" status=\"" << all.mix.status << "\" save=\"" << all.mix.save
       << "\"/>\n";
-  for (const Happening& happening : all.happenings) {
-    out << "  <fault at-ms=\"" << millis(happening.at) << "\" kind=\"" << nameOf(happening.kind)
-        << "\" share=\"" << happening.share << "\" for-ms=\"" << millis(happening.lasts) << "\"/>\n";
+  for (const FaultEvent& faultEvent : all.faultEvents) {
+    out << "  <fault at-ms=\"" << millis(faultEvent.at) << "\" kind=\"" << nameOf(faultEvent.kind)
+        << "\" share=\"" << faultEvent.share << "\" for-ms=\"" << millis(faultEvent.duration) << "\"/>\n";
   }
   out << "</scenario>\n";
   return out.str();
@@ -179,10 +179,10 @@
     if (name == "members") readEndpoints(part, out);
     if (name == "list") readList(part, out);
     if (name == "load") readLoad(part, out);
-    if (name == "fault") out.happenings.push_back(readHappening(part));
+    if (name == "fault") out.faultEvents.push_back(readFaultEvent(part));
   }
-  std::stable_sort(out.happenings.begin(), out.happenings.end(),
-                   [](const Happening& a, const Happening& b) { return a.at < b.at; });
+  std::stable_sort(out.faultEvents.begin(), out.faultEvents.end(),
+                   [](const FaultEvent& a, const FaultEvent& b) { return a.at < b.at; });
   xml::Collector collector(path, problems);
   check(root, out, collector);
   if (!problems.empty()) return std::nullopt;
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -1,5 +1,5 @@
-// What the rig plays: gateways, endpoints, list service and load, and what happens to them over time. Read
-// from XML (scenarios/scenario.xsd).
+// What the emulator plays: gateways, endpoints, list service and load, and what happens to them over time.
+// Read from XML (scenarios/scenario.xsd).
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 enum class KnownList { Current, Old, Gone, None };
 
-struct Happening {
+struct FaultEvent {
   enum class Kind {
     KillGateways,      // and start them again
     RollGateways,      // told to end and started again, one after the other within the time
@@ -40,9 +40,9 @@
   Kind kind = Kind::KillGateways;
   Micros at = 0;
   double share = 1;
-  Micros lasts = 1'000'000;
+  Micros duration = 1'000'000;
 };
-const char* nameOf(Happening::Kind kind);
+const char* nameOf(FaultEvent::Kind kind);
 
 struct Scenario {
   std::string name;
@@ -76,7 +76,7 @@
   Micros patience = 1'500'000;
   Micros bound = 3'000'000;
   Mix mix;
-  std::vector<Happening> happenings;  // by their times
+  std::vector<FaultEvent> faultEvents;  // by their times
 };
 
 std::string_view scenarioSchema();
--- a/src/emulator/site.cpp
+++ b/src/emulator/site.cpp
@@ -61,14 +61,14 @@
   JudgeLimits out;
   if (scenario.faults.empty()) return out;
   out.slack = 500 * kMicrosPerMilli;
-  out.departed += faultshim::kLongestHoldUp;
-  out.told += faultshim::kLongestHoldUp;
+  out.afterDisconnect += faultshim::kLongestHoldUp;
+  out.deadlineSlack += faultshim::kLongestHoldUp;
   return out;
 }
 
 // What a path does while that holds.
-Fault pathFaultOf(Happening::Kind kind) {
-  using Is = Happening::Kind;
+Fault pathFaultOf(FaultEvent::Kind kind) {
+  using Is = FaultEvent::Kind;
   Fault out;
   out.cutForth = kind == Is::CutEndpoints || kind == Is::CutList;
   out.cutBack = out.cutForth || kind == Is::HangEndpoints;
@@ -86,29 +86,30 @@
 struct Site::Gateway {
   std::string name;
   std::size_t number = 0;
-  std::size_t door = 0;
-  std::size_t elsewhere = 0;  // its door where the service has moved to
+  std::size_t listener = 0;
+  std::size_t elsewhere = 0;  // its listener where the service has moved to
   std::string settingsFile;
-  std::unique_ptr<Child> child;
+  std::unique_ptr<ChildProcess> child;
   std::unique_ptr<Load> load;
-  std::unique_ptr<RoughClients> rough;
-  std::unique_ptr<ClientCrowd> crowd;  // of this life
+  std::unique_ptr<MisbehavingClients> rough;
+  std::unique_ptr<IdleConnections> crowd;  // of this life
   Micros startedAt = 0;
   bool serving = false;
   bool resting = false;  // on purpose: it ends, or is stopped
   bool listed = false;   // it has had a list
 };
 
-bool Outcomes::rulesKept() const {
+bool DeploymentResults::rulesKept() const {
   return crashes.empty() && std::all_of(broken.begin(), broken.end(), [](std::size_t n) { return n == 0; });
 }
 
-std::string Outcomes::json() const {
+std::string DeploymentResults::json() const {
   Json out;
   out["scenario"] = scenario;
-  out["requests"] = {{"asked", asked},      {"unreached", unreached}, {"served", served},
-                     {"refused", rejected}, {"failed", failed},       {"refused_with_room", rejectedWithRoom},
-                     {"p50_us", p50},       {"p99_us", p99},          {"first_served_us", firstServed}};
+  out["requests"] = {
+      {"asked", asked},      {"unreached", unreached}, {"served", served},
+      {"refused", rejected}, {"failed", failed},       {"refused_with_room", rejectedWithCapacity},
+      {"p50_us", p50},       {"p99_us", p99},          {"first_served_us", firstServed}};
   out["list"] = {{"calls", calls},
                  {"failed", callsFailed},
                  {"most_in_100ms", mostCalls},
@@ -127,13 +128,13 @@
   out["crashes"] = crashes;
   out["counters"] = counters;
   out["seconds"] = Json::array();
-  for (const Second& one : seconds) {
+  for (const TimelineRow& one : seconds) {
     out["seconds"].push_back({{"served", one.served},
                               {"refused", one.rejected},
                               {"failed", one.failed},
-                              {"refused_with_room", one.rejectedWithRoom},
+                              {"refused_with_room", one.rejectedWithCapacity},
                               {"drivers", one.gatewaysUp},
-                              {"calls", one.callsOfList},
+                              {"calls", one.listCalls},
                               {"connections", one.connectionsAtEndpoints},
                               {"p50_us", one.p50},
                               {"p99_us", one.p99},
@@ -142,27 +143,27 @@
   return out.dump(1);
 }
 
-double Outcomes::percentOfAnswers(std::uint64_t count) const {
+double DeploymentResults::percentOfAnswers(std::uint64_t count) const {
   return 100 * real(count) / std::max<double>(1, real(served + rejected + failed));
 }
 
-std::string Outcomes::row(unsigned gateways) const {
+std::string DeploymentResults::row(unsigned gateways) const {
   const double asking = std::max<double>(1, real(callsUntilListed));
   std::ostringstream out;
   out.precision(2);
   out << std::fixed << milliseconds(lastList.value_or(0)) << ' ' << real(callsUntilListed) / gateways << ' '
       << 100 * real(callsFailedUntilListed) / asking << ' ' << mostCalls << ' ' << mostConnections << ' '
-      << percentOfAnswers(rejected) << ' ' << percentOfAnswers(rejectedWithRoom) << ' '
+      << percentOfAnswers(rejected) << ' ' << percentOfAnswers(rejectedWithCapacity) << ' '
       << milliseconds(firstServed) << ' ' << connections << ' ' << (rulesKept() ? 1 : 0);
   return out.str();
 }
 
-std::string Outcomes::table() const {
+std::string DeploymentResults::table() const {
   std::ostringstream out;
   out.precision(1);
   out << std::fixed;
   out << "requests: " << asked << " asked, " << served << " served, " << rejected << " refused ("
-      << percentOfAnswers(rejected) << "%, " << percentOfAnswers(rejectedWithRoom) << "% with room), "
+      << percentOfAnswers(rejected) << "%, " << percentOfAnswers(rejectedWithCapacity) << "% with room), "
       << failed << " failed, " << unreached << " found no driver; median " << milliseconds(p50) << " ms, 99% "
       << milliseconds(p99) << " ms\n";
   out << "list service: " << calls << " calls, " << callsFailed << " failed, most in 100 ms " << mostCalls;
@@ -185,37 +186,37 @@
     out << "  " << milliseconds(breaches[i].at) << " ms " << breaches[i].who << " " << breaches[i].what
         << "\n";
   for (const std::string& crash : crashes) out << "CRASHED: " << crash << "\n";
-  out << "the slowest start took " << milliseconds(slowestStart) << " ms; the rig was late by up to "
+  out << "the slowest start took " << milliseconds(slowestStart) << " ms; the emulator was late by up to "
       << milliseconds(late) << " ms\n";
   return out.str();
 }
 
-std::string Outcomes::columns() const {
+std::string DeploymentResults::columns() const {
   std::ostringstream out;
   out << "# second served refused failed p99_ms connections calls drivers\n";
   for (std::size_t i = 0; i < seconds.size(); ++i) {
-    const Second& one = seconds[i];
+    const TimelineRow& one = seconds[i];
     out << i + 1 << ' ' << one.served << ' ' << one.rejected << ' ' << one.failed << ' '
-        << milliseconds(one.p99) << ' ' << one.connectionsAtEndpoints << ' ' << one.callsOfList << ' '
+        << milliseconds(one.p99) << ' ' << one.connectionsAtEndpoints << ' ' << one.listCalls << ' '
         << one.gatewaysUp << "\n";
   }
   return out.str();
 }
 
-Site::Site(transport::EventLoop& loop, const Scenario& scenario, Programs programs)
+Site::Site(transport::EventLoop& loop, const Scenario& scenario, ProgramPaths programs)
     : loop_(loop),
       scenario_(scenario),
       programs_(std::move(programs)),
       judge_(limitsOf(scenario)),
       service_(loop, scenario.list),
-      later_(loop) {
+      delayedActions_(loop) {
   if (!scenario_.faults.empty() && programs_.faults.empty())
     throw std::runtime_error("the scenario has failing calls, and no library for them was named");
   buildEndpoints();
   service_.model().goBackTo(kServiceRevision);
-  service_.model().resetShare(scenario_.resetShare, scenario_.seed);
-  service_.onAnswer = [this](std::size_t door, const ListModel::Answer& answer) {
-    called(door, answer, true);
+  service_.model().setResetShare(scenario_.resetShare, scenario_.seed);
+  service_.onAnswer = [this](std::size_t listener, const ListModel::Answer& answer) {
+    called(listener, answer, true);
   };
   buildGateways();
 }
@@ -234,7 +235,7 @@
       if (!needsPaths(scenario_)) continue;
       const auto to = transport::parseSocketAddress(endpoints_.back()->address());
       endpointPaths_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort, to.value_or(kAnyPort),
-                                                            Weather({}, scenario_.seed + number)));
+                                                            LinkConditions({}, scenario_.seed + number)));
       endpointPaths_.back()->onForth = [this, number](std::string_view bytes) { noteSending(number, bytes); };
     }
   }
@@ -245,7 +246,7 @@
     auto gateway = std::make_unique<Gateway>();
     gateway->name = "n" + std::to_string(i);
     gateway->number = i;
-    gateway->door = service_.addDoor();
+    gateway->listener = service_.addListener();
     const std::string settings = settingsOf(*gateway);
     if (!settings.empty()) {
       gateway->settingsFile = folder_.path() + "/" + gateway->name + ".xml";
@@ -261,8 +262,9 @@
       if (!snapshot::save(file, earlier, files::Durable::No, problem)) throw std::runtime_error(problem);
     }
     if (needsPaths(scenario_)) {
-      listPaths_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort, service_.door(gateway->door),
-                                                        Weather({}, scenario_.seed + i)));
+      listPaths_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort,
+                                                        service_.listenerAddress(gateway->listener),
+                                                        LinkConditions({}, scenario_.seed + i)));
     }
     gateways_.push_back(std::move(gateway));
   }
@@ -283,7 +285,8 @@
   if (scenario_.faults.empty() || gateway.number >= faulty) return {};
   std::string problem;
   auto plan = faultshim::parsePlan(scenario_.faults, problem).value_or(faultshim::FaultPlan{});
-  plan.seed += scenario_.seed * 1009 + gateway.number * 31 + (gateway.child ? gateway.child->lives() : 0);
+  plan.seed +=
+      scenario_.seed * 1009 + gateway.number * 31 + (gateway.child ? gateway.child->incarnations() : 0);
   return withFaults(programs_.faults, plan.text());
 }
 
@@ -292,9 +295,10 @@
                                 : toText(endpointPaths_[endpoint]->socketAddress());
 }
 
-transport::SocketAddress Site::listDoorOf(const Gateway& gateway) const {
-  if (elsewhere_) return elsewhere_->door(gateway.elsewhere);
-  return listPaths_.empty() ? service_.door(gateway.door) : listPaths_[gateway.number]->socketAddress();
+transport::SocketAddress Site::listAddressOf(const Gateway& gateway) const {
+  if (elsewhere_) return elsewhere_->listenerAddress(gateway.elsewhere);
+  return listPaths_.empty() ? service_.listenerAddress(gateway.listener)
+                            : listPaths_[gateway.number]->socketAddress();
 }
 
 // A request on its way to an endpoint: by its id, as the statement's comment has it.
@@ -304,7 +308,8 @@
     const std::size_t from = at + kMark.size();
     const std::size_t end = bytes.find(',', from);
     if (end == std::string_view::npos) return;
-    judge_.sent(std::string(bytes.substr(from, end - from)), endpoints_[endpoint]->name(), loop_.now());
+    judge_.attemptSent(std::string(bytes.substr(from, end - from)), endpoints_[endpoint]->name(),
+                       loop_.now());
   }
 }
 
@@ -342,7 +347,7 @@
   seed << std::hex << (scenario_.seed * 0x9E3779B97F4A7C15U + number * 0xD1B54A32D192ED03U);
   options.seed = seed.str();
   const Gateway& gateway = *gateways_[number];
-  const transport::SocketAddress discovery = listDoorOf(gateway);
+  const transport::SocketAddress discovery = listAddressOf(gateway);
   std::vector<ListedEntry> known;
   if (scenario_.known != KnownList::None) known = listOf();
   if (scenario_.known == KnownList::Gone) {
@@ -360,14 +365,14 @@
   gateway.startedAt = loop_.now();
   judge_.notifications().started(gateway.name, loop_.now());
   if (gateway.child) {
-    gateway.child->surround(environmentOf(gateway));
+    gateway.child->setEnvironment(environmentOf(gateway));
     gateway.child->restart();
     return;
   }
   std::vector<std::string> arguments;
   if (!gateway.settingsFile.empty()) arguments = {"serve", "--config", gateway.settingsFile};
-  gateway.child = std::make_unique<Child>(programs_.gateway, configOf(gateway.number), std::move(arguments),
-                                          environmentOf(gateway));
+  gateway.child = std::make_unique<ChildProcess>(programs_.gateway, configOf(gateway.number),
+                                                 std::move(arguments), environmentOf(gateway));
 }
 
 // What the endpoints are by now, at the service and where it has moved to.
@@ -379,7 +384,7 @@
 }
 
 void Site::later(Micros after, std::function<void()> what) {
-  later_.at(loop_.now() + after, std::move(what));
+  delayedActions_.at(loop_.now() + after, std::move(what));
 }
 
 void Site::note(const std::string& text) { second().notes.push_back(text); }
@@ -391,20 +396,20 @@
     const auto socketAddress = gateway->child->socketAddress();
     if (gateway->child->over() && !gateway->resting) {
       gateway->resting = true;
-      gateway->load->leadTo({});
-      gateway->rough->leadTo({});
+      gateway->load->connectTo({});
+      gateway->rough->connectTo({});
       std::string last = gateway->child->events().empty() ? "" : gateway->child->events().back().text;
-      outcomes_.crashes.push_back(gateway->name + ", status " + std::to_string(gateway->child->status()) +
-                                  ": " + last);
+      results_.crashes.push_back(gateway->name + ", status " + std::to_string(gateway->child->status()) +
+                                 ": " + last);
     } else if (!gateway->serving && !gateway->resting && socketAddress) {
       gateway->serving = true;
-      gateway->load->leadTo(socketAddress);
-      gateway->rough->leadTo(socketAddress);
+      gateway->load->connectTo(socketAddress);
+      gateway->rough->connectTo(socketAddress);
       if (scenario_.idleClients > 0) {
-        gateway->crowd = std::make_unique<ClientCrowd>(loop_, *socketAddress);
+        gateway->crowd = std::make_unique<IdleConnections>(loop_, *socketAddress);
         gateway->crowd->grow(scenario_.idleClients);
       }
-      outcomes_.slowestStart = std::max(outcomes_.slowestStart, loop_.now() - gateway->startedAt);
+      results_.slowestStart = std::max(results_.slowestStart, loop_.now() - gateway->startedAt);
     } else {
       checkStart(*gateway);
     }
@@ -412,9 +417,9 @@
   for (const auto& endpoint : endpoints_) {
     const EndpointModel& model = endpoint->model();
     if (!model.alive() || model.warmth(loop_.now()) >= 1) {
-      judge_.warm(endpoint->name());
+      judge_.endpointWarm(endpoint->name());
     } else {
-      judge_.coldCapacity(endpoint->name(), loop_.now(), model.capacity(loop_.now()));
+      judge_.endpointWarmingUp(endpoint->name(), loop_.now(), model.capacity(loop_.now()));
     }
   }
   if (loop_.now() - secondAt_ >= kMicrosPerSecond) closeSecond();
@@ -424,52 +429,52 @@
 void Site::checkStart(Gateway& gateway) {
   if (gateway.serving || gateway.resting || loop_.now() - gateway.startedAt <= kReadyWithin) return;
   gateway.startedAt = loop_.now();
-  outcomes_.slowestStart = std::max(outcomes_.slowestStart, kReadyWithin);
-  outcomes_.crashes.push_back(gateway.name + " is not ready within 10 s");
+  results_.slowestStart = std::max(results_.slowestStart, kReadyWithin);
+  results_.crashes.push_back(gateway.name + " is not ready within 10 s");
 }
 
 void Site::closeSecond() {
-  Second& now = second();
+  TimelineRow& now = second();
   std::uint64_t connections = 0;
   for (const auto& endpoint : endpoints_)
     connections += endpoint->model().connectionsTaken() + endpoint->model().connectionsTurnedAway();
   std::uint64_t calls = service_.model().calls() + (elsewhere_ ? elsewhere_->model().calls() : 0);
   now.connectionsAtEndpoints = connections - std::exchange(connectionsBefore_, connections);
-  now.callsOfList = calls - std::exchange(callsBefore_, calls);
+  now.listCalls = calls - std::exchange(callsBefore_, calls);
   now.gatewaysUp = static_cast<unsigned>(std::count_if(
       gateways_.begin(), gateways_.end(), [](const auto& d) { return d->serving && !d->resting; }));
   now.p50 = latencies_.quantile(0.5);
   now.p99 = latencies_.quantile(0.99);
   latencies_ = {};
   secondAt_ += kMicrosPerSecond;
-  outcomes_.seconds.emplace_back();
+  results_.seconds.emplace_back();
 }
 
 void Site::answered(const Answer& answer) {
   switch (answer.how) {
-    case Answered::Served:
+    case RequestResult::Served:
       ++second().served;
-      ++outcomes_.served;
+      ++results_.served;
       latencies_.add(answer.at - answer.intended);
       all_.add(answer.at - answer.intended);
-      if (outcomes_.firstServed == 0) outcomes_.firstServed = answer.at - startedAt_;
+      if (results_.firstServed == 0) results_.firstServed = answer.at - startedAt_;
       return;
-    case Answered::Rejected: {
+    case RequestResult::Rejected: {
       ++second().rejected;
-      ++outcomes_.rejected;
+      ++results_.rejected;
       const bool toPrimary = answer.kind == Kind::Status || answer.kind == Kind::Save;
       const bool room = std::any_of(endpoints_.begin(), endpoints_.end(), [&](const auto& endpoint) {
         return endpoint->group() == answer.group && !phases_.contains(endpoint->name()) &&
-               (!toPrimary || endpoint->model().primary()) && endpoint->model().hasRoom(answer.at);
+               (!toPrimary || endpoint->model().primary()) && endpoint->model().hasCapacity(answer.at);
       });
       if (!room) return;
-      ++second().rejectedWithRoom;
-      ++outcomes_.rejectedWithRoom;
+      ++second().rejectedWithCapacity;
+      ++results_.rejectedWithCapacity;
       return;
     }
     default:
       ++second().failed;
-      ++outcomes_.failed;
+      ++results_.failed;
   }
 }
 
@@ -483,8 +488,8 @@
 void Site::noteTold(const Gateway& gateway, const ListModel::Answer& answer, bool overPath) {
   const Cut cut = overPath && !listCuts_.empty() ? listCuts_[gateway.number] : Cut{};
   if (loop_.now() < cut.until) {
-    judge_.notifications().writtenIntoSilence(gateway.name, loop_.now(),
-                                              {cut.from, cut.until, answer.waitEnds});
+    judge_.notifications().answerWrittenIntoCutPath(gateway.name, loop_.now(),
+                                                    {cut.from, cut.until, answer.waitEnds});
   } else {
     judge_.notifications().written(gateway.name, loop_.now());
   }
@@ -501,31 +506,31 @@
   judge_.notifications().serviceUp(loop_.now());
 }
 
-void Site::called(std::size_t door, const ListModel::Answer& answer, bool overPath) {
-  if (door > 0 && !gateways_[door - 1]->listed) {
-    ++outcomes_.callsUntilListed;
-    if (answer.kind != ListModel::Answer::Kind::Served) ++outcomes_.callsFailedUntilListed;
+void Site::called(std::size_t listener, const ListModel::Answer& answer, bool overPath) {
+  if (listener > 0 && !gateways_[listener - 1]->listed) {
+    ++results_.callsUntilListed;
+    if (answer.kind != ListModel::Answer::Kind::Served) ++results_.callsFailedUntilListed;
   }
   if (answer.kind != ListModel::Answer::Kind::Served) {
-    ++outcomes_.callsFailed;
-    if (door > 0) judge_.notifications().callFailed(gateways_[door - 1]->name, loop_.now());
+    ++results_.callsFailed;
+    if (listener > 0) judge_.notifications().callFailed(gateways_[listener - 1]->name, loop_.now());
     return;
   }
-  if (door == 0) return;
-  Gateway& gateway = *gateways_[door - 1];
+  if (listener == 0) return;
+  Gateway& gateway = *gateways_[listener - 1];
   noteTold(gateway, answer, overPath);
   if (std::exchange(gateway.listed, true)) return;
-  if (--listsMissing_ == 0) outcomes_.lastList = loop_.now() - startedAt_;
+  if (--listsMissing_ == 0) results_.lastList = loop_.now() - startedAt_;
 }
 
-void Site::killPrimaries(Micros lasts) {
+void Site::killPrimaries(Micros duration) {
   std::vector<EmulatedEndpoint*> fallen;
   for (const auto& endpoint : endpoints_) {
     if (endpoint->model().primary() && endpoint->model().alive()) fallen.push_back(endpoint.get());
   }
   for (EmulatedEndpoint* endpoint : fallen) endpoint->die();
   for (const auto& endpoint : endpoints_) endpoint->model().stall(loop_.now());
-  later(lasts, [this, fallen] {
+  later(duration, [this, fallen] {
     for (EmulatedEndpoint* old : fallen) {
       EmulatedEndpoint* best = nullptr;
       for (const auto& endpoint : endpoints_) {
@@ -540,15 +545,15 @@
     }
     note("replicas lead");
   });
-  later(lasts + kListLearns, [this] { publish(); });
-  later(lasts + kMicrosPerSecond, [this, fallen] {
+  later(duration + kListLearns, [this] { publish(); });
+  later(duration + kMicrosPerSecond, [this, fallen] {
     for (EmulatedEndpoint* endpoint : fallen) endpoint->start();
     publish();
     note("the old primaries are back, cold");
   });
 }
 
-void Site::restartEndpoints(double share, Micros lasts, bool drain) {
+void Site::restartEndpoints(double share, Micros duration, bool drain) {
   // Replicas first: a primary goes only where all go.
   std::vector<EmulatedEndpoint*> chosen;
   for (const bool primaries : {false, true}) {
@@ -577,7 +582,7 @@
     }
     publish();
   });
-  later(goAfter + lasts, [this, chosen, led] {
+  later(goAfter + duration, [this, chosen, led] {
     for (EmulatedEndpoint* endpoint : chosen) {
       endpoint->start();
       phases_.erase(endpoint->name());
@@ -588,11 +593,11 @@
   });
 }
 
-void Site::rollGateways(double share, Micros lasts) {
+void Site::rollGateways(double share, Micros duration) {
   const std::size_t count = partOf(share, gateways_.size());
   for (std::size_t i = 0; i < count; ++i) {
     Gateway& gateway = *gateways_[i];
-    const Micros at = lasts * static_cast<Micros>(i) / static_cast<Micros>(count);
+    const Micros at = duration * static_cast<Micros>(i) / static_cast<Micros>(count);
     later(at, [this, &gateway] { endGateway(gateway); });
     // The kernel has its ports again, and what was out has its answer.
     later(at + (scenario_.hardStops ? killAfterTerm() : 2 * kMicrosPerSecond),
@@ -610,7 +615,7 @@
 
 void Site::endGateway(Gateway& gateway) {
   gateway.resting = true;
-  gateway.rough->leadTo({});
+  gateway.rough->connectTo({});
   if (!scenario_.hardStops) {
     gateway.load->rest();
   } else {
@@ -635,83 +640,83 @@
 // What was told to end a while ago, or is killed now.
 void Site::startAgain(Gateway& gateway) {
   if (!gateway.child->over()) {
-    scenario_.hardStops ? judge_.endedOwing(gateway.name, loop_.now())
-                        : judge_.killed(gateway.name, loop_.now());
+    scenario_.hardStops ? judge_.gatewayEndedWithOpenRequests(gateway.name, loop_.now())
+                        : judge_.gatewayKilled(gateway.name, loop_.now());
   } else if (gateway.child->status() != kExitedWell) {
-    outcomes_.crashes.push_back(gateway.name + " ended with status " +
-                                std::to_string(gateway.child->status()));
+    results_.crashes.push_back(gateway.name + " ended with status " +
+                               std::to_string(gateway.child->status()));
   }
-  gateway.load->leadTo({});
+  gateway.load->connectTo({});
   startGateway(gateway);
 }
 
 // Of the first so many paths, for a time.
-void Site::changePaths(std::vector<std::unique_ptr<StreamLink>>& links, double share, Micros lasts,
+void Site::changePaths(std::vector<std::unique_ptr<StreamLink>>& links, double share, Micros duration,
                        const Fault& fault) {
   const std::size_t count = partOf(share, links.size());
   // The last ones first: the first endpoints are primaries.
   for (std::size_t i = links.size() - count; i < links.size(); ++i)
-    links[i]->change(Weather({fault}, scenario_.seed + i));
-  later(lasts, [this, &links, count] {
+    links[i]->change(LinkConditions({fault}, scenario_.seed + i));
+  later(duration, [this, &links, count] {
     for (std::size_t i = links.size() - count; i < links.size(); ++i)
-      links[i]->change(Weather({}, scenario_.seed + i));
+      links[i]->change(LinkConditions({}, scenario_.seed + i));
     note("paths are whole again");
   });
 }
 
-void Site::begin(const Happening& happening) {
-  using Is = Happening::Kind;
-  note(std::string(nameOf(happening.kind)));
-  const std::size_t count = partOf(happening.share, gateways_.size());
-  switch (happening.kind) {
+void Site::begin(const FaultEvent& faultEvent) {
+  using Is = FaultEvent::Kind;
+  note(std::string(nameOf(faultEvent.kind)));
+  const std::size_t count = partOf(faultEvent.share, gateways_.size());
+  switch (faultEvent.kind) {
     case Is::KillGateways:
       for (std::size_t i = 0; i < count; ++i) {
         Gateway& gateway = *gateways_[i];
         gateway.resting = true;
-        judge_.killed(gateway.name, loop_.now());
-        gateway.load->leadTo({});
-        gateway.rough->leadTo({});
+        judge_.gatewayKilled(gateway.name, loop_.now());
+        gateway.load->connectTo({});
+        gateway.rough->connectTo({});
         gateway.child->kill();
       }
-      return later(happening.lasts, [this, count] {
+      return later(faultEvent.duration, [this, count] {
         for (std::size_t i = 0; i < count; ++i)
           later(static_cast<Micros>(i), [this, i] { startGateway(*gateways_[i]); });
         note(std::to_string(count) + " drivers start again");
       });
     case Is::RollGateways:
-      return rollGateways(happening.share, happening.lasts);
+      return rollGateways(faultEvent.share, faultEvent.duration);
     case Is::PauseGateways:
       for (std::size_t i = 0; i < count; ++i) {
         gateways_[i]->load->rest();
-        gateways_[i]->rough->leadTo({});
-        judge_.killed(gateways_[i]->name, loop_.now());  // its silence is the rig's doing
+        gateways_[i]->rough->connectTo({});
+        judge_.gatewayKilled(gateways_[i]->name, loop_.now());  // its silence is the emulator's doing
         gateways_[i]->child->pause();
       }
-      return later(happening.lasts, [this, count] {
+      return later(faultEvent.duration, [this, count] {
         for (std::size_t i = 0; i < count; ++i) {
           gateways_[i]->child->resume();
           // What was still on its way as it was stopped.
-          judge_.killed(gateways_[i]->name, loop_.now());
-          gateways_[i]->load->leadTo({});
+          judge_.gatewayKilled(gateways_[i]->name, loop_.now());
+          gateways_[i]->load->connectTo({});
           gateways_[i]->serving = false;
         }
         note("drivers go on");
       });
     case Is::KillPrimary:
-      return killPrimaries(happening.lasts);
+      return killPrimaries(faultEvent.duration);
     case Is::RestartEndpoints:
-      return restartEndpoints(happening.share, happening.lasts, false);
+      return restartEndpoints(faultEvent.share, faultEvent.duration, false);
     case Is::DrainEndpoints:
-      return restartEndpoints(happening.share, happening.lasts, true);
+      return restartEndpoints(faultEvent.share, faultEvent.duration, true);
     case Is::ListDown:
       serviceDown(service_);
-      return later(happening.lasts, [this] {
+      return later(faultEvent.duration, [this] {
         serviceUp(service_);
         note("the list service is back");
       });
     case Is::ListOlder:
       serviceDown(service_);
-      return later(happening.lasts, [this] {
+      return later(faultEvent.duration, [this] {
         service_.model().goBackTo(kServiceRevision / 2);
         publish();
         serviceUp(service_);
@@ -719,9 +724,9 @@
       });
     case Is::LogsUnread:
       // One that starts has yet to say where it serves.
-      for (std::size_t i = 0; i < count; ++i) gateways_[i]->child->setDeaf(gateways_[i]->serving);
-      return later(happening.lasts, [this, count] {
-        for (std::size_t i = 0; i < count; ++i) gateways_[i]->child->setDeaf(false);
+      for (std::size_t i = 0; i < count; ++i) gateways_[i]->child->setLogUnread(gateways_[i]->serving);
+      return later(faultEvent.duration, [this, count] {
+        for (std::size_t i = 0; i < count; ++i) gateways_[i]->child->setLogUnread(false);
         note("logs are read again");
       });
     case Is::ReloadGateways:
@@ -731,44 +736,44 @@
     case Is::HangEndpoints:
     case Is::SlowEndpoints:
     case Is::ResetEndpoints:
-      return changePaths(endpointPaths_, happening.share, happening.lasts, pathFaultOf(happening.kind));
+      return changePaths(endpointPaths_, faultEvent.share, faultEvent.duration, pathFaultOf(faultEvent.kind));
     case Is::CutList:
       listCuts_.resize(listPaths_.size());
-      for (std::size_t i = listPaths_.size() - partOf(happening.share, listPaths_.size());
+      for (std::size_t i = listPaths_.size() - partOf(faultEvent.share, listPaths_.size());
            i < listPaths_.size(); ++i)
-        listCuts_[i] = {loop_.now(), loop_.now() + happening.lasts};
-      return changePaths(listPaths_, happening.share, happening.lasts, pathFaultOf(happening.kind));
+        listCuts_[i] = {loop_.now(), loop_.now() + faultEvent.duration};
+      return changePaths(listPaths_, faultEvent.share, faultEvent.duration, pathFaultOf(faultEvent.kind));
     case Is::ListMoves:
       elsewhere_ = std::make_unique<ListService>(loop_, scenario_.list);
-      elsewhere_->onAnswer = [this](std::size_t door, const ListModel::Answer& answer) {
-        called(door, answer, false);
+      elsewhere_->onAnswer = [this](std::size_t listener, const ListModel::Answer& answer) {
+        called(listener, answer, false);
       };
       elsewhere_->model().goBackTo(kServiceRevision / 2);
       elsewhere_->set(listOf());
       judge_.notifications().serviceUp(loop_.now());
       for (const auto& gateway : gateways_) {
-        gateway->elsewhere = elsewhere_->addDoor();
+        gateway->elsewhere = elsewhere_->addListener();
         gateway->child->configure(configOf(gateway->number));
         judge_.notifications().moved(gateway->name, std::max(loop_.now(), gateway->startedAt + kAtFirstLine));
         reloadGateway(*gateway);
       }
-      return later(happening.lasts, [this] { serviceDown(service_); });
+      return later(faultEvent.duration, [this] { serviceDown(service_); });
     case Is::ListCrowded:
       for (ListService* service : {&service_, elsewhere_.get()}) {
-        if (service != nullptr) service->model().setCrowded(happening.share);
+        if (service != nullptr) service->model().setRejectShare(faultEvent.share);
       }
-      return later(happening.lasts, [this] {
+      return later(faultEvent.duration, [this] {
         for (ListService* service : {&service_, elsewhere_.get()}) {
-          if (service != nullptr) service->model().setCrowded(0);
+          if (service != nullptr) service->model().setRejectShare(0);
         }
         note("the list service has room again");
       });
   }
 }
 
-Outcomes Site::play(const std::function<bool(std::size_t number, const Second&)>& onSecond) {
-  outcomes_.scenario = scenario_.name;
-  outcomes_.seconds.emplace_back();
+DeploymentResults Site::play(const std::function<bool(std::size_t number, const TimelineRow&)>& onSecond) {
+  results_.scenario = scenario_.name;
+  results_.seconds.emplace_back();
   listsMissing_ = gateways_.size();
   loop_.turn(0);
   startedAt_ = secondAt_ = loop_.now();
@@ -789,8 +794,8 @@
   }
   Micros due = 0;
   transport::Timer ticking(loop_, [&] {
-    // What a start of many processes takes is no word on the rig's own pace.
-    if (due != 0) outcomes_.late = std::max(outcomes_.late, loop_.now() - due);
+    // What a start of many processes takes is no word on the emulator's own pace.
+    if (due != 0) results_.late = std::max(results_.late, loop_.now() - due);
     tick();
     due = loop_.now() + kTick;
     ticking.arm(due);
@@ -804,23 +809,23 @@
         Arrivals(rate, scenario_.mix, scenario_.groups, scenario_.seed * 7919 + gateway->number, startedAt_),
         scenario_.patience, scenario_.bound, judge_, [this](const Answer& answer) { answered(answer); },
         scenario_.leaving, scenario_.seed * 104'729 + gateway->number);
-    gateway->rough = std::make_unique<RoughClients>(loop_, gateway->name, scenario_.rough, scenario_.groups,
-                                                    scenario_.patience,
-                                                    scenario_.seed * 15'485'863 + gateway->number, judge_);
+    gateway->rough = std::make_unique<MisbehavingClients>(
+        loop_, gateway->name, scenario_.rough, scenario_.groups, scenario_.patience,
+        scenario_.seed * 15'485'863 + gateway->number, judge_);
     startGateway(*gateway);
     // Starting hundreds takes a while, in which those that are up must not find endpoints and list service
     // frozen.
     loop_.turn(0);
   }
-  for (const Happening& happening : scenario_.happenings)
-    later(happening.at, [this, happening] { begin(happening); });
+  for (const FaultEvent& faultEvent : scenario_.faultEvents)
+    later(faultEvent.at, [this, faultEvent] { begin(faultEvent); });
   const Micros end = startedAt_ + scenario_.length;
   bool goOn = true;
   std::size_t told = 0;
   while (goOn && loop_.now() < end) {
     loop_.turn(kTick);
-    for (; goOn && told + 1 < outcomes_.seconds.size(); ++told) {
-      if (onSecond) goOn = onSecond(told, outcomes_.seconds[told]);
+    for (; goOn && told + 1 < results_.seconds.size(); ++told) {
+      if (onSecond) goOn = onSecond(told, results_.seconds[told]);
     }
   }
   // What is out still gets its answer.
@@ -844,15 +849,15 @@
   };
   while (loop_.now() < end && !std::all_of(gateways_.begin(), gateways_.end(), told)) loop_.turn(kTick);
   for (const auto& gateway : gateways_) {
-    for (const auto& [name, value] : gateway->child->counters()) outcomes_.counters[name] += value;
+    for (const auto& [name, value] : gateway->child->counters()) results_.counters[name] += value;
   }
 }
 
 // What the gateways' own guards saw, of all their lives.
 void Site::gatherViolations() {
   for (const auto& gateway : gateways_) {
-    for (const LogEvent& event : gateway->child->linesWith("invariants: broken"))
-      judge_.seen(Rule::InvariantsKept, event.at, gateway->name, event.text);
+    for (const LogEvent& event : gateway->child->linesContaining("invariants: broken"))
+      judge_.reportBreach(Rule::InvariantsKept, event.at, gateway->name, event.text);
     if (programs_.traces.empty()) continue;
     std::ofstream log(programs_.traces + "/" + gateway->name + ".log");
     for (const LogEvent& event : gateway->child->events())
@@ -860,33 +865,33 @@
   }
 }
 
-Outcomes Site::finish() {
+DeploymentResults Site::finish() {
   gatherCounters();
   gatherViolations();
-  if (outcomes_.seconds.size() > 1) outcomes_.seconds.pop_back();  // the one that is not over
+  if (results_.seconds.size() > 1) results_.seconds.pop_back();  // the one that is not over
   judge_.finish(loop_.now());
-  for (std::size_t i = 0; i < kRules; ++i) outcomes_.broken[i] = judge_.count(static_cast<Rule>(i));
-  outcomes_.breaches = judge_.breaches();
-  for (Breach& breach : outcomes_.breaches) breach.at -= startedAt_;
+  for (std::size_t i = 0; i < kRules; ++i) results_.broken[i] = judge_.count(static_cast<Rule>(i));
+  results_.breaches = judge_.breaches();
+  for (Breach& breach : results_.breaches) breach.at -= startedAt_;
   for (const auto& gateway : gateways_) {
-    outcomes_.asked += gateway->load->asked();
-    outcomes_.unreached += gateway->load->unreached();
+    results_.asked += gateway->load->asked();
+    results_.unreached += gateway->load->unreached();
   }
-  outcomes_.p50 = all_.quantile(0.5);
-  outcomes_.p99 = all_.quantile(0.99);
+  results_.p50 = all_.quantile(0.5);
+  results_.p99 = all_.quantile(0.99);
   for (ListService* service : {&service_, elsewhere_.get()}) {
     if (service == nullptr) continue;
-    outcomes_.calls += service->model().calls();
-    outcomes_.mostCalls = std::max(outcomes_.mostCalls, service->model().arrivals().mostWithin(kBurst));
+    results_.calls += service->model().calls();
+    results_.mostCalls = std::max(results_.mostCalls, service->model().arrivals().mostWithin(kBurst));
   }
   for (const auto& endpoint : endpoints_) {
     const EndpointModel& model = endpoint->model();
-    outcomes_.connections += model.connectionsTaken() + model.connectionsTurnedAway();
-    outcomes_.connectionsTurnedAway += model.connectionsTurnedAway();
-    outcomes_.mostConnections = std::max(outcomes_.mostConnections, model.connects().mostWithin(kBurst));
-    outcomes_.healthChecks += endpoint->healthChecks();
+    results_.connections += model.connectionsTaken() + model.connectionsTurnedAway();
+    results_.connectionsTurnedAway += model.connectionsTurnedAway();
+    results_.mostConnections = std::max(results_.mostConnections, model.connects().mostWithin(kBurst));
+    results_.healthChecks += endpoint->healthChecks();
   }
-  return outcomes_;
+  return results_;
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/site.h
+++ b/src/emulator/site.h
@@ -11,28 +11,28 @@
 #include <string>
 #include <vector>
 
-#include "emulator/child.h"
-#include "emulator/client_crowd.h"
+#include "emulator/child_process.h"
+#include "emulator/delayed_actions.h"
 #include "emulator/emulated_endpoint.h"
+#include "emulator/idle_connections.h"
 #include "emulator/judge.h"
-#include "emulator/latencies.h"
-#include "emulator/later.h"
+#include "emulator/latency_histogram.h"
 #include "emulator/link.h"
 #include "emulator/list_service.h"
 #include "emulator/load.h"
-#include "emulator/rough_clients.h"
+#include "emulator/misbehaving_clients.h"
 #include "emulator/scenario.h"
 #include "standins/temporary_file.h"
 
 namespace heathflow::emulator {
 
 // One second of it.
-struct Second {
+struct TimelineRow {
   std::uint64_t served = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejectedWithRoom = 0;
-  std::uint64_t callsOfList = 0;
+  std::uint64_t rejectedWithCapacity = 0;
+  std::uint64_t listCalls = 0;
   std::uint64_t connectionsAtEndpoints = 0;  // that came in
   unsigned gatewaysUp = 0;
   Micros p50 = 0;  // of what was served, from the intended time
@@ -40,15 +40,16 @@
   std::vector<std::string> notes;  // what happened
 };
 
-struct Outcomes {
+struct DeploymentResults {
   std::string scenario;
-  std::vector<Second> seconds;
+  std::vector<TimelineRow> seconds;
   std::uint64_t asked = 0;
   std::uint64_t unreached = 0;  // found no gateway
   std::uint64_t served = 0;
   std::uint64_t rejected = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejectedWithRoom = 0;  // although an endpoint of their group would have served them at once
+  std::uint64_t rejectedWithCapacity =
+      0;  // although an endpoint of their group would have served them at once
   Micros p50 = 0;
   Micros p99 = 0;
   Micros firstServed = 0;  // since the start; 0: none
@@ -67,7 +68,8 @@
   std::vector<Breach> breaches;
   std::map<std::string, std::uint64_t> counters;  // of the newest lives of all gateways, added up
   std::vector<std::string> crashes;  // gateways that ended by themselves, and what they said last
-  Micros late = 0;  // the longest by which the rig itself was late: what it judges by times is off by so much
+  Micros late =
+      0;  // the longest by which the emulator itself was late: what it judges by times is off by so much
   Micros slowestStart = 0;  // of all starts, until it said that it serves
 
   bool rulesKept() const;
@@ -86,7 +88,7 @@
 };
 
 // What plays a scenario's gateways.
-struct Programs {
+struct ProgramPaths {
   std::string gateway;
   std::string faults;  // the library of failing calls; needed where the scenario has any
   std::string traces;  // a folder for the gateways' logs with each step of each request; empty: none
@@ -94,15 +96,15 @@
 
 class Site {
  public:
-  Site(transport::EventLoop& loop, const Scenario& scenario, Programs programs);
+  Site(transport::EventLoop& loop, const Scenario& scenario, ProgramPaths programs);
   Site(transport::EventLoop& loop, const Scenario& scenario, std::string program)
-      : Site(loop, scenario, Programs{std::move(program), "", ""}) {}
+      : Site(loop, scenario, ProgramPaths{std::move(program), "", ""}) {}
   ~Site();
 
   // Where the gateways keep their settings and snapshots; it ends with the site.
   const std::string& folder() const { return folder_.path(); }
   // Plays it to its end; a row of each second goes to 'onSecond'. True: go on; false ends it early.
-  Outcomes play(const std::function<bool(std::size_t number, const Second&)>& onSecond = {});
+  DeploymentResults play(const std::function<bool(std::size_t number, const TimelineRow&)>& onSecond = {});
 
  private:
   struct Gateway;
@@ -112,14 +114,14 @@
   void publish();
   void startGateway(Gateway& gateway);
   void tick();
-  void begin(const Happening& happening);
+  void begin(const FaultEvent& faultEvent);
   void buildEndpoints();
   void buildGateways();
   std::string settingsOf(const Gateway& gateway) const;
   emulator::Environment environmentOf(const Gateway& gateway) const;
   std::string addressOf(std::size_t endpoint) const;
-  transport::SocketAddress listDoorOf(const Gateway& gateway) const;
-  void changePaths(std::vector<std::unique_ptr<StreamLink>>& links, double share, Micros lasts,
+  transport::SocketAddress listAddressOf(const Gateway& gateway) const;
+  void changePaths(std::vector<std::unique_ptr<StreamLink>>& links, double share, Micros duration,
                    const Fault& fault);
   void noteSending(std::size_t endpoint, std::string_view bytes);
   void reloadGateway(Gateway& gateway);
@@ -128,26 +130,26 @@
   void startAgain(Gateway& gateway);
   void checkStart(Gateway& gateway);
   void gatherViolations();
-  void killPrimaries(Micros lasts);
-  void restartEndpoints(double share, Micros lasts, bool drain);
-  void rollGateways(double share, Micros lasts);
+  void killPrimaries(Micros duration);
+  void restartEndpoints(double share, Micros duration, bool drain);
+  void rollGateways(double share, Micros duration);
   void later(Micros after, std::function<void()> what);
   void note(const std::string& text);
   void answered(const Answer& answer);
   // 'overPath': the service's answer takes the path that may be cut.
-  void called(std::size_t door, const ListModel::Answer& answer, bool overPath);
+  void called(std::size_t listener, const ListModel::Answer& answer, bool overPath);
   ListedState stateOf(const std::string& endpoint) const;
   void noteTold(const Gateway& gateway, const ListModel::Answer& answer, bool overPath);
   void serviceDown(ListService& service);
   void serviceUp(ListService& service);
   void closeSecond();
   void gatherCounters();
-  Outcomes finish();
-  Second& second() { return outcomes_.seconds.back(); }
+  DeploymentResults finish();
+  TimelineRow& second() { return results_.seconds.back(); }
 
   transport::EventLoop& loop_;
   Scenario scenario_;
-  Programs programs_;
+  ProgramPaths programs_;
   test::TemporaryFolder folder_;  // it ends after the gateways
   Judge judge_;
   ListService service_;
@@ -162,15 +164,15 @@
   std::vector<Cut> listCuts_;  // the newest of each gateway's path
   std::vector<std::unique_ptr<Gateway>> gateways_;
   std::map<std::string, std::string> phases_;  // of endpoints that are not ready
-  Later later_;
+  DelayedActions delayedActions_;
   Micros startedAt_ = 0;
   Micros secondAt_ = 0;
   std::uint64_t connectionsBefore_ = 0;
   std::uint64_t callsBefore_ = 0;
-  Latencies latencies_;  // of what was served in this second
-  Latencies all_;
+  LatencyHistogram latencies_;  // of what was served in this second
+  LatencyHistogram all_;
   std::size_t listsMissing_ = 0;
-  Outcomes outcomes_;
+  DeploymentResults results_;
 };
 
 }  // namespace heathflow::emulator
--- a/src/tools/emulator_main.cpp
+++ b/src/tools/emulator_main.cpp
@@ -1,4 +1,4 @@
-// heathflow-rig: plays a scenario with real gateways on loopback and judges it from outside.
+// heathflow-emulator: plays a scenario with real gateways on loopback and judges it from outside.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/resource.h>
@@ -15,11 +15,11 @@
 #include <optional>
 #include <string>
 
+#include "emulator/random_scenario.h"
 #include "emulator/scale.h"
 #include "emulator/scale_plan.h"
 #include "emulator/scenario.h"
 #include "emulator/site.h"
-#include "emulator/soak.h"
 #include "program/signals.h"
 
 namespace {
@@ -71,7 +71,7 @@
   return runGnuplot(script);
 }
 
-void row(std::size_t number, const emulator::Second& second) {
+void row(std::size_t number, const emulator::TimelineRow& second) {
   if (number % 20 == 0)
     std::printf("%4s %8s %8s %8s %8s %9s %9s %7s %6s\n", "s", "drivers", "served", "refused", "failed",
                 "p50 ms", "p99 ms", "connect", "calls");
@@ -80,7 +80,7 @@
       static_cast<unsigned long long>(second.served), static_cast<unsigned long long>(second.rejected),
       static_cast<unsigned long long>(second.failed), static_cast<double>(second.p50) / 1000,
       static_cast<double>(second.p99) / 1000, static_cast<unsigned long long>(second.connectionsAtEndpoints),
-      static_cast<unsigned long long>(second.callsOfList));
+      static_cast<unsigned long long>(second.listCalls));
   for (const std::string& note : second.notes) std::printf("  %s;", note.c_str());
   std::printf("\n");
   std::fflush(stdout);
@@ -102,7 +102,7 @@
   return scenario;
 }
 
-int run(const std::string& file, const emulator::Programs& programs, const std::string& out, bool quiet,
+int run(const std::string& file, const emulator::ProgramPaths& programs, const std::string& out, bool quiet,
         bool numbers) {
   const auto scenario = load(file);
   if (!scenario || !isProgram(programs.gateway)) return kUnusable;
@@ -111,26 +111,26 @@
   transport::EventLoop loop;
   bool ended = false;
   program::Signals signals(loop, [&](int signal) { ended = ended || signal == SIGINT || signal == SIGTERM; });
-  emulator::Outcomes outcomes;
+  emulator::DeploymentResults results;
   {
     emulator::Site site(loop, *scenario, programs);
-    outcomes = site.play([&](std::size_t number, const emulator::Second& second) {
+    results = site.play([&](std::size_t number, const emulator::TimelineRow& second) {
       if (!quiet && !numbers) row(number, second);
       return !ended;
     });
   }
   if (numbers) {
-    std::printf("%s\n", outcomes.row(scenario->gateways).c_str());
-    return ended ? kEnded : outcomes.rulesKept() ? kGood : kBroken;
+    std::printf("%s\n", results.row(scenario->gateways).c_str());
+    return ended ? kEnded : results.rulesKept() ? kGood : kBroken;
   }
-  std::printf("%s\n%s", outcomes.scenario.c_str(), outcomes.table().c_str());
+  std::printf("%s\n%s", results.scenario.c_str(), results.table().c_str());
   if (!out.empty()) {
     std::error_code error;
     std::filesystem::create_directories(out, error);
-    const std::string base = out + "/" + outcomes.scenario;
-    std::ofstream(base + ".json") << outcomes.json() << "\n";
-    std::ofstream(base + ".dat") << outcomes.columns();
-    const bool drawn = draw(base + ".dat", base + ".svg", outcomes.scenario);
+    const std::string base = out + "/" + results.scenario;
+    std::ofstream(base + ".json") << results.json() << "\n";
+    std::ofstream(base + ".dat") << results.columns();
+    const bool drawn = draw(base + ".dat", base + ".svg", results.scenario);
     std::printf("results: %s.json, %s.dat%s\n", base.c_str(), base.c_str(),
                 drawn ? (", chart: " + base + ".svg").c_str() : "; no chart, for there is no gnuplot");
   }
@@ -138,23 +138,23 @@
     std::printf("ended early; all drivers have ended with it\n");
     return kEnded;
   }
-  return outcomes.rulesKept() ? kGood : kBroken;
+  return results.rulesKept() ? kGood : kBroken;
 }
 
-// Beyond this the rig is too late to judge by times.
-constexpr emulator::Micros kLateMost = 50'000;
+// Beyond this the emulator is too late to judge by times.
+constexpr emulator::Micros kMaxLateness = 50'000;
 
 enum class Verdict { Kept, Broken, NotJudged };
 
-// Where the rig was late what it judges by times alone is not counted; crashes, second effects and the
+// Where the emulator was late what it judges by times alone is not counted; crashes, second effects and the
 // gateways' own invariants are.
-Verdict verdictOf(const emulator::Outcomes& outcomes) {
-  if (outcomes.rulesKept()) return Verdict::Kept;
+Verdict verdictOf(const emulator::DeploymentResults& results) {
+  if (results.rulesKept()) return Verdict::Kept;
   const bool whateverTheTimes =
-      !outcomes.crashes.empty() ||
-      outcomes.broken[static_cast<std::size_t>(emulator::Rule::NoSecondEffect)] > 0 ||
-      outcomes.broken[static_cast<std::size_t>(emulator::Rule::InvariantsKept)] > 0;
-  return outcomes.late <= kLateMost || whateverTheTimes ? Verdict::Broken : Verdict::NotJudged;
+      !results.crashes.empty() ||
+      results.broken[static_cast<std::size_t>(emulator::Rule::NoSecondEffect)] > 0 ||
+      results.broken[static_cast<std::size_t>(emulator::Rule::InvariantsKept)] > 0;
+  return results.late <= kMaxLateness || whateverTheTimes ? Verdict::Broken : Verdict::NotJudged;
 }
 
 const char* textOf(Verdict verdict) {
@@ -164,7 +164,7 @@
     case Verdict::Broken:
       return "BROKEN";
     case Verdict::NotJudged:
-      return "NOT JUDGED, the rig was late";
+      return "NOT JUDGED, the emulator was late";
   }
   return "";
 }
@@ -175,38 +175,38 @@
 };
 
 // One scenario of the soak: a line of its own, and where a rule broke all that is needed to follow it.
-Verdict soakOnce(std::uint64_t seed, const emulator::SoakOptions& options, emulator::Programs programs,
-                 const std::string& out) {
-  const emulator::Scenario scenario = emulator::soakScenario(seed, options);
+Verdict soakOnce(std::uint64_t seed, const emulator::RandomScenarioOptions& options,
+                 emulator::ProgramPaths programs, const std::string& out) {
+  const emulator::Scenario scenario = emulator::randomScenario(seed, options);
   programs.traces = out + "/" + scenario.name;
   std::filesystem::create_directories(programs.traces);
   std::ofstream(programs.traces + "/scenario.xml") << emulator::textOf(scenario);
-  emulator::Outcomes outcomes;
+  emulator::DeploymentResults results;
   {
     transport::EventLoop loop;
     emulator::Site site(loop, scenario, programs);
-    outcomes = site.play();
+    results = site.play();
   }
-  const Verdict verdict = verdictOf(outcomes);
+  const Verdict verdict = verdictOf(results);
   std::printf(
       "%llu: %u drivers, %zu troubles; %llu asked, %llu served, %llu refused, %llu failed; %s; late %lld "
       "ms\n",
-      static_cast<unsigned long long>(seed), scenario.gateways, scenario.happenings.size(),
-      static_cast<unsigned long long>(outcomes.asked), static_cast<unsigned long long>(outcomes.served),
-      static_cast<unsigned long long>(outcomes.rejected), static_cast<unsigned long long>(outcomes.failed),
-      textOf(verdict), static_cast<long long>(outcomes.late / 1000));
-  std::ofstream(programs.traces + "/result.txt") << outcomes.table();
+      static_cast<unsigned long long>(seed), scenario.gateways, scenario.faultEvents.size(),
+      static_cast<unsigned long long>(results.asked), static_cast<unsigned long long>(results.served),
+      static_cast<unsigned long long>(results.rejected), static_cast<unsigned long long>(results.failed),
+      textOf(verdict), static_cast<long long>(results.late / 1000));
+  std::ofstream(programs.traces + "/result.txt") << results.table();
   if (verdict == Verdict::Kept) {
     std::filesystem::remove_all(programs.traces);
   } else {
-    std::printf("%s", outcomes.table().c_str());
+    std::printf("%s", results.table().c_str());
   }
   std::fflush(stdout);
   return verdict;
 }
 
-int soak(const SoakRange& range, const emulator::SoakOptions& options, const emulator::Programs& programs,
-         const std::string& out) {
+int soak(const SoakRange& range, const emulator::RandomScenarioOptions& options,
+         const emulator::ProgramPaths& programs, const std::string& out) {
   if (!isProgram(programs.gateway)) return kUnusable;
   raiseDescriptors();
   std::uint64_t broken = 0;
@@ -227,7 +227,7 @@
   const auto scenario = load(file);
   if (!scenario) return kUnusable;
   std::printf("%s: good, %u drivers, %u members, %zu faults\n", scenario->name.c_str(), scenario->gateways,
-              scenario->groups * (scenario->replicas + 1), scenario->happenings.size());
+              scenario->groups * (scenario->replicas + 1), scenario->faultEvents.size());
   return kGood;
 }
 
@@ -304,7 +304,8 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("heathflow-rig: real drivers, emulated members, clients and faults between them, on loopback");
+  CLI::App app(
+      "heathflow-emulator: real drivers, emulated members, clients and faults between them, on loopback");
   app.require_subcommand(1);
   std::string file, out;
   std::string program = (std::filesystem::path(argv[0]).parent_path() / "heathflow").string();
@@ -316,13 +317,13 @@
   runs->add_option("--out", out, "A folder for results (JSON, columns, SVG)");
   runs->add_flag("--quiet", quiet, "No row for each second");
   runs->add_flag("--numbers", numbers, "One line of numbers for scripts, and nothing else");
-  emulator::Programs programs;
+  emulator::ProgramPaths programs;
   programs.faults = (std::filesystem::path(argv[0]).parent_path() / "libheathflow_faults.so").string();
   runs->add_option("--faults", programs.faults, "The library of failing calls")->capture_default_str();
   runs->add_option("--traces", programs.traces,
                    "A folder for each driver's log, with each step of each request");
   SoakRange range;
-  emulator::SoakOptions soakOptions;
+  emulator::RandomScenarioOptions soakOptions;
   std::string soakOut = "found/soak";
   CLI::App* soaks =
       app.add_subcommand("soak", "Play scenarios at random; 1: a rule was broken in one of them");
--- a/tests/site_play.h
+++ b/tests/deployment_play.h
@@ -11,16 +11,16 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-inline Outcomes played(const Scenario& scenario) {
+inline DeploymentResults played(const Scenario& scenario) {
   transport::EventLoop loop;
-  return Site(loop, scenario, Programs{HEATHFLOW_PROGRAM, HEATHFLOW_FAULT_LIBRARY, ""}).play();
+  return Site(loop, scenario, ProgramPaths{HEATHFLOW_PROGRAM, HEATHFLOW_FAULT_LIBRARY, ""}).play();
 }
 
-inline void expectKept(const Outcomes& outcomes) {
-  for (const Breach& breach : outcomes.breaches)
+inline void expectKept(const DeploymentResults& results) {
+  for (const Breach& breach : results.breaches)
     ADD_FAILURE() << nameOf(breach.rule) << " " << breach.who << " " << breach.what;
-  for (const std::string& crash : outcomes.crashes) ADD_FAILURE() << crash;
-  EXPECT_GT(outcomes.served, 0U);
+  for (const std::string& crash : results.crashes) ADD_FAILURE() << crash;
+  EXPECT_GT(results.served, 0U);
 }
 
 inline Scenario quiet() {
--- a/tests/site_test.cpp
+++ b/tests/deployment_test.cpp
@@ -1,7 +1,5 @@
-// The rig's emulated parts, its scenarios, and whole installations of real gateways through the hard cases of
-// a cold start.
-#include "emulator/site.h"
-
+// The emulator's emulated parts, its scenarios, and whole installations of real gateways through the hard
+// cases of a cold start.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -10,8 +8,9 @@
 
 #include "emulator/arrivals.h"
 #include "emulator/endpoint_model.h"
-#include "emulator/latencies.h"
+#include "emulator/latency_histogram.h"
 #include "emulator/scenario.h"
+#include "emulator/site.h"
 
 namespace heathflow::emulator {
 namespace {
@@ -35,12 +34,12 @@
   const auto first = model.ask(kS, false);
   EXPECT_GE(first.at, kS + 25 * kMs);  // half of the mean at a fifth of the speed
   EXPECT_LE(first.at, kS + 75 * kMs);
-  EXPECT_FALSE(model.hasRoom(kS));
+  EXPECT_FALSE(model.hasCapacity(kS));
   EXPECT_GT(model.ask(kS, false).at, first.at);
   EXPECT_EQ(model.ask(kS, false).kind, EndpointModel::Verdict::Kind::Served);
   EXPECT_EQ(model.ask(kS, false).kind, EndpointModel::Verdict::Kind::Full);
   EXPECT_EQ(model.ask(kS, true).kind, EndpointModel::Verdict::Kind::NotPrimary);
-  EXPECT_TRUE(model.hasRoom(20 * kS));
+  EXPECT_TRUE(model.hasCapacity(20 * kS));
 }
 
 TEST(EmulatedEndpoint, GivesSoManyConnectionsOneAfterTheOther) {
@@ -67,7 +66,7 @@
   EXPECT_EQ(replica.position(6 * kS), 6 * kS);
   replica.die(7 * kS);
   EXPECT_FALSE(replica.primary());
-  EXPECT_FALSE(replica.hasRoom(8 * kS));
+  EXPECT_FALSE(replica.hasCapacity(8 * kS));
 }
 
 TEST(OpenLoop, AsksAtItsRateWhateverBecomesOfTheAnswers) {
@@ -89,7 +88,7 @@
 }
 
 TEST(Quantiles, AreWithinAPercent) {
-  Latencies times;
+  LatencyHistogram times;
   EXPECT_EQ(times.quantile(0.5), 0);
   for (int i = 1; i <= 1000; ++i) times.add(i * kMs);
   EXPECT_NEAR(static_cast<double>(times.quantile(0.5)), 500e3, 5e3);
@@ -158,9 +157,9 @@
   return out;
 }
 
-Outcomes played(const Scenario& scenario) {
+DeploymentResults played(const Scenario& scenario) {
   transport::EventLoop loop;
-  Outcomes out = Site(loop, scenario, HEATHFLOW_PROGRAM).play();
+  DeploymentResults out = Site(loop, scenario, HEATHFLOW_PROGRAM).play();
   for (const Breach& breach : out.breaches)
     ADD_FAILURE() << nameOf(breach.rule) << " " << breach.who << " " << breach.what;
   for (const std::string& crash : out.crashes) ADD_FAILURE() << crash;
@@ -172,7 +171,7 @@
   Scenario scenario = small();
   scenario.cold = true;
   scenario.list.line = 30 * kMs;
-  const Outcomes out = played(scenario);
+  const DeploymentResults out = played(scenario);
   ASSERT_TRUE(out.lastList);
   EXPECT_GE(out.callsUntilListed, 6U);
 }
@@ -195,7 +194,7 @@
 TEST(ColdSites, ThePrimaryFailsOverDuringTheStart) {
   Scenario scenario = small();
   scenario.listUpAt = 500 * kMs;
-  scenario.happenings = {{Happening::Kind::KillPrimary, 300 * kMs, 1, kS}};
+  scenario.faultEvents = {{FaultEvent::Kind::KillPrimary, 300 * kMs, 1, kS}};
   played(scenario);
 }
 
@@ -204,21 +203,21 @@
   scenario.snapshot = true;
   scenario.busyShare = 0.2;
   scenario.busyTimes = 10;
-  scenario.happenings = {{Happening::Kind::KillGateways, 1500 * kMs, 0.7, 500 * kMs}};
+  scenario.faultEvents = {{FaultEvent::Kind::KillGateways, 1500 * kMs, 0.7, 500 * kMs}};
   played(scenario);
 }
 
 TEST(ColdSites, ARollOneAfterTheOtherLosesNothing) {
   Scenario scenario = small();
   scenario.length = 6 * kS;
-  scenario.happenings = {{Happening::Kind::RollGateways, kS, 0.5, 2 * kS}};
+  scenario.faultEvents = {{FaultEvent::Kind::RollGateways, kS, 0.5, 2 * kS}};
   EXPECT_EQ(played(scenario).failed, 0U);
 }
 
 TEST(ColdSites, TheListServiceMovesWhileAllStart) {
   Scenario scenario = small();
   scenario.list.line = 20 * kMs;
-  scenario.happenings = {{Happening::Kind::ListMoves, 200 * kMs, 1, kS}};
+  scenario.faultEvents = {{FaultEvent::Kind::ListMoves, 200 * kMs, 1, kS}};
   EXPECT_TRUE(played(scenario).lastList);
 }
 
@@ -230,21 +229,21 @@
   scenario.groups = 2;
   scenario.replicas = 3;
   scenario.perGateway = 40;
-  scenario.happenings = {{Happening::Kind::ListMoves, 2000 * kMs, 1, 1500 * kMs},
-                         {Happening::Kind::KillGateways, 2100 * kMs, 0.5, 400 * kMs},
-                         {Happening::Kind::DrainEndpoints, 2200 * kMs, 0.4, kS}};
+  scenario.faultEvents = {{FaultEvent::Kind::ListMoves, 2000 * kMs, 1, 1500 * kMs},
+                          {FaultEvent::Kind::KillGateways, 2100 * kMs, 0.5, 400 * kMs},
+                          {FaultEvent::Kind::DrainEndpoints, 2200 * kMs, 0.4, kS}};
   played(scenario);
 }
 
 TEST(ColdSites, APauseOfHalfOfThemIsOver) {
   Scenario scenario = small();
-  scenario.happenings = {{Happening::Kind::PauseGateways, kS, 0.5, kS}};
+  scenario.faultEvents = {{FaultEvent::Kind::PauseGateways, kS, 0.5, kS}};
   played(scenario);
 }
 
 TEST(ColdSites, TheListServiceComesBackWithAnOlderState) {
   Scenario scenario = small();
-  scenario.happenings = {{Happening::Kind::ListOlder, kS, 1, 500 * kMs}};
+  scenario.faultEvents = {{FaultEvent::Kind::ListOlder, kS, 1, 500 * kMs}};
   played(scenario);
 }
 
@@ -254,10 +253,10 @@
   Scenario scenario = small();
   scenario.gateways = 2;
   scenario.snapshot = true;
-  scenario.happenings = {{Happening::Kind::KillGateways, kS, 1, 500 * kMs}};
+  scenario.faultEvents = {{FaultEvent::Kind::KillGateways, kS, 1, 500 * kMs}};
   Site site(loop, scenario, HEATHFLOW_PROGRAM);
   std::size_t malformed = 0;
-  const Outcomes out = site.play([&](std::size_t, const Second&) {
+  const DeploymentResults out = site.play([&](std::size_t, const TimelineRow&) {
     for (const auto& file : std::filesystem::directory_iterator(site.folder())) {
       if (file.path().extension() != ".snapshot" || malformed >= 2) continue;
       std::ofstream(file.path(), std::ios::trunc) << "heathflow-snapshot\nmalformed";
--- a/tests/rig_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,5 +1,5 @@
-// The rig: weather on paths, the emulated list service, the judge, children, and several real gateways
-// between them.
+// The emulator: conditions on paths, the emulated list service, the judge, children, and several real
+// gateways between them.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <signal.h>
@@ -7,9 +7,9 @@
 
 #include <algorithm>
 
-#include "emulator/faults.h"
 #include "emulator/judge.h"
 #include "emulator/link.h"
+#include "emulator/link_conditions.h"
 #include "emulator/list_model.h"
 #include "emulator/list_service.h"
 #include "program_process.h"
@@ -18,48 +18,49 @@
 namespace heathflow::test {
 namespace {
 
-using emulator::Answered;
 using emulator::Fault;
 using emulator::Judge;
+using emulator::LinkConditions;
 using emulator::ListModel;
+using emulator::RequestResult;
 using emulator::Rule;
 using emulator::Way;
-using emulator::Weather;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-// ---- Weather ----
+// ---- LinkConditions ----
 
-TEST(Weather, FollowsItsScheduleAndCutsOneWayOnly) {
+TEST(LinkConditions, FollowsItsScheduleAndCutsOneWayOnly) {
   Fault cut;
   cut.from = kS;
   cut.cutBack = true;
   Fault healed;
   healed.from = 2 * kS;
   healed.delay = 30 * kMs;
-  Weather weather({healed, cut}, 1);  // in any order
-  EXPECT_EQ(weather.arrivals(0, Way::Back), std::vector<Micros>{0});
-  EXPECT_EQ(weather.arrivals(kS, Way::Forth), std::vector<Micros>{kS});
-  EXPECT_TRUE(weather.arrivals(kS, Way::Back).empty());
-  EXPECT_FALSE(weather.streamArrival(kS, Way::Back, 0));
-  EXPECT_EQ(weather.streamArrival(2 * kS, Way::Back, 0), 2 * kS + 30 * kMs);
-  EXPECT_EQ(weather.streamArrival(2 * kS, Way::Back, 3 * kS), 3 * kS) << "bytes of a stream keep their order";
-  EXPECT_EQ(weather.nextAfter(0), kS);
-  EXPECT_EQ(weather.nextAfter(kS), 2 * kS);
-  EXPECT_FALSE(weather.nextAfter(2 * kS));
+  LinkConditions conditions({healed, cut}, 1);  // in any order
+  EXPECT_EQ(conditions.arrivals(0, Way::Back), std::vector<Micros>{0});
+  EXPECT_EQ(conditions.arrivals(kS, Way::Forth), std::vector<Micros>{kS});
+  EXPECT_TRUE(conditions.arrivals(kS, Way::Back).empty());
+  EXPECT_FALSE(conditions.streamArrival(kS, Way::Back, 0));
+  EXPECT_EQ(conditions.streamArrival(2 * kS, Way::Back, 0), 2 * kS + 30 * kMs);
+  EXPECT_EQ(conditions.streamArrival(2 * kS, Way::Back, 3 * kS), 3 * kS)
+      << "bytes of a stream keep their order";
+  EXPECT_EQ(conditions.nextChangeAfter(0), kS);
+  EXPECT_EQ(conditions.nextChangeAfter(kS), 2 * kS);
+  EXPECT_FALSE(conditions.nextChangeAfter(2 * kS));
 }
 
-TEST(Weather, LosesDoublesAndReordersByItsSeed) {
+TEST(LinkConditions, LosesDoublesAndReordersByItsSeed) {
   Fault bad;
   bad.loss = 0.3;
   bad.twice = 0.2;
   bad.jitter = 50 * kMs;
   const auto play = [&](std::uint64_t seed) {
-    Weather weather({bad}, seed);
+    LinkConditions conditions({bad}, seed);
     std::vector<Micros> out;
     for (int i = 0; i < 1000; ++i) {
-      for (const Micros when : weather.arrivals(i * kMs, Way::Forth)) out.push_back(when);
+      for (const Micros when : conditions.arrivals(i * kMs, Way::Forth)) out.push_back(when);
     }
     return out;
   };
@@ -94,7 +95,7 @@
   EXPECT_EQ(answers[3].kind, ListModel::Answer::Kind::TurnedAway);
   EXPECT_EQ(answers[4].kind, ListModel::Answer::Kind::TurnedAway);
   EXPECT_EQ(model.turnedAway(), 2U);
-  EXPECT_EQ(model.wholeLists(), 3U);
+  EXPECT_EQ(model.completeLists(), 3U);
   EXPECT_EQ(model.arrivals().mostWithin(100 * kMs), 5U);
   EXPECT_EQ(model.call(kS + 10 * kMs, -1, false)->kind, ListModel::Answer::Kind::Served);
 }
@@ -120,12 +121,12 @@
 TEST(ListService, BreaksCallsAndTellsPartsAsItIsTold) {
   ListModel model({});
   model.set(threeEntries());
-  model.resetShare(0.5, 1);
+  model.setResetShare(0.5, 1);
   for (int i = 0; i < 100; ++i) model.call(0, -1, false);
   EXPECT_GT(model.resets(), 30U);
   EXPECT_LT(model.resets(), 70U);
-  model.resetShare(0, 1);
-  model.tellOnly(1);
+  model.setResetShare(0, 1);
+  model.limitEntries(1);
   EXPECT_EQ(model.call(0, -1, false)->body.find("\"id\":\"m1\""), std::string::npos);
   model.setDown(true);
   EXPECT_EQ(model.call(0, -1, false)->kind, ListModel::Answer::Kind::Reset);
@@ -133,8 +134,8 @@
 
 // ---- The judge ----
 
-Judge::Asked read(const std::string& id, Micros at = 0) {
-  Judge::Asked out;
+Judge::ClientRequest read(const std::string& id, Micros at = 0) {
+  Judge::ClientRequest out;
   out.id = id;
   out.gateway = "n0";
   out.at = at;
@@ -145,38 +146,38 @@
 
 TEST(Judged, AGoodRequestBreaksNothing) {
   Judge judge;
-  judge.asked(read("1", 10 * kS));
-  judge.reached("1", "m1", 10 * kS, 8 * kS);
-  judge.ran("1", "m1", 10 * kS);
-  judge.answered("1", 10 * kS + 20 * kMs, Answered::Served);
+  judge.requestSent(read("1", 10 * kS));
+  judge.attemptReceived("1", "m1", 10 * kS, 8 * kS);
+  judge.requestExecuted("1", "m1", 10 * kS);
+  judge.requestAnswered("1", 10 * kS + 20 * kMs, RequestResult::Served);
   EXPECT_TRUE(judge.finish(20 * kS).empty()) << judge.verdict();
-  EXPECT_EQ(judge.byAnswer(Answered::Served), 1U);
+  EXPECT_EQ(judge.byAnswer(RequestResult::Served), 1U);
 }
 
 TEST(Judged, AnswersThatAreMissingLateDoubleOrUnaskedFor) {
   Judge judge;
-  judge.asked(read("missing"));
-  judge.asked(read("late"));
-  judge.answered("late", kS, Answered::Rejected);
-  judge.asked(read("double"));
-  judge.answered("double", kMs, Answered::Rejected);
-  judge.answered("double", 2 * kMs, Answered::Failed);
-  judge.answered("unasked", kMs, Answered::Served);
-  judge.asked(read("broken"));
-  judge.answered("broken", kMs, Answered::Broken);
-  judge.asked(read("made up"));
-  judge.answered("made up", kMs, Answered::Served);
-  judge.asked(read("left"));
-  judge.left("left", kMs);
+  judge.requestSent(read("missing"));
+  judge.requestSent(read("late"));
+  judge.requestAnswered("late", kS, RequestResult::Rejected);
+  judge.requestSent(read("double"));
+  judge.requestAnswered("double", kMs, RequestResult::Rejected);
+  judge.requestAnswered("double", 2 * kMs, RequestResult::Failed);
+  judge.requestAnswered("unasked", kMs, RequestResult::Served);
+  judge.requestSent(read("broken"));
+  judge.requestAnswered("broken", kMs, RequestResult::Broken);
+  judge.requestSent(read("made up"));
+  judge.requestAnswered("made up", kMs, RequestResult::Served);
+  judge.requestSent(read("left"));
+  judge.clientDisconnected("left", kMs);
   judge.finish(10 * kS);
   EXPECT_EQ(judge.count(Rule::OneAnswer), 6U) << judge.verdict();
 }
 
 TEST(Judged, WhatAKilledGatewayHeldIsNotItsFault) {
   Judge judge;
-  judge.asked(read("held", kS));
-  judge.killed("n0", 2 * kS);
-  judge.asked(read("after", 3 * kS));
+  judge.requestSent(read("held", kS));
+  judge.gatewayKilled("n0", 2 * kS);
+  judge.requestSent(read("after", 3 * kS));
   judge.finish(10 * kS);
   ASSERT_EQ(judge.breaches().size(), 1U);
   EXPECT_NE(judge.breaches()[0].what.find("after"), std::string::npos);
@@ -184,53 +185,53 @@
 
 TEST(Judged, SecondEffectsAndRejectionsOfWhatMayHaveRun) {
   Judge judge;
-  Judge::Asked write = read("w");
+  Judge::ClientRequest write = read("w");
   write.bound.reset();
   write.repeatable = write.rejectable = false;
-  judge.asked(write);
-  judge.reached("w", "m0", kMs, 0);
-  judge.ran("w", "m0", 2 * kMs);
-  judge.answered("w", 3 * kMs, Answered::Rejected);
+  judge.requestSent(write);
+  judge.attemptReceived("w", "m0", kMs, 0);
+  judge.requestExecuted("w", "m0", 2 * kMs);
+  judge.requestAnswered("w", 3 * kMs, RequestResult::Rejected);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 1U);
-  judge.reached("w", "m1", 4 * kMs, 0);
-  judge.ran("w", "m1", 5 * kMs);
+  judge.attemptReceived("w", "m1", 4 * kMs, 0);
+  judge.requestExecuted("w", "m1", 5 * kMs);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 2U);
 }
 
 // A rejection promises that there will be no effect either.
 TEST(Judged, WhatReachesAnEndpointAfterItsRejection) {
   Judge judge;
-  Judge::Asked write = read("w");
+  Judge::ClientRequest write = read("w");
   write.bound.reset();
   write.repeatable = write.rejectable = false;
-  judge.asked(write);
-  judge.answered("w", kMs, Answered::Rejected);
+  judge.requestSent(write);
+  judge.requestAnswered("w", kMs, RequestResult::Rejected);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 0U);
-  judge.reached("w", "m0", 2 * kMs, 0);
+  judge.attemptReceived("w", "m0", 2 * kMs, 0);
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 1U);
 }
 
 TEST(Judged, AttemptsForTheDepartedAndTimesThatClientsDoNotHave) {
   Judge judge;
-  judge.asked(read("a"));
-  judge.left("a", 10 * kMs);
-  judge.reached("a", "m0", 100 * kMs, 100 * kMs);
-  EXPECT_EQ(judge.count(Rule::NothingForDeparted), 0U);
-  judge.sent("a", "m1", 161 * kMs);
-  judge.reached("a", "m1", 900 * kMs, 900 * kMs);
-  EXPECT_EQ(judge.count(Rule::NothingForDeparted), 1U);
-  judge.asked(read("b"));
+  judge.requestSent(read("a"));
+  judge.clientDisconnected("a", 10 * kMs);
+  judge.attemptReceived("a", "m0", 100 * kMs, 100 * kMs);
+  EXPECT_EQ(judge.count(Rule::NoAttemptAfterDisconnect), 0U);
+  judge.attemptSent("a", "m1", 161 * kMs);
+  judge.attemptReceived("a", "m1", 900 * kMs, 900 * kMs);
+  EXPECT_EQ(judge.count(Rule::NoAttemptAfterDisconnect), 1U);
+  judge.requestSent(read("b"));
   const Micros patience = read("b").patience;
-  judge.reached("b", "m0", kMs, kMs, patience);
-  EXPECT_EQ(judge.count(Rule::TimeTold), 0U);
-  judge.reached("b", "m0", kMs, kMs, patience + 250 * kMs);
-  EXPECT_EQ(judge.count(Rule::TimeTold), 1U);
+  judge.attemptReceived("b", "m0", kMs, kMs, patience);
+  EXPECT_EQ(judge.count(Rule::DeadlineForwarded), 0U);
+  judge.attemptReceived("b", "m0", kMs, kMs, patience + 250 * kMs);
+  EXPECT_EQ(judge.count(Rule::DeadlineForwarded), 1U);
 }
 
 TEST(Judged, WhatAGatewayOwesAtItsEndIsItsFault) {
   Judge judge;
-  judge.asked(read("a"));
-  judge.endedOwing(read("a").gateway, kMs);
+  judge.requestSent(read("a"));
+  judge.gatewayEndedWithOpenRequests(read("a").gateway, kMs);
   EXPECT_EQ(judge.count(Rule::OneAnswer), 1U);
 }
 
@@ -239,21 +240,22 @@
   judge.notifications().started("n0", 0);
   judge.notifications().changed("m1", emulator::ListedState::Draining, kS);
   judge.notifications().written("n0", kS);
-  judge.asked(read("d", kS));
-  judge.reached("d", "m1", kS + 200 * kMs, kS);
-  EXPECT_EQ(judge.count(Rule::DrainsKept), 0U);
-  judge.reached("d", "m1", kS + 400 * kMs, kS);
-  EXPECT_EQ(judge.count(Rule::DrainsKept), 1U);
-  judge.asked(read("s", 10 * kS));
-  judge.reached("s", "m2", 10 * kS, 7 * kS - 1);
+  judge.requestSent(read("d", kS));
+  judge.attemptReceived("d", "m1", kS + 200 * kMs, kS);
+  EXPECT_EQ(judge.count(Rule::DrainsRespected), 0U);
+  judge.attemptReceived("d", "m1", kS + 400 * kMs, kS);
+  EXPECT_EQ(judge.count(Rule::DrainsRespected), 1U);
+  judge.requestSent(read("s", 10 * kS));
+  judge.attemptReceived("s", "m2", 10 * kS, 7 * kS - 1);
   EXPECT_EQ(judge.count(Rule::NoStaleRead), 1U);
-  judge.coldCapacity("m3", 20 * kS, 2);  // 4 in a window, 10 with the multiple, 22 with chance
-  for (int i = 0; i < 22; ++i) judge.reached("c" + std::to_string(i), "m3", 20 * kS + i * kMs, 20 * kS);
-  EXPECT_EQ(judge.count(Rule::ColdSpared), 0U);
-  judge.reached("c22", "m3", 20 * kS + 11 * kMs, 20 * kS);
-  EXPECT_EQ(judge.count(Rule::ColdSpared), 1U);
-  judge.reached("c23", "m3", 23 * kS, 20 * kS);
-  EXPECT_EQ(judge.count(Rule::ColdSpared), 1U) << "the window has passed";
+  judge.endpointWarmingUp("m3", 20 * kS, 2);  // 4 in a window, 10 with the multiple, 22 with chance
+  for (int i = 0; i < 22; ++i)
+    judge.attemptReceived("c" + std::to_string(i), "m3", 20 * kS + i * kMs, 20 * kS);
+  EXPECT_EQ(judge.count(Rule::SlowStartRespected), 0U);
+  judge.attemptReceived("c22", "m3", 20 * kS + 11 * kMs, 20 * kS);
+  EXPECT_EQ(judge.count(Rule::SlowStartRespected), 1U);
+  judge.attemptReceived("c23", "m3", 23 * kS, 20 * kS);
+  EXPECT_EQ(judge.count(Rule::SlowStartRespected), 1U) << "the window has passed";
 }
 
 // ---- Links ----
@@ -271,7 +273,7 @@
   EchoSite site;
   Fault slow;
   slow.delay = 20 * kMs;
-  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), Weather({slow}, 1));
+  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), LinkConditions({slow}, 1));
   const Micros before = site.loop.now();
   ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "1"));
@@ -283,33 +285,33 @@
 // What crosses a cut waits there, the other way goes on, and it arrives whole and in order once it heals.
 TEST(StreamLinks, HoldOneWayOnlyAndLoseNothing) {
   EchoSite site;
-  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), Weather({}, 1));
+  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), LinkConditions({}, 1));
   ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "0"));
   ASSERT_TRUE(client.answered(1));
   client.forget();
   Fault cut;
   cut.cutBack = true;
-  link.change(Weather({cut}, 1));
+  link.change(LinkConditions({cut}, 1));
   client.ask(request("any", "1"));
   client.ask(request("any", "2"));
   ASSERT_TRUE(until(site.loop, [&] { return site.endpoint.statements.size() == 3; }));
   const Micros mark = site.loop.now();
   ASSERT_TRUE(until(site.loop, [&] { return site.loop.now() > mark + 50 * kMs; }));
   EXPECT_EQ(client.types().find('D'), std::string::npos);
-  link.change(Weather({}, 1));
+  link.change(LinkConditions({}, 1));
   ASSERT_TRUE(client.answered(2));
 }
 
 TEST(StreamLinks, ResetWhatStandsAndRejectWhatComes) {
   EchoSite site;
-  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), Weather({}, 1));
+  emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), LinkConditions({}, 1));
   ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "0"));
   ASSERT_TRUE(client.answered(1));
   Fault broken;
   broken.resets = broken.rejects = true;
-  link.change(Weather({broken}, 1));
+  link.change(LinkConditions({broken}, 1));
   ASSERT_TRUE(client.gone());
   try {
     ClientStandIn other(site.loop, link.socketAddress());
@@ -339,7 +341,7 @@
   Fault bad;
   bad.loss = 0.5;
   bad.twice = 0.5;
-  emulator::DatagramLink link(loop, {kLoopback, 0}, b, Weather({bad}, 3));
+  emulator::DatagramLink link(loop, {kLoopback, 0}, b, LinkConditions({bad}, 3));
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(link.socketAddress().address);
@@ -357,7 +359,7 @@
   EXPECT_GT(link.dropped(), 30U);
   EXPECT_GT(got, kSent - link.dropped()) << "some came twice";
   // Back to who asked.
-  link.change(Weather({}, 1));
+  link.change(LinkConditions({}, 1));
   sockaddr_in source{};
   socklen_t size = sizeof source;
   ASSERT_EQ(::sendto(from.get(), "q", 1, 0, reinterpret_cast<sockaddr*>(&address), sizeof address), 1);
@@ -379,7 +381,7 @@
     service.set({entryOfEndpoint()});
     for (std::size_t i = 0; i < gateways; ++i)
       paths.push_back(std::make_unique<emulator::StreamLink>(loop, transport::SocketAddress{kLoopback, 0},
-                                                             service.socketAddress(), Weather({}, i)));
+                                                             service.socketAddress(), LinkConditions({}, i)));
   }
   emulator::ListedEntry entryOfEndpoint() const {
     emulator::ListedEntry out;
@@ -429,7 +431,7 @@
 
 TEST(Gateways, StartWhileEverySecondCallIsReset) {
   FleetSite site({kMs, 0, kS, {}}, 5);
-  site.service.model().resetShare(0.5, 3);
+  site.service.model().setResetShare(0.5, 3);
   site.start();
   EXPECT_TRUE(site.allServe());
   EXPECT_GE(site.service.model().resets(), 1U);
@@ -452,7 +454,7 @@
   site.start();
   ASSERT_TRUE(site.allServe());
   for (std::size_t i = 0; i < 4; ++i) site.children[i]->restart();
-  EXPECT_EQ(site.children[0]->lives(), 2U);
+  EXPECT_EQ(site.children[0]->incarnations(), 2U);
   EXPECT_TRUE(site.allServe());
 }
 
@@ -460,12 +462,12 @@
   FleetSite site({kMs, 0, kS, {}}, 2);
   Fault held;
   held.cutBack = true;
-  site.paths[0]->change(Weather({held}, 1));
+  site.paths[0]->change(LinkConditions({held}, 1));
   site.start();
   ASSERT_TRUE(site.serves(*site.children[1]));
   ASSERT_TRUE(site.until([&] { return site.service.model().calls() >= 2; }));
   site.children[0]->pause();
-  site.paths[0]->change(Weather({}, 1));
+  site.paths[0]->change(LinkConditions({}, 1));
   const Micros mark = site.loop.now();
   ASSERT_TRUE(site.until([&] { return site.loop.now() > mark + 300 * kMs; }));
   site.children[0]->resume();
@@ -482,7 +484,7 @@
   site.service.goDown();
   site.service.model().goBackTo(1);
   site.service.comeUp();
-  ASSERT_TRUE(site.until([&] { return site.service.model().wholeLists() >= 1; }));
+  ASSERT_TRUE(site.until([&] { return site.service.model().completeLists() >= 1; }));
   EXPECT_TRUE(site.serves(*site.children[0]));
 }
 
--- a/tests/list_outage_test.cpp
+++ b/tests/list_outage_test.cpp
@@ -2,12 +2,12 @@
 // endpoints go and come back: judged by what counts as told.
 #include <gtest/gtest.h>
 
-#include "site_play.h"
+#include "deployment_play.h"
 
 namespace heathflow::emulator {
 namespace {
 
-using Is = Happening::Kind;
+using Is = FaultEvent::Kind;
 
 Scenario outage() {
   Scenario out = quiet();
@@ -23,14 +23,14 @@
 // in between.
 TEST(ListOutages, NothingGoesToEndpointsThatWereRemovedAndAreBackWhileEveryCallIsRejected) {
   Scenario scenario = outage();
-  scenario.happenings = {{Is::ListCrowded, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
+  scenario.faultEvents = {{Is::ListCrowded, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
   expectKept(played(scenario));
 }
 
 // The same where the service is cut off from the gateways without a word.
 TEST(ListOutages, NothingGoesToEndpointsThatWereRemovedAndAreBackWhileEveryCallIsSilent) {
   Scenario scenario = outage();
-  scenario.happenings = {{Is::CutList, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
+  scenario.faultEvents = {{Is::CutList, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
   expectKept(played(scenario));
 }
 
--- a/tests/notifications_test.cpp
+++ b/tests/notifications_test.cpp
@@ -13,7 +13,7 @@
 struct Told {
   Told() { told.started("n0", -100 * kS); }
   std::optional<Micros> at(Micros time, const std::string& gateway = "n0") const {
-    return told.toldNotReady(gateway, "m1", time);
+    return told.notifiedNotReadySince(gateway, "m1", time);
   }
   // The span in which the endpoint counts as not ready, looked at each 100 ms; nothing outside it.
   void expectNotReadyWithin(Micros from, Micros until, const std::string& gateway = "n0") const {
@@ -84,21 +84,21 @@
 TEST(Notified, ByASilentWatchSixSecondsAfterItFellSilent) {
   Told site;
   site.told.changed("m1", ListedState::Draining, 4 * kS);
-  site.told.writtenIntoSilence("n0", 4 * kS, {3 * kS, kAlways, {}});
+  site.told.answerWrittenIntoCutPath("n0", 4 * kS, {3 * kS, kAlways, {}});
   site.expectNotReadyWithin(9 * kS, kAlways);
 }
 
 TEST(Notified, ByASilentLongPollTwoSecondsAfterItsWait) {
   Told site;
   site.told.changed("m1", ListedState::Draining, 4 * kS);
-  site.told.writtenIntoSilence("n0", 4 * kS, {3 * kS, kAlways, 20 * kS});
+  site.told.answerWrittenIntoCutPath("n0", 4 * kS, {3 * kS, kAlways, 20 * kS});
   site.expectNotReadyWithin(22 * kS, kAlways);
 }
 
 TEST(Notified, ByASilentWatchAtOnceOfWhatChangesBehindItsTime) {
   Told site;
   site.told.changed("m1", ListedState::Draining, 12 * kS);
-  site.told.writtenIntoSilence("n0", 12 * kS, {3 * kS, kAlways, {}});
+  site.told.answerWrittenIntoCutPath("n0", 12 * kS, {3 * kS, kAlways, {}});
   site.expectNotReadyWithin(12 * kS, kAlways);
 }
 
@@ -186,14 +186,14 @@
   site.told.changed("m1", ListedState::Gone, 2 * kS);
   site.told.written("n0", 2 * kS);
   site.told.changed("m1", ListedState::Ready, 5 * kS);
-  site.told.writtenIntoSilence("n0", 5 * kS, {4 * kS, 7 * kS, {}});
+  site.told.answerWrittenIntoCutPath("n0", 5 * kS, {4 * kS, 7 * kS, {}});
   site.expectNotReadyWithin(2 * kS, 7 * kS);
 }
 
 TEST(Notified, ByWhatACutPathHeldNoEarlierThanTheTermOfARemoval) {
   Told site;
   site.told.changed("m1", ListedState::Gone, 5 * kS);
-  site.told.writtenIntoSilence("n0", 5 * kS, {4 * kS, 7 * kS, {}});
+  site.told.answerWrittenIntoCutPath("n0", 5 * kS, {4 * kS, 7 * kS, {}});
   site.expectNotReadyWithin(10 * kS, kAlways);
 }
 
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -167,7 +167,7 @@
     ASSERT_NE(last, std::string::npos) << process.log();
     EXPECT_NE(process.log().find(mark, last), std::string::npos) << process.log();
   }
-  process.withoutConfiguration();
+  process.removeConfiguration();
   process.signal(SIGHUP);
   ASSERT_TRUE(site.until([&] { return linesOf(process.log()) > lines; }));
   EXPECT_TRUE(process.says("NODE_CONFIG"));
--- a/tests/program_process.h
+++ b/tests/program_process.h
@@ -5,18 +5,18 @@
 #include <utility>
 #include <vector>
 
-#include "emulator/child.h"
+#include "emulator/child_process.h"
 
 namespace heathflow::test {
 
-class Process : public emulator::Child {
+class Process : public emulator::ChildProcess {
  public:
   explicit Process(const std::string& config, std::vector<std::string> arguments = {},
                    emulator::Environment environment = {})
-      : Child(HEATHFLOW_PROGRAM, config, std::move(arguments), std::move(environment)) {}
+      : ChildProcess(HEATHFLOW_PROGRAM, config, std::move(arguments), std::move(environment)) {}
   // Once it has said where it serves.
   transport::SocketAddress socketAddress() {
-    return Child::socketAddress().value_or(transport::SocketAddress{});
+    return ChildProcess::socketAddress().value_or(transport::SocketAddress{});
   }
 };
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -204,7 +204,7 @@
   EXPECT_LE(loop.now() - healed, 100'000);  // of the loop's own clock, which only timers move
 }
 
-// A datagram that is on its way when the weather changes arrives when it would have.
+// A datagram that is on its way when the conditions changes arrives when it would have.
 TEST(DatagramLink, ThatIsChangedKeepsTheTimesOfWhatIsOnItsWay) {
   transport::EventLoop loop(transport::Clock::byHand(transport::Clock().now()));
   const auto socketOf = [] {
@@ -218,7 +218,7 @@
   const transport::UniqueFd from = socketOf(), to = socketOf();
   Fault slow;
   slow.delay = 2'000'000;
-  DatagramLink link(loop, {test::kLoopback, 0}, *transport::boundTo(to.get()), Weather({slow}, 1));
+  DatagramLink link(loop, {test::kLoopback, 0}, *transport::boundTo(to.get()), LinkConditions({slow}, 1));
   const Micros start = loop.now();
   transport::Timer tenSeconds(loop, [] {});
   tenSeconds.arm(start + 10'000'000);
@@ -234,7 +234,7 @@
   transport::Timer soon(loop, [] {});
   soon.arm(sent + 100'000);
   ASSERT_TRUE(test::until(loop, [&] { return !soon.armed(); }));
-  link.change(Weather({}, 1));
+  link.change(LinkConditions({}, 1));
   ASSERT_TRUE(test::until(loop, [&] { return link.delivered() == 1; }));
   EXPECT_GE(loop.now() - sent, 2'000'000);
   EXPECT_LE(loop.now() - sent, 2'200'000);  // of the loop's own clock
@@ -258,14 +258,14 @@
   EXPECT_TRUE(allUpToDate(loop, fleet));
   const ListFeed::Traffic& after = fleet.feed().traffic();
   out.change = {after.calls - out.start.calls, after.bytesIn - out.start.bytesIn,
-                after.bytesOut - out.start.bytesOut, after.wholeLists - out.start.wholeLists,
+                after.bytesOut - out.start.bytesOut, after.completeLists - out.start.completeLists,
                 after.deltas - out.start.deltas};
   return out;
 }
 
 TEST(ScaleBounds, AStartCostsEachGatewayOneWholeListAndTwoCalls) {
   const Counted counted = countOf(6, 50);
-  EXPECT_EQ(counted.start.wholeLists, 6U);
+  EXPECT_EQ(counted.start.completeLists, 6U);
   EXPECT_GE(counted.start.calls, 12U);
   EXPECT_LE(counted.start.calls, 18U);                          // one watch each may have ended meanwhile
   EXPECT_LE(counted.start.bytesOut, 6U * 50 * 200);             // of a line of the list
@@ -277,7 +277,7 @@
   const Counted large = countOf(4, 400);
   for (const Counted& counted : {small, large}) {
     EXPECT_EQ(counted.change.deltas, 4U);
-    EXPECT_EQ(counted.change.wholeLists, 0U);
+    EXPECT_EQ(counted.change.completeLists, 0U);
     EXPECT_GE(counted.change.calls, 4U);
     EXPECT_LE(counted.change.calls, 8U);
     EXPECT_LE(counted.change.bytesOut, 4U * 400);
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,24 +1,23 @@
 // The fault soak: its scenarios are good and repeatable, what breaks on purpose is seen, and a short play of
 // each kind of trouble keeps all rules.
-#include "emulator/soak.h"
-
 #include <gtest/gtest.h>
 
-#include "site_play.h"
+#include "deployment_play.h"
+#include "emulator/random_scenario.h"
 
 namespace heathflow::emulator {
 namespace {
 
 TEST(SoakScenarios, AreTheSameFromTheSameSeedAndCanBePlayedAgain) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    const Scenario scenario = soakScenario(seed, {});
+    const Scenario scenario = randomScenario(seed, {});
     const std::string text = textOf(scenario);
-    EXPECT_EQ(text, textOf(soakScenario(seed, {})));
+    EXPECT_EQ(text, textOf(randomScenario(seed, {})));
     std::vector<xml::Problem> problems;
     const auto again = parseScenario("soak.xml", text, problems);
     ASSERT_TRUE(again) << text << (problems.empty() ? "" : toText(problems.front()));
     EXPECT_EQ(textOf(*again), text);
-    EXPECT_GE(scenario.happenings.size(), 2U);
+    EXPECT_GE(scenario.faultEvents.size(), 2U);
   }
 }
 
@@ -32,7 +31,7 @@
   scenario.snapshot = true;
   scenario.leaving = 0.1;
   scenario.rough = 2;
-  scenario.happenings = {{Happening::Kind::ReloadGateways, kS, 1, 0}};
+  scenario.faultEvents = {{FaultEvent::Kind::ReloadGateways, kS, 1, 0}};
   expectKept(played(scenario));
 }
 
@@ -40,14 +39,14 @@
   Scenario scenario = quiet();
   scenario.length = 8 * kS;
   scenario.leaving = 0.1;
-  scenario.happenings = {{Happening::Kind::CutEndpoints, kS, 0.3, kS},
-                         {Happening::Kind::RollGateways, kS, 0.5, kS},
-                         {Happening::Kind::CutList, 1200 * kMs, 0.5, kS},
-                         {Happening::Kind::ReloadGateways, 1300 * kMs, 1, 0},
-                         {Happening::Kind::ResetEndpoints, 1500 * kMs, 0.5, kS},
-                         {Happening::Kind::LogsUnread, 1500 * kMs, 0.5, kS},
-                         {Happening::Kind::HangEndpoints, 3 * kS, 0.3, kS},
-                         {Happening::Kind::SlowEndpoints, 3 * kS, 0.5, kS}};
+  scenario.faultEvents = {{FaultEvent::Kind::CutEndpoints, kS, 0.3, kS},
+                          {FaultEvent::Kind::RollGateways, kS, 0.5, kS},
+                          {FaultEvent::Kind::CutList, 1200 * kMs, 0.5, kS},
+                          {FaultEvent::Kind::ReloadGateways, 1300 * kMs, 1, 0},
+                          {FaultEvent::Kind::ResetEndpoints, 1500 * kMs, 0.5, kS},
+                          {FaultEvent::Kind::LogsUnread, 1500 * kMs, 0.5, kS},
+                          {FaultEvent::Kind::HangEndpoints, 3 * kS, 0.3, kS},
+                          {FaultEvent::Kind::SlowEndpoints, 3 * kS, 0.5, kS}};
   expectKept(played(scenario));
 }
 
@@ -56,9 +55,9 @@
   scenario.length = kS;
   scenario.gateways = 1;
   transport::EventLoop loop;
-  const Outcomes outcomes = Site(loop, scenario, Programs{"/bin/false", "", ""}).play();
-  EXPECT_FALSE(outcomes.rulesKept());
-  EXPECT_FALSE(outcomes.crashes.empty());
+  const DeploymentResults results = Site(loop, scenario, ProgramPaths{"/bin/false", "", ""}).play();
+  EXPECT_FALSE(results.rulesKept());
+  EXPECT_FALSE(results.crashes.empty());
 }
 
 // Without the library that fails calls nothing is played, rather than something else.
