--- a/src/emulator/arrivals.cpp
+++ b/src/emulator/arrivals.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-const char* nameOf(Kind kind) { return kNames.at(static_cast<std::size_t>(kind)); }
+const char* nameOf(RequestKind kind) { return kNames.at(static_cast<std::size_t>(kind)); }
 
 Arrivals::Arrivals(double perSecond, const Mix& mix, unsigned groups, std::uint64_t seed, Micros from)
     : perSecond_(perSecond), mix_(mix), groups_(std::max(1U, groups)), random_(seed), next_(from) {
@@ -34,9 +34,10 @@
   out.at = next_;
   const double all = mix_.view + mix_.any + mix_.status + mix_.save;
   double left = random() * all;
-  out.kind = Kind::Save;
-  for (const auto& [kind, share] : {std::pair(Kind::View, mix_.view), std::pair(Kind::Any, mix_.any),
-                                    std::pair(Kind::Status, mix_.status)}) {
+  out.kind = RequestKind::Save;
+  for (const auto& [kind, share] :
+       {std::pair(RequestKind::View, mix_.view), std::pair(RequestKind::Any, mix_.any),
+        std::pair(RequestKind::Status, mix_.status)}) {
     if (left < share) {
       out.kind = kind;
       break;
--- a/src/emulator/arrivals.h
+++ b/src/emulator/arrivals.h
@@ -12,8 +12,8 @@
 
 using transport::Micros;
 
-enum class Kind { View, Any, Status, Save };  // a read with a bound, any read, a fresh read, a write
-const char* nameOf(Kind kind);
+enum class RequestKind { View, Any, Status, Save };  // a read with a bound, any read, a fresh read, a write
+const char* nameOf(RequestKind kind);
 
 struct Mix {
   double view = 0.5;
@@ -31,7 +31,7 @@
   Micros next() const { return next_; }
   struct Arrival {
     Micros at = 0;  // the intended time, from which latency counts
-    Kind kind = Kind::View;
+    RequestKind kind = RequestKind::View;
     unsigned group = 0;
   };
   Arrival take();
--- a/src/emulator/load.cpp
+++ b/src/emulator/load.cpp
@@ -47,8 +47,8 @@
       request.gateway = load.gateway_;
       request.at = load.loop_.now();
       request.patience = load.patience_;
-      request.repeatable = request.rejectable = answer.kind != Kind::Save;
-      if (answer.kind == Kind::View) request.bound = load.bound_;
+      request.repeatable = request.rejectable = answer.kind != RequestKind::Save;
+      if (answer.kind == RequestKind::View) request.bound = load.bound_;
       load.judge_.requestSent(request);
       ++load.asked_;
       told = true;
@@ -66,7 +66,7 @@
     id = load.gateway_ + "-" + std::to_string(++load.sequence_);
     answer = {arrival.at, 0, arrival.kind, arrival.group, RequestResult::Served};
     const std::string statement =
-        arrival.kind == Kind::Save
+        arrival.kind == RequestKind::Save
             ? "INSERT INTO rows (handle, blob) VALUES ('key', '\\x9f03') RETURNING blob"
             : "SELECT blob FROM rows WHERE handle = 'key'";
     stream.output().append(test::pg::query(statement + " /* id=" + id + ",c=" + nameOf(arrival.kind) +
--- a/src/emulator/load.h
+++ b/src/emulator/load.h
@@ -21,7 +21,7 @@
 struct Answer {
   Micros intended = 0;
   Micros at = 0;
-  Kind kind = Kind::View;
+  RequestKind kind = RequestKind::View;
   unsigned group = 0;
   RequestResult how = RequestResult::Served;
 };
--- a/src/tools/emulator_main.cpp
+++ b/src/tools/emulator_main.cpp
@@ -15,11 +15,11 @@
 #include <optional>
 #include <string>
 
+#include "emulator/deployment.h"
 #include "emulator/random_scenario.h"
 #include "emulator/scale.h"
 #include "emulator/scale_plan.h"
 #include "emulator/scenario.h"
-#include "emulator/site.h"
 #include "program/signals.h"
 
 namespace {
@@ -113,14 +113,14 @@
   program::Signals signals(loop, [&](int signal) { ended = ended || signal == SIGINT || signal == SIGTERM; });
   emulator::DeploymentResults results;
   {
-    emulator::Site site(loop, *scenario, programs);
-    results = site.play([&](std::size_t number, const emulator::TimelineRow& second) {
+    emulator::Deployment deployment(loop, *scenario, programs);
+    results = deployment.play([&](std::size_t number, const emulator::TimelineRow& second) {
       if (!quiet && !numbers) row(number, second);
       return !ended;
     });
   }
   if (numbers) {
-    std::printf("%s\n", results.row(scenario->gateways).c_str());
+    std::printf("%s\n", results.numbersLine(scenario->gateways).c_str());
     return ended ? kEnded : results.rulesKept() ? kGood : kBroken;
   }
   std::printf("%s\n%s", results.scenario.c_str(), results.table().c_str());
@@ -154,7 +154,7 @@
       !results.crashes.empty() ||
       results.broken[static_cast<std::size_t>(emulator::Rule::NoSecondEffect)] > 0 ||
       results.broken[static_cast<std::size_t>(emulator::Rule::InvariantsKept)] > 0;
-  return results.late <= kMaxLateness || whateverTheTimes ? Verdict::Broken : Verdict::NotJudged;
+  return results.emulatorLateness <= kMaxLateness || whateverTheTimes ? Verdict::Broken : Verdict::NotJudged;
 }
 
 const char* textOf(Verdict verdict) {
@@ -184,17 +184,17 @@
   emulator::DeploymentResults results;
   {
     transport::EventLoop loop;
-    emulator::Site site(loop, scenario, programs);
-    results = site.play();
+    emulator::Deployment deployment(loop, scenario, programs);
+    results = deployment.play();
   }
   const Verdict verdict = verdictOf(results);
   std::printf(
       "%llu: %u drivers, %zu troubles; %llu asked, %llu served, %llu refused, %llu failed; %s; late %lld "
       "ms\n",
       static_cast<unsigned long long>(seed), scenario.gateways, scenario.faultEvents.size(),
-      static_cast<unsigned long long>(results.asked), static_cast<unsigned long long>(results.served),
+      static_cast<unsigned long long>(results.requests), static_cast<unsigned long long>(results.served),
       static_cast<unsigned long long>(results.rejected), static_cast<unsigned long long>(results.failed),
-      textOf(verdict), static_cast<long long>(results.late / 1000));
+      textOf(verdict), static_cast<long long>(results.emulatorLateness / 1000));
   std::ofstream(programs.traces + "/result.txt") << results.table();
   if (verdict == Verdict::Kept) {
     std::filesystem::remove_all(programs.traces);
--- a/tests/deployment_play.h
+++ b/tests/deployment_play.h
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "emulator/site.h"
+#include "emulator/deployment.h"
 #include "transport/event_loop.h"
 
 namespace heathflow::emulator {
@@ -13,7 +13,7 @@
 
 inline DeploymentResults played(const Scenario& scenario) {
   transport::EventLoop loop;
-  return Site(loop, scenario, ProgramPaths{HEATHFLOW_PROGRAM, HEATHFLOW_FAULT_LIBRARY, ""}).play();
+  return Deployment(loop, scenario, ProgramPaths{HEATHFLOW_PROGRAM, HEATHFLOW_FAULT_LIBRARY, ""}).play();
 }
 
 inline void expectKept(const DeploymentResults& results) {
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -1,5 +1,7 @@
 // The emulator's emulated parts, its scenarios, and whole installations of real gateways through the hard
 // cases of a cold start.
+#include "emulator/deployment.h"
+
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -10,7 +12,6 @@
 #include "emulator/endpoint_model.h"
 #include "emulator/latency_histogram.h"
 #include "emulator/scenario.h"
-#include "emulator/site.h"
 
 namespace heathflow::emulator {
 namespace {
@@ -72,7 +73,7 @@
 TEST(OpenLoop, AsksAtItsRateWhateverBecomesOfTheAnswers) {
   Arrivals arrivals(50, {}, 3, 7, 0);
   Arrivals same(50, {}, 3, 7, 0);
-  std::map<Kind, int> kinds;
+  std::map<RequestKind, int> kinds;
   int count = 0;
   while (arrivals.next() < 100 * kS) {
     const auto arrival = arrivals.take();
@@ -82,8 +83,8 @@
     ++count;
   }
   EXPECT_NEAR(count, 5000, 250);
-  EXPECT_NEAR(kinds[Kind::View], 2500, 200);
-  EXPECT_NEAR(kinds[Kind::Save], 250, 80);
+  EXPECT_NEAR(kinds[RequestKind::View], 2500, 200);
+  EXPECT_NEAR(kinds[RequestKind::Save], 250, 80);
   EXPECT_GT(Arrivals(0, {}, 1, 1, 0).next(), 3600 * kS);
 }
 
@@ -159,7 +160,7 @@
 
 DeploymentResults played(const Scenario& scenario) {
   transport::EventLoop loop;
-  DeploymentResults out = Site(loop, scenario, HEATHFLOW_PROGRAM).play();
+  DeploymentResults out = Deployment(loop, scenario, HEATHFLOW_PROGRAM).play();
   for (const Breach& breach : out.breaches)
     ADD_FAILURE() << nameOf(breach.rule) << " " << breach.who << " " << breach.what;
   for (const std::string& crash : out.crashes) ADD_FAILURE() << crash;
@@ -254,10 +255,10 @@
   scenario.gateways = 2;
   scenario.snapshot = true;
   scenario.faultEvents = {{FaultEvent::Kind::KillGateways, kS, 1, 500 * kMs}};
-  Site site(loop, scenario, HEATHFLOW_PROGRAM);
+  Deployment deployment(loop, scenario, HEATHFLOW_PROGRAM);
   std::size_t malformed = 0;
-  const DeploymentResults out = site.play([&](std::size_t, const TimelineRow&) {
-    for (const auto& file : std::filesystem::directory_iterator(site.folder())) {
+  const DeploymentResults out = deployment.play([&](std::size_t, const TimelineRow&) {
+    for (const auto& file : std::filesystem::directory_iterator(deployment.folder())) {
       if (file.path().extension() != ".snapshot" || malformed >= 2) continue;
       std::ofstream(file.path(), std::ios::trunc) << "heathflow-snapshot\nmalformed";
       ++malformed;
@@ -266,7 +267,7 @@
   });
   EXPECT_EQ(malformed, 2U);
   EXPECT_TRUE(out.rulesKept());
-  EXPECT_GT(out.seconds.back().served + out.seconds[out.seconds.size() - 2].served, 0U);
+  EXPECT_GT(out.timeline.back().served + out.timeline[out.timeline.size() - 2].served, 0U);
 }
 
 }  // namespace
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -55,7 +55,7 @@
   scenario.length = kS;
   scenario.gateways = 1;
   transport::EventLoop loop;
-  const DeploymentResults results = Site(loop, scenario, ProgramPaths{"/bin/false", "", ""}).play();
+  const DeploymentResults results = Deployment(loop, scenario, ProgramPaths{"/bin/false", "", ""}).play();
   EXPECT_FALSE(results.rulesKept());
   EXPECT_FALSE(results.crashes.empty());
 }
@@ -65,7 +65,7 @@
   Scenario scenario = quiet();
   scenario.faults = "short-read=0.1";
   transport::EventLoop loop;
-  EXPECT_THROW(Site(loop, scenario, HEATHFLOW_PROGRAM), std::runtime_error);
+  EXPECT_THROW(Deployment(loop, scenario, HEATHFLOW_PROGRAM), std::runtime_error);
 }
 
 }  // namespace
