--- a/src/discovery/caller.cpp
+++ b/src/discovery/caller.cpp
@@ -73,9 +73,9 @@
       std::max(2 * kRetryLeast, static_cast<Micros>(kRetryMostShare * static_cast<double>(term())));
   // A silent call has cost its time already, and a service of one's own need not be spared: no more is waited
   // than spreads those whose watches fell silent together.
-  if (how == CallFailure::Silent || settings_.ownService)
+  if (how == CallFailure::TimedOut || settings_.ownService)
     return now + static_cast<Micros>(random() * static_cast<double>(kRetryLeast));
-  if (how == CallFailure::TurnedAway) {
+  if (how == CallFailure::Rejected) {
     supposed_ =
         std::min(supposed_ * (settings_.cost ? kCostStep : kCostGrowth), static_cast<double>(kToldWithin));
     // Guards a service with too many callers against calls that come back faster than it gets through them:
--- a/src/discovery/directory.cpp
+++ b/src/discovery/directory.cpp
@@ -66,7 +66,7 @@
   const char* state = listed.phase == Phase::Ready  ? "ready"
                       : listed.phase == Phase::Gone ? "gone"
                                                     : "draining";
-  observer_.trace(Topic::Endpoints, listed.id + " at " + listed.hostPort + " is " + state, {});
+  observer_.trace(stats::Topic::Upstream, listed.id + " at " + listed.hostPort + " is " + state, {});
 }
 
 EndpointsChanged Directory::take(const protocol::EndpointList& list, transport::Micros now, bool confirmed) {
@@ -87,7 +87,7 @@
     if (!gone) {
       const auto socketAddress = transport::parseSocketAddress(listed.hostPort);
       if (!socketAddress) {
-        observer_.note(Topic::Discovery, "a member's address can't be read: " + listed.hostPort);
+        observer_.note(stats::Topic::Discovery, "a member's address can't be read: " + listed.hostPort);
         continue;
       }
       pool_.place(entry.id, placesOf(listed, *socketAddress));
--- a/src/discovery/directory.h
+++ b/src/discovery/directory.h
@@ -26,8 +26,8 @@
   };
   using Doors = std::vector<Door>;
   // 'families': of groups that differ from the rest.
-  Directory(ConnectionPool& pool, Doors doors, std::unordered_map<GroupId, Doors> families,
-            Observer& observer)
+  Directory(upstream::ConnectionPool& pool, Doors doors, std::unordered_map<GroupId, Doors> families,
+            stats::Observer& observer)
       : pool_(pool), doors_(std::move(doors)), families_(std::move(families)), observer_(observer) {}
 
   // Takes in a list, whole or of changes, and gives it as the routing policy's event. 'confirmed': by the
@@ -46,10 +46,10 @@
   void forgetGone();
   void traceChange(Known& entry, const protocol::ListedEndpoint& listed) const;
 
-  ConnectionPool& pool_;
+  upstream::ConnectionPool& pool_;
   Doors doors_;
   std::unordered_map<GroupId, Doors> families_;
-  Observer& observer_;
+  stats::Observer& observer_;
   std::unordered_map<std::string, Known> byName_;
   std::unordered_map<EndpointId, std::string> names_;
   wallclock::LaunchTimes launches_;
--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -77,22 +77,22 @@
   if (!response_) return fail(CallFailure::Unreachable, "it can't be reached");
   // Guards against half a list: where a response has no length only an orderly close ends it, and no reset.
   if (!response_->begun() || how != transport::StreamEnd::Closed)
-    return fail(CallFailure::Broken, "its connection broke");
+    return fail(CallFailure::ConnectionReset, "its connection broke");
   response_->ended();
   finish();
 }
 
 void DiscoveryCall::finish() {
   if (response_->state() == protocol::HttpResponse::State::Malformed)
-    return fail(CallFailure::Unreadable, "its response can't be read");
+    return fail(CallFailure::Malformed, "its response can't be read");
   if (response_->status() != 200) {
     std::optional<Micros> retryAfter;
     if (const auto seconds = response_->retryAfter()) retryAfter = *seconds * kMicrosPerSecond;
-    return fail(CallFailure::TurnedAway, "status " + std::to_string(response_->status()), retryAfter);
+    return fail(CallFailure::Rejected, "status " + std::to_string(response_->status()), retryAfter);
   }
   std::string problem;
   const auto list = protocol::parseEndpointList(response_->body(), problem);
-  if (!list) return fail(CallFailure::Unreadable, "its list can't be read: " + problem);
+  if (!list) return fail(CallFailure::Malformed, "its list can't be read: " + problem);
   asking_ = false;
   if (!response_->keepAlive() || !stream_->input().empty()) stream_->close();
   response_.reset();
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
-                               discovery::Caller& caller, Observer& observer, OnList onList,
+                               discovery::Caller& caller, stats::Observer& observer, OnList onList,
                                OnFailure onFailure, OnLeaseEnd onLeaseEnd)
     : loop_(loop),
       socketAddress_(socketAddress),
@@ -109,13 +109,13 @@
   if (!expired_) return;
   const Micros lasted = loop_.now() - expiredAt_;
   observer_.counters.listsExpiredFor += static_cast<std::uint64_t>(lasted);
-  observer_.note(Topic::Discovery,
+  observer_.note(stats::Topic::Discovery,
                  "the list is confirmed again, " + millisecondsOf(lasted) + " after it expired");
 }
 
 void DiscoveryWatch::traceList(const DiscoveryCall& call, bool news) {
   if (!observer_.tracing) return;
-  observer_.trace(Topic::Discovery,
+  observer_.trace(stats::Topic::Discovery,
                   "revision " + std::to_string(revision_) + (news ? ", new" : ", as before") + ", from a " +
                       (call.immediate() ? "call" : "watch") + " of " +
                       millisecondsOf(loop_.now() - call.startedAt()) + "; it counts for " +
@@ -148,7 +148,7 @@
   expired_ = true;
   expiredAt_ = loop_.now();
   ++observer_.counters.listsExpired;
-  observer_.note(Topic::Discovery,
+  observer_.note(stats::Topic::Discovery,
                  "the list could not be confirmed in time: only members that show that they stood are sent "
                  "to (revision " +
                      std::to_string(revision_) + ", " + std::to_string(failuresInRow_) +
@@ -165,7 +165,7 @@
     loop_.retire(std::move(overdue_.front()));
     overdue_.erase(overdue_.begin());
   }
-  failed({CallFailure::Silent, "no answer in time", {}}, elapsed);
+  failed({CallFailure::TimedOut, "no answer in time", {}}, elapsed);
 }
 
 // The list stays as it was.
@@ -173,18 +173,18 @@
   calling_ = false;
   ++failuresInRow_;
   answerDue_.disarm();
-  const bool told = problem.how == CallFailure::TurnedAway || problem.how == CallFailure::Broken;
+  const bool told = problem.how == CallFailure::Rejected || problem.how == CallFailure::ConnectionReset;
   if (watching_ && told) lease_.watchEnded(loop_.now());
-  if (watching_ && problem.how == CallFailure::Silent) lease_.watchGivenUp(loop_.now());
+  if (watching_ && problem.how == CallFailure::TimedOut) lease_.watchGivenUp(loop_.now());
   lease_.callFailed(loop_.now());
   leaseChanged();
   callAt(caller_.failed(loop_.now(), problem.how, problem.retryAfter), kNoWait);
   ++observer_.counters.discoveryFailures;
   ++observer_.counters.discoveryFailedBy[static_cast<std::size_t>(problem.how)];
-  observer_.note(Topic::Discovery, "a call to discovery failed: " + problem.text + ", " +
-                                       discovery::nameOf(problem.how) + " after " + millisecondsOf(elapsed) +
-                                       ", revision " + std::to_string(revision_) + ", the list counts for " +
-                                       millisecondsOf(lease_.until() - loop_.now()));
+  observer_.note(stats::Topic::Discovery,
+                 "a call to discovery failed: " + problem.text + ", " + discovery::nameOf(problem.how) +
+                     " after " + millisecondsOf(elapsed) + ", revision " + std::to_string(revision_) +
+                     ", the list counts for " + millisecondsOf(lease_.until() - loop_.now()));
   onFailure_();
 }
 
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -27,7 +27,7 @@
 
   // 'caller' says when to call, and how long one watch waits for something new.
   DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
-                 discovery::Caller& caller, Observer& observer, OnList onList, OnFailure onFailure,
+                 discovery::Caller& caller, stats::Observer& observer, OnList onList, OnFailure onFailure,
                  OnLeaseEnd onLeaseEnd);
 
   // The list as it was known at the start; watching goes on from there.
@@ -58,7 +58,7 @@
   transport::EventLoop& loop_;
   transport::SocketAddress socketAddress_;
   discovery::Caller& caller_;
-  Observer& observer_;
+  stats::Observer& observer_;
   OnList onList_;
   OnFailure onFailure_;
   OnLeaseEnd onLeaseEnd_;
--- a/src/downstream/client_listener.cpp
+++ b/src/downstream/client_listener.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace heathflow::routing {
+namespace heathflow::downstream {
 namespace {
 
 constexpr int kBacklog = 1024;
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-ClientListener::ClientListener(transport::EventLoop& loop, Router& router, ConnectionPool& pool,
-                               DescriptorBudget& budget, Observer& observer,
-                               const protocol::Protocol& protocol, std::size_t index,
-                               ClientSession::Shared& shared)
+ClientListener::ClientListener(transport::EventLoop& loop, routing::Router& router,
+                               upstream::ConnectionPool& pool, upstream::DescriptorBudget& budget,
+                               stats::Observer& observer, const protocol::Protocol& protocol,
+                               std::size_t index, ClientSession::Shared& shared)
     : loop_(loop),
       router_(router),
       pool_(pool),
@@ -79,8 +79,7 @@
     }
     if (opened.error == EAGAIN || opened.error == EWOULDBLOCK) return true;
     if (opened.error == ECONNABORTED || opened.error == EPROTO) continue;
-    observer_.note(Topic::Limits,
-                   "a client can't be taken in at present: error " + std::to_string(opened.error));
+    observer_.note(stats::Topic::Limits, "a client can't be accepted: error " + std::to_string(opened.error));
     // An idle connection to an endpoint goes before a client does.
     if ((opened.error == EMFILE || opened.error == ENFILE) && pool_.closeLongestIdle()) continue;
     retry_.arm(loop_.now() + kRetryAccept);
@@ -136,7 +135,7 @@
                      [this](Sessions* kind) { return rested(*kind) && closeOneOf(*kind); })) {
       return thinning_.arm(loop_.now() + kLeftAlone);
     }
-    ++observer_.counters.clientsRested;
+    ++observer_.counters.idleClientsEvicted;
   }
 }
 
@@ -179,8 +178,8 @@
                                       observer_, protocolIndex_, protocol_.name(), protocol_.towardsClient());
   if (!session->adopt(std::move(fd))) return false;
   if (!fits) {
-    ++observer_.counters.clientsTurnedAway;
-    observer_.note(Topic::Limits, "a client is turned away: no descriptor is left for it");
+    ++observer_.counters.clientsRejected;
+    observer_.note(stats::Topic::Limits, "a client is rejected: no descriptor is left for it");
     session->rejectConnection();
   }
   if (draining_) session->drain(false);
@@ -241,4 +240,4 @@
   }
 }
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::downstream
--- a/src/downstream/client_listener.h
+++ b/src/downstream/client_listener.h
@@ -10,14 +10,14 @@
 #include "downstream/client_session.h"
 #include "upstream/descriptor_budget.h"
 
-namespace heathflow::routing {
+namespace heathflow::downstream {
 
 class ClientListener final : private transport::IoHandler, private ClientSessionOwner {
  public:
   // 'index': by which the pool knows the protocol. What all sessions share is shared by all listeners too.
-  ClientListener(transport::EventLoop& loop, Router& router, ConnectionPool& pool, DescriptorBudget& budget,
-                 Observer& observer, const protocol::Protocol& protocol, std::size_t index,
-                 ClientSession::Shared& shared);
+  ClientListener(transport::EventLoop& loop, routing::Router& router, upstream::ConnectionPool& pool,
+                 upstream::DescriptorBudget& budget, stats::Observer& observer,
+                 const protocol::Protocol& protocol, std::size_t index, ClientSession::Shared& shared);
   ~ClientListener() override;
 
   // 0, or the error number that stood in the way.
@@ -52,10 +52,10 @@
   void checkDrained();
 
   transport::EventLoop& loop_;
-  Router& router_;
-  ConnectionPool& pool_;
-  DescriptorBudget& budget_;
-  Observer& observer_;
+  routing::Router& router_;
+  upstream::ConnectionPool& pool_;
+  upstream::DescriptorBudget& budget_;
+  stats::Observer& observer_;
   const protocol::Protocol& protocol_;
   std::size_t protocolIndex_;
   ClientSession::Shared& shared_;
@@ -80,4 +80,4 @@
   Micros drainAt_ = 0;
 };
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::downstream
--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -5,10 +5,10 @@
 #include <string>
 
 #include "common/hash.h"
-#include "routing/outcome.h"
+#include "stats/enum_names.h"
 #include "wallclock/positions.h"
 
-namespace heathflow::routing {
+namespace heathflow::downstream {
 namespace {
 
 using Reason = protocol::ClientSide::Reason;
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-ClientSession::ClientSession(transport::EventLoop& loop, ClientSessionOwner& owner, Router& router,
-                             Shared& shared, Observer& observer, std::size_t protocol, std::string_view name,
-                             std::unique_ptr<protocol::ClientSide> side)
+ClientSession::ClientSession(transport::EventLoop& loop, ClientSessionOwner& owner, routing::Router& router,
+                             Shared& shared, stats::Observer& observer, std::size_t protocol,
+                             std::string_view name, std::unique_ptr<protocol::ClientSide> side)
     : loop_(loop),
       owner_(owner),
       router_(router),
@@ -48,8 +48,8 @@
       readTimeout_(loop,
                    [this] {
                      const bool unread = !stream_.output().empty();
-                     if (unread) ++observer_.counters.clientsNotReading;
-                     over(unread ? CloseReason::SlowReader : CloseReason::TooManyClients);
+                     if (unread) ++observer_.counters.slowReadersClosed;
+                     over(unread ? stats::CloseReason::SlowReader : stats::CloseReason::TooManyClients);
                    }),
       requestTimeout_(loop, [this] { onRequestTimeout(); }),
       nextTurn_(loop, [this] { process(); }),
@@ -70,14 +70,14 @@
 
 void ClientSession::onInput() {
   // A client that has closed waits for nothing: what it asked last is not begun.
-  if (stream_.hungUp()) return over(CloseReason::ByClient);
+  if (stream_.hungUp()) return over(stats::CloseReason::ByClient);
   noteArrivals();
   process();
   // A message for which there is no memory ends its connection, so that others get theirs.
   if (!stream_.stalled() || partSince_ == 0 || busy_ || over_ || lingering_) return;
   ++observer_.counters.memoryRejections;
-  note(Topic::Limits, "a client's message was turned away: no memory is left for it");
-  closeWithError(Reason::NoMemory, "no memory is left", CloseReason::NoMemory);
+  note(stats::Topic::Limits, "a request was rejected: no memory is left for it");
+  closeWithError(Reason::NoMemory, "no memory is left", stats::CloseReason::NoMemory);
 }
 
 // Records when the bytes that were just read arrived. What had no room in the input may have waited in the
@@ -106,11 +106,11 @@
 
 // A client that closes has left, whatever it had asked.
 void ClientSession::onEnd(transport::StreamEnd) {
-  if (lingering_ && !stream_.output().empty()) ++observer_.counters.clientsNotReading;
-  over(CloseReason::ByClient);
+  if (lingering_ && !stream_.output().empty()) ++observer_.counters.slowReadersClosed;
+  over(stats::CloseReason::ByClient);
 }
 
-void ClientSession::over(CloseReason why) {
+void ClientSession::over(stats::CloseReason why) {
   if (over_) return;
   over_ = true;
   closing(why);
@@ -124,15 +124,17 @@
   owner_.onSessionOver(*this);
 }
 
-void ClientSession::closing(CloseReason why) {
+void ClientSession::closing(stats::CloseReason why) {
   if (std::exchange(closed_, true)) return;
-  ++observer_.counters.closed[static_cast<std::size_t>(why)];
-  const bool fromHere = why != CloseReason::ByClient && why != CloseReason::ShutdownNotified;
+  ++observer_.counters.clientsClosed[static_cast<std::size_t>(why)];
+  const bool fromHere = why != stats::CloseReason::ByClient && why != stats::CloseReason::ShutdownNotified;
   router_.checker().closing(request_, fromHere && busy_);
   if (observer_.tracing) trace("closed: " + std::string(nameOf(why)));
 }
 
-void ClientSession::trace(const std::string& text) const { observer_.trace(Topic::Clients, text, about()); }
+void ClientSession::trace(const std::string& text) const {
+  observer_.trace(stats::Topic::Downstream, text, about());
+}
 
 void ClientSession::process() {
   if (processing_) return;
@@ -165,7 +167,7 @@
   using Kind = protocol::ClientSide::Step::Kind;
   if (step.violation) {
     ++observer_.counters.clientProtocolErrors;
-    note(Topic::Clients, "a client does not keep to the protocol");
+    note(stats::Topic::Downstream, "a client violates the protocol");
   }
   if (side_->introduced()) known_ = true;
   switch (step.kind) {
@@ -177,11 +179,11 @@
       if (draining_ && asked_ && stream_.input().empty()) closeIfIdle();
       return false;
     case Kind::Left:
-      over(CloseReason::ShutdownNotified);
+      over(stats::CloseReason::ShutdownNotified);
       return false;
     case Kind::Fatal:
       if (busy_) cancelRequest();
-      linger(CloseReason::ProtocolError, kLingerTimeout);
+      linger(stats::CloseReason::ProtocolError, kLingerTimeout);
       return false;
     case Kind::Request:
       partSince_ = 0;
@@ -211,8 +213,8 @@
   finishRequest();
 }
 
-About ClientSession::about() const {
-  About out;
+stats::LogContext ClientSession::about() const {
+  stats::LogContext out;
   out.connection = number_;
   out.request = id_;
   out.protocol = protocolName_;
@@ -220,14 +222,17 @@
   return out;
 }
 
-void ClientSession::note(Topic topic, const std::string& text) const { observer_.note(topic, text, about()); }
+void ClientSession::note(stats::Topic topic, const std::string& text) const {
+  observer_.note(topic, text, about());
+}
 
 // Passes the request at the front of the input on to the router. One that is not understood is failed, never
 // guessed at.
 void ClientSession::beginRequest() {
   asked_ = true;
   owner_.onSessionBusy(*this);
-  if (rejecting_) return closeWithError(Reason::TooMany, "too many clients", CloseReason::TooManyClients);
+  if (rejecting_)
+    return closeWithError(Reason::TooMany, "too many clients", stats::CloseReason::TooManyClients);
   std::string_view problem;
   group_.reset();
   const auto asked = side_->read(wire(), problem);
@@ -296,7 +301,7 @@
 
 void ClientSession::rejectRequest(std::string_view message) {
   ++observer_.counters.requestsMalformed;
-  note(Topic::Clients, std::string(message));
+  note(stats::Topic::Downstream, std::string(message));
   side_->rejected(message, stream_.output());
   busy_ = true;
   onAnswered();
@@ -312,7 +317,7 @@
   transport::Buffer& out = stream_.output();
   if (out.reserve(out.size() + answer.size() + protocol::ClientSide::kHeadroom)) return true;
   ++observer_.counters.memoryRejections;
-  note(Topic::Limits, "an answer was not passed on: no memory is left for it");
+  note(stats::Topic::Limits, "a response was not forwarded: no memory is left for it");
   return false;
 }
 
@@ -366,14 +371,14 @@
   if (!stream_.output().empty()) readTimeout_.arm(std::max(loop_.now(), deadline_) + kReadTimeout);
 }
 
-void ClientSession::closeWithError(Reason reason, std::string_view message, CloseReason why) {
+void ClientSession::closeWithError(Reason reason, std::string_view message, stats::CloseReason why) {
   side_->fatalError(reason, message, stream_.output());
   linger(why, kLingerTimeout);
 }
 
 // The orderly close of every connection. The client can still read what was sent, and a request that crosses
 // the close is neither sent on nor answered by a reset: its client sends it again on another connection.
-void ClientSession::linger(CloseReason why, Micros limit) {
+void ClientSession::linger(stats::CloseReason why, Micros limit) {
   closing(why);
   lingering_ = true;
   requestTimeout_.disarm();
@@ -385,11 +390,12 @@
 // The client has sent nothing, or has not finished a message, in time.
 void ClientSession::onRequestTimeout() {
   if (lingering_ || over_ || (busy_ && partSince_ == 0)) return;
-  if (stream_.input().empty()) return linger(CloseReason::IncompleteRequest, kReadTimeout);
+  if (stream_.input().empty()) return linger(stats::CloseReason::IncompleteRequest, kReadTimeout);
   if (busy_) cancelRequest();
   ++observer_.counters.clientProtocolErrors;
-  note(Topic::Clients, "a message was not finished in time");
-  closeWithError(Reason::Unfinished, "the message was not finished in time", CloseReason::IncompleteRequest);
+  note(stats::Topic::Downstream, "a message was not complete in time");
+  closeWithError(Reason::Unfinished, "the message was not finished in time",
+                 stats::CloseReason::IncompleteRequest);
 }
 
 void ClientSession::rejectConnection() {
@@ -403,7 +409,7 @@
   if (asked_) {
     closeIfIdle();
   } else if (closeNewcomers && mayClose()) {
-    closeWithError(Reason::ShuttingDown, "this gateway ends", CloseReason::IdleEvicted);
+    closeWithError(Reason::ShuttingDown, "this gateway ends", stats::CloseReason::IdleEvicted);
   }
 }
 
@@ -417,8 +423,8 @@
 
 bool ClientSession::closeIfIdle() {
   if (!mayClose()) return false;
-  linger(CloseReason::IdleEvicted, kReadTimeout);
+  linger(stats::CloseReason::IdleEvicted, kReadTimeout);
   return true;
 }
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::downstream
--- a/src/downstream/client_session.h
+++ b/src/downstream/client_session.h
@@ -16,7 +16,7 @@
 #include "transport/arrival_times.h"
 #include "transport/stream.h"
 
-namespace heathflow::routing {
+namespace heathflow::downstream {
 
 class ClientSession;
 
@@ -36,7 +36,7 @@
 
 // A session answers requests strictly in the order in which they came: the next one is looked at when the one
 // before it has its final answer. Each has its time from its own last byte on.
-class ClientSession final : public Requester, private transport::StreamOwner {
+class ClientSession final : public routing::Requester, private transport::StreamOwner {
  public:
   // What all sessions share.
   struct Shared {
@@ -57,8 +57,8 @@
 
   // 'protocol' is the index of the endpoints' side of the same protocol in the pool; 'name' is the protocol's
   // name and outlives the session, as all references do.
-  ClientSession(transport::EventLoop& loop, ClientSessionOwner& owner, Router& router, Shared& shared,
-                Observer& observer, std::size_t protocol, std::string_view name,
+  ClientSession(transport::EventLoop& loop, ClientSessionOwner& owner, routing::Router& router,
+                Shared& shared, stats::Observer& observer, std::size_t protocol, std::string_view name,
                 std::unique_ptr<protocol::ClientSide> side);
   ~ClientSession() override;
 
@@ -73,7 +73,7 @@
   // not go on. Says whether it did.
   bool closeIfIdle();
   // Closes a lingering connection at once, to free its descriptor.
-  void closeLingering() { over(CloseReason::LingerEnded); }
+  void closeLingering() { over(stats::CloseReason::LingerEnded); }
   // Whether the client has ever sent something that could be understood.
   bool known() const { return known_; }
   // Whether it has asked more than once what could be understood.
@@ -103,26 +103,26 @@
   bool handleStep(const protocol::ClientSide::Step& step);
   void rejectRequest(std::string_view message);
   void cancelRequest();
-  About about() const;
-  void note(Topic topic, const std::string& text) const;
+  stats::LogContext about() const;
+  void note(stats::Topic topic, const std::string& text) const;
   void trace(const std::string& text) const;
   bool fits(const protocol::Answer& answer);
   void onRequestTimeout();
   void onAnswered();
   void finishRequest();
   // Sends a fatal error and closes the connection in order.
-  void closeWithError(protocol::ClientSide::Reason reason, std::string_view message, CloseReason why);
-  void linger(CloseReason why, Micros limit);
+  void closeWithError(protocol::ClientSide::Reason reason, std::string_view message, stats::CloseReason why);
+  void linger(stats::CloseReason why, Micros limit);
   bool mayClose() const;
-  void over(CloseReason why);
+  void over(stats::CloseReason why);
   // Tells the guard that this connection is closed from here, and notes why.
-  void closing(CloseReason why);
+  void closing(stats::CloseReason why);
 
   transport::EventLoop& loop_;
   ClientSessionOwner& owner_;
-  Router& router_;
+  routing::Router& router_;
   Shared& shared_;
-  Observer& observer_;
+  stats::Observer& observer_;
   transport::Stream stream_;
   transport::Timer readTimeout_;     // for reading what the client no longer waits for
   transport::Timer requestTimeout_;  // for the first request, and for the rest of a message that has begun
@@ -153,4 +153,4 @@
   bool closed_ = false;         // why it is closed has been counted
 };
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::downstream
--- a/src/emulator/hollow.h
+++ b/src/emulator/hollow.h
@@ -24,13 +24,13 @@
   void end() { gateway_.reset(); }
   bool up() const { return gateway_ != nullptr; }
   // Of the newest life.
-  const routing::Counters& counters() const { return observer_->counters; }
+  const stats::Counters& counters() const { return observer_->counters; }
 
  private:
-  class Silent final : public routing::Observer {
+  class Silent final : public stats::Observer {
    public:
     using Observer::note;
-    void note(routing::Topic, const std::string&, const routing::About&) override {}
+    void note(stats::Topic, const std::string&, const stats::LogContext&) override {}
   };
 
   transport::EventLoop& loop_;
--- a/src/emulator/site.cpp
+++ b/src/emulator/site.cpp
@@ -46,8 +46,8 @@
 constexpr std::size_t kBreachesTold = 20;
 constexpr int kExitedWell = 0;
 // The counters' last line, by which they are whole.
-constexpr const char* kLastCounter = "connecting.for_requests";
-constexpr std::string_view kGivenUp = "given_up.";
+constexpr const char* kLastCounter = "upstream_connections.opened_for_requests";
+constexpr std::string_view kGivenUp = "rejected_by_reason.";
 // Phases as the list service writes them.
 constexpr const char* kTerminating = "Terminating";
 constexpr const char* kGone = "Gone";
--- a/src/invariants/invariant_checker.cpp
+++ b/src/invariants/invariant_checker.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr std::array<const char*, kInvariants> kNames = {
-    "sent_after_answer",    "sent_after_leaving", "sent_after_time",   "told_too_much_time",
-    "sent_to_draining",     "second_copy",        "repeated_effect",   "second_answer",
-    "refused_after_effect", "closed_unanswered",  "taken_after_close", "started_unready"};
+    "sent_after_answer",     "sent_after_disconnect", "sent_after_deadline",  "timeout_too_long",
+    "sent_to_draining",      "forbidden_hedge",       "repeated_effect",      "second_answer",
+    "rejected_after_effect", "closed_unanswered",     "accepted_after_close", "started_unready"};
 
 }  // namespace
 
--- a/src/program/counters.cpp
+++ b/src/program/counters.cpp
@@ -5,22 +5,21 @@
 #include <utility>
 #include <vector>
 
-#include "routing/outcome.h"
+#include "stats/enum_names.h"
 
 namespace heathflow::program {
 namespace {
 
 using invariants::nameOf;
-using routing::nameOf;
 using stats::nameOf;
 
 using Entry = std::pair<const char*, std::uint64_t>;
 
-// One entry of each value of an enumeration, by its name.
-template <typename Kind, std::size_t kCount>
+// One entry for each value of an enumeration, by its name.
+template <typename Enum, std::size_t kCount>
 std::vector<Entry> byName(const std::array<std::uint64_t, kCount>& counts) {
   std::vector<Entry> out;
-  for (std::size_t i = 0; i < kCount; ++i) out.emplace_back(nameOf(static_cast<Kind>(i)), counts[i]);
+  for (std::size_t i = 0; i < kCount; ++i) out.emplace_back(nameOf(static_cast<Enum>(i)), counts[i]);
   return out;
 }
 
@@ -36,53 +35,74 @@
   out += '\n';
 }
 
+void addRequests(std::string& out, const stats::Counters& counters) {
+  addGroup(out, "requests",
+           {{"accepted", counters.requestsAccepted},
+            {"served", counters.requestsServed},
+            {"rejected", counters.requestsRejected},
+            {"failed", counters.requestsFailed},
+            {"cancelled", counters.requestsCancelled},
+            {"malformed", counters.requestsMalformed}});
+  std::vector<Entry> attempts = {{"started", counters.attemptsStarted},
+                                 {"written", counters.attemptsWritten}};
+  const std::vector<Entry> ended = byName<AttemptOutcome>(counters.attemptsEnded);
+  attempts.insert(attempts.end(), ended.begin(), ended.end());
+  addGroup(out, "attempts", attempts);
+  addGroup(out, "retried_after", byName<AttemptOutcome>(counters.retriedAfter));
+}
+
+void addHealthChecks(std::string& out, const stats::Counters& counters) {
+  addGroup(out, "health_checks",
+           {{"started", counters.healthChecksStarted},
+            {"answered", counters.healthChecksAnswered},
+            {"rejected", counters.healthChecksRejected},
+            {"failed", counters.healthChecksFailed}});
+}
+
+void addDownstream(std::string& out, const stats::Counters& counters) {
+  addGroup(out, "downstream",
+           {{"accepted", counters.clientsAccepted},
+            {"rejected", counters.clientsRejected},
+            {"idle_evicted", counters.idleClientsEvicted},
+            {"slow_readers", counters.slowReadersClosed},
+            {"protocol_errors", counters.clientProtocolErrors}});
+  addGroup(out, "downstream_closed", byName<stats::CloseReason>(counters.clientsClosed));
+}
+
+void addUpstream(std::string& out, const stats::Counters& counters) {
+  addGroup(out, "upstream",
+           {{"opened", counters.connectionsOpened},
+            {"reused", counters.connectionsReused},
+            {"failed", counters.connectionsFailed},
+            {"idle_closed", counters.idleConnectionsClosed},
+            {"stale", counters.connectionsStale},
+            {"evicted", counters.connectionsEvicted},
+            {"protocol_errors", counters.endpointProtocolErrors}});
+}
+
+void addDiscovery(std::string& out, const stats::Counters& counters) {
+  addGroup(out, "discovery",
+           {{"calls", counters.discoveryCalls},
+            {"failures", counters.discoveryFailures},
+            {"lists", counters.listsTaken},
+            {"expired", counters.listsExpired},
+            {"expired_for_us", counters.listsExpiredFor},
+            {"attempts_on_expired", counters.attemptsOnExpiredList}});
+  addGroup(out, "discovery_failures", byName<stats::CallFailure>(counters.discoveryFailedBy));
+}
+
 }  // namespace
 
-std::string describe(const routing::Counters& c) {
+std::string describe(const stats::Counters& counters) {
   std::string out;
-  addGroup(out, "requests",
-           {{"taken", c.requestsTaken},
-            {"served", c.requestsServed},
-            {"refused", c.requestsRejected},
-            {"failed", c.requestsFailed},
-            {"left", c.requestsLeft},
-            {"malformed", c.requestsMalformed}});
-  std::vector<Entry> outcomes = {{"made", c.attemptsMade}, {"written", c.attemptsWritten}};
-  const std::vector<Entry> ended = byName<AttemptOutcome>(c.attemptsEnded);
-  outcomes.insert(outcomes.end(), ended.begin(), ended.end());
-  addGroup(out, "attempts", outcomes);
-  addGroup(out, "retried_after", byName<AttemptOutcome>(c.retriedAfter));
-  addGroup(out, "probes",
-           {{"made", c.healthChecksMade},
-            {"answered", c.healthChecksAnswered},
-            {"turned_away", c.healthChecksTurnedAway},
-            {"failed", c.healthChecksFailed}});
-  addGroup(out, "clients",
-           {{"accepted", c.clientsAccepted},
-            {"turned_away", c.clientsTurnedAway},
-            {"rested", c.clientsRested},
-            {"not_reading", c.clientsNotReading},
-            {"protocol_errors", c.clientProtocolErrors}});
-  addGroup(out, "closed", byName<routing::CloseReason>(c.closed));
-  addGroup(out, "members",
-           {{"opened", c.connectionsOpened},
-            {"reused", c.connectionsReused},
-            {"failed", c.connectionsFailed},
-            {"retired", c.connectionsRetired},
-            {"stale", c.connectionsStale},
-            {"spared", c.connectionsSpared},
-            {"protocol_errors", c.endpointProtocolErrors}});
-  addGroup(out, "discovery",
-           {{"calls", c.discoveryCalls},
-            {"failures", c.discoveryFailures},
-            {"lists", c.listsTaken},
-            {"expired", c.listsExpired},
-            {"expired_for_us", c.listsExpiredFor},
-            {"attempts_on_expired", c.attemptsOnExpiredList}});
-  addGroup(out, "discovery_failed", byName<stats::CallFailure>(c.discoveryFailedBy));
-  addGroup(out, "descriptors", {{"now", c.descriptors}, {"peak", c.descriptorsPeak}});
-  addGroup(out, "memory", {{"refusals", c.memoryRejections}});
-  addGroup(out, "invariants", byName<invariants::Invariant>(c.broken));
+  addRequests(out, counters);
+  addHealthChecks(out, counters);
+  addDownstream(out, counters);
+  addUpstream(out, counters);
+  addDiscovery(out, counters);
+  addGroup(out, "descriptors", {{"now", counters.descriptors}, {"peak", counters.descriptorsPeak}});
+  addGroup(out, "memory", {{"rejections", counters.memoryRejections}});
+  addGroup(out, "invariants", byName<invariants::Invariant>(counters.invariantViolations));
   return out;
 }
 
--- a/src/program/counters.h
+++ b/src/program/counters.h
@@ -1,4 +1,4 @@
-// The counters as text, for SIGUSR1 and the end.
+// The counters as text, for SIGUSR1, for the periodic print and for the end.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace heathflow::program {
 
-// Lines of "name value", in groups.
-std::string describe(const routing::Counters& counters);
+// Lines of "group: name=value ...".
+std::string describe(const stats::Counters& counters);
 
 }  // namespace heathflow::program
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -87,8 +87,8 @@
   return out;
 }
 
-routing::ConnectionPool::Protocols spokenBy(const Protocols& protocols) {
-  routing::ConnectionPool::Protocols out;
+upstream::ConnectionPool::Protocols spokenBy(const Protocols& protocols) {
+  upstream::ConnectionPool::Protocols out;
   for (const auto& protocol : protocols) out.push_back(protocol.get());
   return out;
 }
@@ -161,7 +161,7 @@
 
 }  // namespace
 
-Gateway::Gateway(transport::EventLoop& loop, const Config& config, routing::Observer& observer,
+Gateway::Gateway(transport::EventLoop& loop, const Config& config, stats::Observer& observer,
                  const installation::Installation& installation,
                  const std::optional<snapshot::Snapshot>& earlier)
     : loop_(loop),
@@ -200,15 +200,15 @@
   for (const installation::Listener& listener : installation_.listeners) addEntrance(listener, observer);
 }
 
-void Gateway::addEntrance(const installation::Listener& listener, routing::Observer& observer) {
+void Gateway::addEntrance(const installation::Listener& listener, stats::Observer& observer) {
   std::size_t index = 0;
   while (index + 1 < protocols_.size() && protocols_[index]->name() != listener.protocol) ++index;
   Entrance entrance;
   entrance.address = listener.address;
   entrance.name = listener.name;
   entrance.protocol = makeProtocol(listener.protocol, installation_, &listener);
-  entrance.listener = std::make_unique<routing::ClientListener>(loop_, router_, pool_, budget_, observer,
-                                                                *entrance.protocol, index, shared_);
+  entrance.listener = std::make_unique<downstream::ClientListener>(loop_, router_, pool_, budget_, observer,
+                                                                   *entrance.protocol, index, shared_);
   entrances_.push_back(std::move(entrance));
 }
 
@@ -277,7 +277,7 @@
   out.callCost = caller_.cost();
   const auto served = observer_.counters.attemptsEnded[static_cast<std::size_t>(AttemptOutcome::Ok)];
   if (served >= kAnswersToTell)
-    out.initialLatency = static_cast<Micros>(observer_.counters.answersTook / served);
+    out.initialLatency = static_cast<Micros>(observer_.counters.successfulAttemptTime / served);
   return out;
 }
 
--- a/src/program/gateway.h
+++ b/src/program/gateway.h
@@ -20,7 +20,7 @@
 class Gateway {
  public:
   // Without an installation it serves as the platform has it: one listener, one protocol.
-  Gateway(transport::EventLoop& loop, const Config& config, routing::Observer& observer,
+  Gateway(transport::EventLoop& loop, const Config& config, stats::Observer& observer,
           const installation::Installation& installation = {},
           const std::optional<snapshot::Snapshot>& earlier = {});
 
@@ -48,24 +48,24 @@
   const Config& config_;
   installation::Installation installation_;
   std::vector<std::unique_ptr<protocol::Protocol>> protocols_;  // by the pool's index
-  routing::DescriptorBudget budget_;
-  routing::ConnectionPool pool_;
+  upstream::DescriptorBudget budget_;
+  upstream::ConnectionPool pool_;
   routing::Router router_;
-  routing::Observer& observer_;
+  stats::Observer& observer_;
   routing::Directory directory_;
   discovery::Caller caller_;
   routing::DiscoveryWatch watch_;
   snapshot::Snapshot memory_;  // of the list as it is, and of earlier lives
   std::string movedTo_;        // the list service's new place, while the list is still of the old one
-  routing::ClientSession::Shared shared_;
+  downstream::ClientSession::Shared shared_;
   struct Entrance {
     transport::SocketAddress address;
     std::string name;
     std::unique_ptr<protocol::Protocol> protocol;
-    std::unique_ptr<routing::ClientListener> listener;
+    std::unique_ptr<downstream::ClientListener> listener;
   };
   void take(const protocol::EndpointList& list);
-  void addEntrance(const installation::Listener& listener, routing::Observer& observer);
+  void addEntrance(const installation::Listener& listener, stats::Observer& observer);
   std::vector<Entrance> entrances_;
   bool ending_ = false;
   std::size_t draining_ = 0;  // listeners that are not yet done
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -18,8 +18,8 @@
 using installation::LogForm;
 using Level = spdlog::level::level_enum;
 
-constexpr std::array<const char*, routing::kTopics> kNames = {"clients", "members",    "discovery",
-                                                              "limits",  "invariants", "requests"};
+constexpr std::array<const char*, stats::kTopics> kNames = {"downstream", "upstream",   "discovery",
+                                                            "limits",     "invariants", "requests"};
 
 // Said of the process itself.
 constexpr const char* kOwnTopic = "process";
@@ -104,7 +104,7 @@
   to.logger->log(level, spdlog::string_view_t(line.data(), line.size()));
 }
 
-std::string lineOf(LogForm form, const char* topic, const std::string& text, const routing::About& about) {
+std::string lineOf(LogForm form, const char* topic, const std::string& text, const stats::LogContext& about) {
   std::string line;
   if (form == LogForm::Text) {
     if (topic != kOwnTopic) line = std::string(topic) + ": ";
@@ -123,7 +123,7 @@
   return line;
 }
 
-void write(Level level, const char* topic, const std::string& text, const routing::About& about) {
+void write(Level level, const char* topic, const std::string& text, const stats::LogContext& about) {
   Writer& to = writer();
   if (!to.logger->should_log(level)) return;
   if (to.lost > 0 && readerKeepsUp()) {
@@ -164,11 +164,11 @@
 
 void logLine(const std::string& text) { write(Level::info, kOwnTopic, text, {}); }
 
-void Log::trace(routing::Topic topic, const std::string& text, const routing::About& about) {
+void Log::trace(stats::Topic topic, const std::string& text, const stats::LogContext& about) {
   write(Level::trace, kNames[static_cast<std::size_t>(topic)], text, about);
 }
 
-void Log::note(routing::Topic topic, const std::string& text, const routing::About& about) {
+void Log::note(stats::Topic topic, const std::string& text, const stats::LogContext& about) {
   const auto index = static_cast<std::size_t>(topic);
   Bucket& bucket = buckets_[index];
   const std::int64_t second = seconds_();
--- a/src/program/log.h
+++ b/src/program/log.h
@@ -17,7 +17,7 @@
 // Writes one line, always. For what is said once: start, end, what was asked for.
 void logLine(const std::string& text);
 
-class Log final : public routing::Observer {
+class Log final : public stats::Observer {
  public:
   using Seconds = std::function<std::int64_t()>;
   Log();
@@ -27,9 +27,9 @@
 
   // Guards the disk and the CPU of a process in trouble: the rest of a second's lines are only counted.
   using Observer::note;
-  void note(routing::Topic topic, const std::string& text, const routing::About& about) override;
+  void note(stats::Topic topic, const std::string& text, const stats::LogContext& about) override;
   // Not limited: it is for one who looks for a cause, and asked for.
-  void trace(routing::Topic topic, const std::string& text, const routing::About& about) override;
+  void trace(stats::Topic topic, const std::string& text, const stats::LogContext& about) override;
 
  private:
   struct Bucket {
@@ -39,7 +39,7 @@
   };
   Seconds seconds_;
   unsigned linesPerSecond_ = installation::LogSettings{}.linesPerSecond;
-  std::array<Bucket, routing::kTopics> buckets_{};
+  std::array<Bucket, stats::kTopics> buckets_{};
 };
 
 }  // namespace heathflow::program
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -30,7 +30,7 @@
 
 constexpr std::string_view kServe = "serve";
 
-void logCounters(const routing::Observer& observer) {
+void logCounters(const stats::Observer& observer) {
   std::istringstream lines(program::describe(observer.counters) + stats::describe(observer.upstreamStats));
   for (std::string line; std::getline(lines, line);) program::logLine(line);
 }
--- a/src/routing/outcome.cpp
+++ b/src/routing/outcome.cpp
@@ -1,6 +1,5 @@
 #include "routing/outcome.h"
 
-#include <array>
 #include <limits>
 
 #include "protocol/load_report.h"
@@ -23,30 +22,20 @@
   return field ? protocol::parseDecimal(*field) : std::nullopt;
 }
 
-constexpr std::array<const char*, kOutcomes> kOutcomeNames = {
-    "ok",        "error",      "full", "timed_out", "connect_failed", "reset",
-    "cancelled", "never_sent", "miss", "malformed", "withdrawn",      "stale"};
-constexpr std::array<const char*, kCloseReasons> kCloseNames = {"by_client",   "rested",     "told",
-                                                                "not_reading", "unfinished", "rejected",
-                                                                "no_memory",   "violation",  "lingered"};
-
 }  // namespace
 
-const char* nameOf(AttemptOutcome outcome) { return kOutcomeNames.at(static_cast<std::size_t>(outcome)); }
-const char* nameOf(CloseReason reason) { return kCloseNames.at(static_cast<std::size_t>(reason)); }
-
 bool mayHaveRun(AttemptOutcome outcome) {
   return outcome != AttemptOutcome::Overloaded && outcome != AttemptOutcome::ConnectFailed &&
          outcome != AttemptOutcome::NotSent && outcome != AttemptOutcome::PreconditionFailed;
 }
 
-AttemptOutcome outcomeOf(const ExchangeEnd& end) {
-  if (end.cause == ExchangeEnd::Cause::Unwanted) return AttemptOutcome::NotSent;
+AttemptOutcome outcomeOf(const upstream::ExchangeEnd& end) {
+  if (end.cause == upstream::ExchangeEnd::Cause::Unwanted) return AttemptOutcome::NotSent;
   // Whatever ends it before its last byte is written, it has not run.
-  if (end.stage == Stage::Connecting || end.stage == Stage::PartlyWritten)
+  if (end.stage == upstream::Stage::Connecting || end.stage == upstream::Stage::PartlyWritten)
     return AttemptOutcome::ConnectFailed;
-  if (end.cause == ExchangeEnd::Cause::Malformed) return AttemptOutcome::Malformed;
-  if (end.cause != ExchangeEnd::Cause::Answered) return AttemptOutcome::ConnectionReset;
+  if (end.cause == upstream::ExchangeEnd::Cause::Malformed) return AttemptOutcome::Malformed;
+  if (end.cause != upstream::ExchangeEnd::Cause::Answered) return AttemptOutcome::ConnectionReset;
   switch (end.answer->kind) {
     case Kind::Value:
       return AttemptOutcome::Ok;
@@ -84,9 +73,9 @@
   return report;
 }
 
-void readNews(const settings::InstanceSettings& settings, const ExchangeEnd& end, Micros now,
+void readNews(const settings::InstanceSettings& settings, const upstream::ExchangeEnd& end, Micros now,
               wallclock::EndpointTime& clocks, AttemptEnded& event) {
-  if (end.cause != ExchangeEnd::Cause::Answered) return;
+  if (end.cause != upstream::ExchangeEnd::Cause::Answered) return;
   const protocol::Answer& answer = *end.answer;
   if (answer.primary) event.role = *answer.primary ? Role::Primary : Role::Replica;
   if (answer.positionMs && *answer.positionMs <= kLatestMs)
@@ -94,12 +83,13 @@
   event.report = readReport(settings, answer.report.of(end.bytes), now, clocks);
 }
 
-HealthCheckEnded healthCheckEndOf(const settings::InstanceSettings& settings, const ExchangeEnd& end,
-                                  Micros now, wallclock::EndpointTime& clocks) {
+HealthCheckEnded healthCheckEndOf(const settings::InstanceSettings& settings,
+                                  const upstream::ExchangeEnd& end, Micros now,
+                                  wallclock::EndpointTime& clocks) {
   HealthCheckEnded event;
   // It lives, and has told nothing.
-  event.rejected =
-      end.dropped || (end.cause == ExchangeEnd::Cause::Malformed && end.stage != Stage::Connecting);
+  event.rejected = end.dropped || (end.cause == upstream::ExchangeEnd::Cause::Malformed &&
+                                   end.stage != upstream::Stage::Connecting);
   if (end.answer == nullptr) return event;
   if (end.answer->kind == Kind::Value) {
     event.ok = true;
--- a/src/routing/outcome.h
+++ b/src/routing/outcome.h
@@ -5,26 +5,24 @@
 
 #include "policy/routing_policy.h"
 #include "settings/settings.h"
-#include "stats/observer.h"
 #include "upstream/endpoint_connection.h"
 #include "wallclock/positions.h"
 
 namespace heathflow::routing {
 
-const char* nameOf(AttemptOutcome outcome);
-const char* nameOf(CloseReason reason);
 // Whether an attempt that ended so may have had its effect, or may yet.
 bool mayHaveRun(AttemptOutcome outcome);
-AttemptOutcome outcomeOf(const ExchangeEnd& end);
+AttemptOutcome outcomeOf(const upstream::ExchangeEnd& end);
 
 // The role, position and report that came with an answer.
-void readNews(const settings::InstanceSettings& settings, const ExchangeEnd& end, Micros now,
+void readNews(const settings::InstanceSettings& settings, const upstream::ExchangeEnd& end, Micros now,
               wallclock::EndpointTime& clocks, AttemptEnded& event);
 // A load report as text, rounded so that it never claims too much; empty where it can't be read.
 LoadReport readReport(const settings::InstanceSettings& settings, std::string_view text, Micros now,
                       wallclock::EndpointTime& clocks);
 // A health check's answer.
-HealthCheckEnded healthCheckEndOf(const settings::InstanceSettings& settings, const ExchangeEnd& end,
-                                  Micros now, wallclock::EndpointTime& clocks);
+HealthCheckEnded healthCheckEndOf(const settings::InstanceSettings& settings,
+                                  const upstream::ExchangeEnd& end, Micros now,
+                                  wallclock::EndpointTime& clocks);
 
 }  // namespace heathflow::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -6,6 +6,7 @@
 
 #include "common/overloaded.h"
 #include "routing/outcome.h"
+#include "stats/enum_names.h"
 
 namespace heathflow::routing {
 namespace {
@@ -41,7 +42,7 @@
   std::size_t pending = 0;
 };
 
-struct Router::AttemptState final : Exchange {
+struct Router::AttemptState final : upstream::Exchange {
   AttemptState(Router& owner, RequestState& of, std::uint32_t number, EndpointId to)
       : router(owner),
         request(of),
@@ -75,7 +76,9 @@
   void onRoom() override {
     if (request.requester != nullptr) request.requester->onRoom();
   }
-  void onExchangeEnd(const ExchangeEnd& end) override { router.attemptEnded(*this, outcomeOf(end), &end); }
+  void onExchangeEnd(const upstream::ExchangeEnd& end) override {
+    router.attemptEnded(*this, outcomeOf(end), &end);
+  }
 
   Router& router;
   RequestState& request;
@@ -86,7 +89,7 @@
   bool asPrimary = false;
   Micros waitedSince = 0;  // for its client, with nothing owed by the endpoint; 0: it does not
   Micros waited = 0;       // and before that
-  EndpointConnection* connection = nullptr;
+  upstream::EndpointConnection* connection = nullptr;
   bool ended = false;
   AttemptOutcome outcome = AttemptOutcome::Cancelled;  // once it has ended
   bool asking = false;                                 // whether it may still be written
@@ -94,21 +97,21 @@
   transport::Timer limit;
 };
 
-struct Router::HealthCheckState final : Exchange {
+struct Router::HealthCheckState final : upstream::Exchange {
   HealthCheckState(Router& owner, EndpointId to)
       : router(owner),
         endpoint(to),
         startedAt(owner.loop_.now()),
         limit(owner.loop_, [this] { router.healthCheckOverdue(*this); }) {}
 
-  stats::Purpose purpose() const override { return stats::Purpose::HealthCheck; }
+  stats::TrafficType trafficType() const override { return stats::TrafficType::HealthCheck; }
   bool write(protocol::EndpointSide& side, transport::Buffer& out) override {
     return side.askHealthCheck(out);
   }
-  void onExchangeEnd(const ExchangeEnd& end) override {
+  void onExchangeEnd(const upstream::ExchangeEnd& end) override {
     // A connection that breaks says nothing of its endpoint: once more, on a new one.
     if (end.dropped && !std::exchange(repeated, true))
-      return router.startHealthCheck(*this, ConnectionPool::Over::NewOne);
+      return router.startHealthCheck(*this, upstream::ConnectionPool::Over::NewOne);
     HealthCheckEnded event =
         healthCheckEndOf(router.settings_, end, router.loop_.now(), router.endpointTime_);
     if (event.ok) event.connectionAge = connection->connectionAge();
@@ -118,13 +121,13 @@
   Router& router;
   EndpointId endpoint;
   Micros startedAt;
-  EndpointConnection* connection = nullptr;
+  upstream::EndpointConnection* connection = nullptr;
   bool repeated = false;
   transport::Timer limit;
 };
 
 Router::Router(transport::EventLoop& loop, settings::InstanceSettings settings, std::uint64_t seed,
-               ConnectionPool& pool, Observer& observer)
+               upstream::ConnectionPool& pool, stats::Observer& observer)
     : loop_(loop),
       settings_(std::move(settings)),
       pool_(pool),
@@ -159,27 +162,27 @@
 }
 
 void Router::invariantBroken(invariants::Invariant invariant, RequestId request) {
-  ++observer_.counters.broken[static_cast<std::size_t>(invariant)];
+  ++observer_.counters.invariantViolations[static_cast<std::size_t>(invariant)];
   const auto found = requests_.find(request);
   const Requester* requester = found == requests_.end() ? nullptr : found->second->requester;
-  About about;
+  stats::LogContext about;
   if (requester != nullptr) about.request = requester->name();
-  observer_.note(Topic::Invariants,
-                 std::string("broken: ") + invariants::nameOf(invariant) + " request " +
+  observer_.note(stats::Topic::Invariants,
+                 std::string("violated: ") + invariants::nameOf(invariant) + " request " +
                      std::string(about.request.empty() ? "unknown" : about.request),
                  about);
 }
 
 void Router::trace(const RequestState& state, const std::string& text) const {
-  About about;
+  stats::LogContext about;
   about.request = state.name;
-  observer_.trace(Topic::Requests, state.name + ": " + text, about);
+  observer_.trace(stats::Topic::Requests, state.name + ": " + text, about);
 }
 
 void Router::traceEnd(RequestId id, const char* how, RejectReason why) const {
   const auto found = requests_.find(id);
   if (!observer_.tracing || found == requests_.end() || found->second->requester == nullptr) return;
-  trace(*found->second, std::string(how) + " for " + std::string(stats::nameOf(why)));
+  trace(*found->second, std::string(how) + ": " + stats::nameOf(why));
 }
 
 void Router::post(Event event) {
@@ -208,10 +211,10 @@
                  [&](const SendAttempt& a) { attempt(a); },
                  [&](const CancelAttempt& a) { cancel(a); },
                  [&](const RejectRequest& a) {
-                   traceEnd(a.request, "refused", a.reason);
+                   traceEnd(a.request, "rejected", a.reason);
                    Requester* requester = settle(a.request, observer_.counters.requestsRejected);
                    if (requester == nullptr) return;
-                   observer_.upstreamStats.givenUp(a.reason);
+                   observer_.upstreamStats.requestRejected(a.reason);
                    checker_.answered(a.request, invariants::InvariantChecker::Final::Rejected);
                    requester->rejected(a.retryAfter);
                  },
@@ -219,7 +222,7 @@
                    traceEnd(a.request, "failed", a.reason);
                    Requester* requester = settle(a.request, observer_.counters.requestsFailed);
                    if (requester == nullptr) return;
-                   observer_.upstreamStats.givenUp(a.reason);
+                   observer_.upstreamStats.requestRejected(a.reason);
                    checker_.answered(a.request, invariants::InvariantChecker::Final::Failed);
                    requester->failed();
                  },
@@ -271,7 +274,7 @@
   }
   checker_.taken(request);
   requests_.emplace(request.id, std::move(state));
-  ++observer_.counters.requestsTaken;
+  ++observer_.counters.requestsAccepted;
   post(RequestArrived{request});
 }
 
@@ -298,7 +301,7 @@
 void Router::resume(RequestId request) {
   const auto found = requests_.find(request);
   if (found == requests_.end() || found->second->bound == nullptr) return;
-  EndpointConnection* connection = found->second->bound->connection;
+  upstream::EndpointConnection* connection = found->second->bound->connection;
   if (connection != nullptr) connection->resume();
 }
 
@@ -322,7 +325,7 @@
   const auto found = requests_.find(request);
   if (observer_.tracing && found != requests_.end()) trace(*found->second, "its client left");
   checker_.left(request);
-  if (settle(request, observer_.counters.requestsLeft) != nullptr) post(ClientDisconnected{request});
+  if (settle(request, observer_.counters.requestsCancelled) != nullptr) post(ClientDisconnected{request});
 }
 
 // The request has its one answer, or nobody waits for it.
@@ -347,7 +350,7 @@
       *this, state, static_cast<std::uint32_t>(state.attempts.size()), action.endpoint));
   AttemptState& attempt = *state.attempts.back();
   ++state.pending;
-  ++observer_.counters.attemptsMade;
+  ++observer_.counters.attemptsStarted;
   if (state.attempts.size() > 1) {
     const AttemptOutcome before = state.attempts[state.attempts.size() - 2]->outcome;
     ++observer_.counters.retriedAfter[static_cast<std::size_t>(before)];
@@ -356,7 +359,7 @@
   if (observer_.tracing)
     trace(state, "attempt " + std::to_string(attempt.index) + " at " + pool_.whereOf(action.endpoint) +
                      ", by " + listState());
-  observer_.upstreamStats.sent(action.endpoint);
+  observer_.upstreamStats.requestSent(action.endpoint);
   attempt.asPrimary = action.asPrimary;
   attempt.until = action.abandonAt == 0 ? state.deadline : std::min(action.abandonAt, state.deadline);
   if (state.requester == nullptr || attempt.until <= loop_.now()) {
@@ -364,12 +367,12 @@
   }
   attempt.limit.arm(attempt.until);
   switch (pool_.start(action.endpoint, state.protocol, attempt, attempt.connection)) {
-    case ConnectionPool::Started::Yes:
+    case upstream::ConnectionPool::Started::Yes:
       return;
-    case ConnectionPool::Started::NoRoom:
-      observer_.note(Topic::Limits, "an attempt was not sent: no descriptor is left for it");
+    case upstream::ConnectionPool::Started::NoRoom:
+      observer_.note(stats::Topic::Limits, "an attempt was not sent: no descriptor is left for it");
       return attemptEnded(attempt, AttemptOutcome::NotSent, nullptr);
-    case ConnectionPool::Started::Unreachable:
+    case upstream::ConnectionPool::Started::Unreachable:
       return attemptEnded(attempt, AttemptOutcome::ConnectFailed, nullptr);
   }
 }
@@ -402,7 +405,7 @@
   giveUp(attempt, AttemptOutcome::Cancelled);
 }
 
-void Router::attemptEnded(AttemptState& attempt, AttemptOutcome outcome, const ExchangeEnd* end,
+void Router::attemptEnded(AttemptState& attempt, AttemptOutcome outcome, const upstream::ExchangeEnd* end,
                           bool rolledBack) {
   if (attempt.ended) return;
   attempt.ended = true;
@@ -418,8 +421,8 @@
   ++observer_.counters.attemptsEnded[static_cast<std::size_t>(outcome)];
   attempt.outcome = outcome;
   if (observer_.tracing)
-    trace(state, "attempt " + std::to_string(attempt.index) + " ended: " + nameOf(outcome) + " after " +
-                     std::to_string((loop_.now() - attempt.startedAt) / kMicrosPerMilli) + " ms");
+    trace(state, "attempt " + std::to_string(attempt.index) + " ended: " + stats::nameOf(outcome) +
+                     " after " + std::to_string((loop_.now() - attempt.startedAt) / kMicrosPerMilli) + " ms");
   event.request = id;
   event.attempt = attempt.index;
   event.endpoint = attempt.endpoint;
@@ -427,11 +430,12 @@
   if (attempt.waitedSince != 0) attempt.waited += loop_.now() - attempt.waitedSince;
   event.elapsed = loop_.now() - attempt.startedAt - attempt.waited;
   if (outcome == AttemptOutcome::Ok)
-    observer_.counters.answersTook += static_cast<std::uint64_t>(std::max<Micros>(0, event.elapsed));
+    observer_.counters.successfulAttemptTime +=
+        static_cast<std::uint64_t>(std::max<Micros>(0, event.elapsed));
   event.rolledBack = rolledBack || (end != nullptr && end->rolledBack);
   checker_.ended(id, attempt.index, mayHaveRun(outcome) && !event.rolledBack);
   // An endpoint that has no room for a connection says so.
-  event.mayLackConnections = end != nullptr && end->cause == ExchangeEnd::Cause::TurnedDown;
+  event.mayLackConnections = end != nullptr && end->cause == upstream::ExchangeEnd::Cause::TurnedDown;
   --state.pending;
   // Once another attempt's answer is under way this one's is nobody's.
   const bool stray = state.bound != nullptr && state.bound != &attempt;
@@ -451,28 +455,28 @@
 void Router::healthCheck(const StartHealthCheck& action) {
   const EndpointId endpoint = action.endpoint;
   if (healthChecks_.contains(endpoint)) return;
-  ++observer_.counters.healthChecksMade;
-  observer_.upstreamStats.healthChecked(endpoint, action.reason);
+  ++observer_.counters.healthChecksStarted;
+  observer_.upstreamStats.healthCheckStarted(endpoint, action.reason);
   HealthCheckState& state =
       *healthChecks_.emplace(endpoint, std::make_unique<HealthCheckState>(*this, endpoint)).first->second;
   // A health check has no limit of its own in the settings: it gets that of a connection.
   state.limit.arm(loop_.now() + settings_.logic.connectTimeout);
-  startHealthCheck(
-      state, action.onOldestConnection ? ConnectionPool::Over::OldestIdle : ConnectionPool::Over::NewestIdle);
+  startHealthCheck(state, action.onOldestConnection ? upstream::ConnectionPool::Over::OldestIdle
+                                                    : upstream::ConnectionPool::Over::NewestIdle);
 }
 
-void Router::startHealthCheck(HealthCheckState& healthCheck, ConnectionPool::Over over) {
+void Router::startHealthCheck(HealthCheckState& healthCheck, upstream::ConnectionPool::Over over) {
   switch (pool_.start(healthCheck.endpoint, pool_.protocolFor(healthCheck.endpoint), healthCheck,
                       healthCheck.connection, over)) {
-    case ConnectionPool::Started::Yes:
+    case upstream::ConnectionPool::Started::Yes:
       return;
-    case ConnectionPool::Started::NoRoom: {
+    case upstream::ConnectionPool::Started::NoRoom: {
       // Our own want of descriptors says nothing against the endpoint.
       HealthCheckEnded notNow;
       notNow.rejected = true;
       return healthCheckEnded(healthCheck, notNow);
     }
-    case ConnectionPool::Started::Unreachable:
+    case upstream::ConnectionPool::Started::Unreachable:
       return healthCheckEnded(healthCheck, {});
   }
 }
@@ -493,7 +497,7 @@
   event.endpoint = healthCheck.endpoint;
   event.elapsed = loop_.now() - healthCheck.startedAt;
   ++(event.ok         ? observer_.counters.healthChecksAnswered
-     : event.rejected ? observer_.counters.healthChecksTurnedAway
+     : event.rejected ? observer_.counters.healthChecksRejected
                       : observer_.counters.healthChecksFailed);
   observer_.upstreamStats.healthCheckEnded(event.endpoint, event.ok);
   loop_.retire(std::move(found->second));
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -42,7 +42,7 @@
 class Router {
  public:
   Router(transport::EventLoop& loop, settings::InstanceSettings settings, std::uint64_t seed,
-         ConnectionPool& pool, Observer& observer);
+         upstream::ConnectionPool& pool, stats::Observer& observer);
   ~Router();
 
   // Where the routing policy's wish for news of endpoints goes.
@@ -92,10 +92,10 @@
   void attempt(const SendAttempt& action);
   void cancel(const CancelAttempt& action);
   void healthCheck(const StartHealthCheck& action);
-  void startHealthCheck(HealthCheckState& healthCheck, ConnectionPool::Over over);
+  void startHealthCheck(HealthCheckState& healthCheck, upstream::ConnectionPool::Over over);
   void finish(RequestState& state);
   bool passOn(AttemptState& attempt, const protocol::Answer& answer, std::string_view bytes);
-  void attemptEnded(AttemptState& attempt, AttemptOutcome outcome, const ExchangeEnd* end,
+  void attemptEnded(AttemptState& attempt, AttemptOutcome outcome, const upstream::ExchangeEnd* end,
                     bool rolledBack = false);
   void attemptOverdue(AttemptState& attempt);
   void giveUp(AttemptState& attempt, AttemptOutcome outcome);
@@ -111,8 +111,8 @@
 
   transport::EventLoop& loop_;
   settings::InstanceSettings settings_;
-  ConnectionPool& pool_;
-  Observer& observer_;
+  upstream::ConnectionPool& pool_;
+  stats::Observer& observer_;
   std::function<void()> subscribe_;
   std::unordered_map<RequestId, std::unique_ptr<RequestState>> requests_;
   std::unordered_map<EndpointId, std::unique_ptr<HealthCheckState>> healthChecks_;
--- a/src/standins/gateway_rig.h
+++ b/src/standins/gateway_rig.h
@@ -103,10 +103,10 @@
          more + " */";
 }
 
-class Notes final : public routing::Observer {
+class Notes final : public stats::Observer {
  public:
   using Observer::note;
-  void note(routing::Topic, const std::string& text, const routing::About&) override {
+  void note(stats::Topic, const std::string& text, const stats::LogContext&) override {
     lines.push_back(text);
   }
   std::vector<std::string> lines;
@@ -183,7 +183,7 @@
   bool until(Condition&& condition) {
     return test::until(loop, std::forward<Condition>(condition));
   }
-  const routing::Counters& counters() const { return notes.counters; }
+  const stats::Counters& counters() const { return notes.counters; }
   std::uint64_t outcomes(AttemptOutcome outcome) const {
     return counters().attemptsEnded[static_cast<std::size_t>(outcome)];
   }
--- a/src/stats/call_failure.cpp
+++ b/src/stats/call_failure.cpp
@@ -5,8 +5,8 @@
 namespace heathflow::stats {
 namespace {
 
-constexpr std::array<const char*, kCallFailures> kFailureNames = {"turned_away", "broken", "silent",
-                                                                  "unreachable", "unreadable"};
+constexpr std::array<const char*, kCallFailures> kFailureNames = {"rejected", "connection_reset", "timed_out",
+                                                                  "unreachable", "malformed"};
 
 }  // namespace
 
--- a/src/stats/call_failure.h
+++ b/src/stats/call_failure.h
@@ -1,17 +1,16 @@
-// Why a call of the list service brought no list.
+// Why a call to the list service brought no endpoint list.
 #pragma once
 
 #include <cstddef>
 
 namespace heathflow::stats {
 
-// How a call ended that brought no list.
 enum class CallFailure {
-  TurnedAway,   // the service answered that it can't: it has too many callers
-  Broken,       // the connection broke under the call
-  Silent,       // no answer in time
-  Unreachable,  // no connection
-  Unreadable    // an answer that is none
+  Rejected,         // the service answered that it is overloaded
+  ConnectionReset,  // the connection broke during the call
+  TimedOut,
+  Unreachable,  // no connection could be opened
+  Malformed     // the answer can't be read
 };
 inline constexpr std::size_t kCallFailures = 5;
 const char* nameOf(CallFailure failure);
--- /dev/null
+++ b/src/stats/enum_names.cpp
@@ -0,0 +1,38 @@
+#include "stats/enum_names.h"
+
+#include <array>
+
+#include "stats/upstream_stats.h"
+
+namespace heathflow::stats {
+namespace {
+
+// Each table is in the order of its enumeration.
+constexpr std::array<const char*, kAttemptOutcomes> kAttemptOutcomeNames = {
+    "ok",        "error",    "overloaded",          "timed_out", "connect_failed", "connection_reset",
+    "cancelled", "not_sent", "precondition_failed", "malformed", "abandoned",      "lost_leadership"};
+
+constexpr std::array<const char*, kCloseReasons> kCloseReasonNames = {
+    "by_client",        "idle_evicted", "shutdown_notified", "slow_reader", "incomplete_request",
+    "too_many_clients", "no_memory",    "protocol_error",    "linger_ended"};
+
+constexpr std::array<const char*, kHealthCheckReasons> kHealthCheckReasonNames = {
+    "initial", "position_stale", "read_waiting", "primary_unknown", "connection_broken", "unresponsive"};
+
+constexpr std::array<const char*, kRejectReasons> kRejectReasonNames = {
+    "none",  "load_shed",  "no_primary",         "awaiting_health_check", "concurrency_limit",
+    "paced", "slow_start", "deadline_too_close", "attempts_exhausted",    "endpoint_list_expired"};
+
+template <typename Enum, std::size_t kSize>
+const char* lookUp(const std::array<const char*, kSize>& names, Enum value) {
+  return names.at(static_cast<std::size_t>(value));
+}
+
+}  // namespace
+
+const char* nameOf(AttemptOutcome outcome) { return lookUp(kAttemptOutcomeNames, outcome); }
+const char* nameOf(CloseReason reason) { return lookUp(kCloseReasonNames, reason); }
+const char* nameOf(HealthCheckReason reason) { return lookUp(kHealthCheckReasonNames, reason); }
+const char* nameOf(RejectReason reason) { return lookUp(kRejectReasonNames, reason); }
+
+}  // namespace heathflow::stats
--- /dev/null
+++ b/src/stats/enum_names.h
@@ -0,0 +1,16 @@
+// The names of outcomes and reasons as counters and log lines show them.
+#pragma once
+
+#include <cstddef>
+
+#include "policy/routing_policy.h"
+#include "stats/counters.h"
+
+namespace heathflow::stats {
+
+const char* nameOf(AttemptOutcome outcome);
+const char* nameOf(CloseReason reason);
+const char* nameOf(HealthCheckReason reason);
+const char* nameOf(RejectReason reason);
+
+}  // namespace heathflow::stats
--- a/src/stats/upstream_stats.cpp
+++ b/src/stats/upstream_stats.cpp
@@ -3,103 +3,110 @@
 #include <algorithm>
 #include <utility>
 
+#include "stats/enum_names.h"
+
 namespace heathflow::stats {
 namespace {
 
-constexpr std::array<std::string_view, kHealthCheckReasons> kNames = {"first", "stale",   "need",
-                                                                      "role",  "suspect", "silent"};
-
-constexpr std::array<std::string_view, kRejectReasons> kRejectReasonNames = {
-    "ended_badly", "jam", "no_primary", "probe", "limit", "pace", "cold", "time", "attempts", "list"};
+constexpr std::size_t kForRequests = static_cast<std::size_t>(TrafficType::Request);
+constexpr std::size_t kForHealthChecks = static_cast<std::size_t>(TrafficType::HealthCheck);
 
-void count(Carried& carried, Purpose purpose) {
-  ++(purpose == Purpose::Request ? carried.requests : carried.healthChecks);
+void count(ConnectionUsage& usage, TrafficType traffic) {
+  ++(traffic == TrafficType::Request ? usage.requests : usage.healthChecks);
 }
 
 void add(std::string& out, const std::string& name, std::uint64_t value) {
   out += ' ' + name + '=' + std::to_string(value);
 }
 
-}  // namespace
+std::string describeHealthChecks(const UpstreamStats& upstreamStats) {
+  std::string out = "health_checks_by_reason:";
+  for (std::size_t i = 0; i < kHealthCheckReasons; ++i) {
+    const auto reason = static_cast<HealthCheckReason>(i);
+    const HealthCheckCounts& counts = upstreamStats.healthChecks(reason);
+    const std::string name(nameOf(reason));
+    add(out, name, counts.started);
+    add(out, name + "_answered", counts.answered);
+    add(out, name + "_used", counts.used);
+  }
+  add(out, "endpoints", upstreamStats.healthCheckedEndpoints());
+  add(out, "max_per_endpoint", upstreamStats.maxHealthChecksPerEndpoint());
+  return out + '\n';
+}
+
+std::string describeRejections(const UpstreamStats& upstreamStats) {
+  std::string out = "rejected_by_reason:";
+  for (std::size_t i = 0; i < kRejectReasons; ++i) {
+    const auto reason = static_cast<RejectReason>(i);
+    add(out, nameOf(reason), upstreamStats.rejectedFor(reason));
+  }
+  return out + '\n';
+}
 
-std::string_view nameOf(HealthCheckReason reason) { return kNames[static_cast<std::size_t>(reason)]; }
+std::string describeConnections(const ConnectionCounts& connections) {
+  std::string out = "upstream_connections:";
+  add(out, "opened_for_requests", connections.opened[kForRequests]);
+  add(out, "opened_for_health_checks", connections.opened[kForHealthChecks]);
+  add(out, "reused_for_requests", connections.reused[kForRequests]);
+  add(out, "reused_for_health_checks", connections.reused[kForHealthChecks]);
+  add(out, "closed", connections.closed);
+  add(out, "closed_unused", connections.closedUnused);
+  add(out, "closed_after_one_request", connections.closedAfterOneRequest);
+  return out + '\n';
+}
 
-std::string_view nameOf(RejectReason why) { return kRejectReasonNames[static_cast<std::size_t>(why)]; }
+}  // namespace
 
-void UpstreamStats::healthChecked(EndpointId endpoint, HealthCheckReason reason) {
-  ++of(reason).made;
-  Known& known = endpoints_[endpoint];
-  ++known.healthChecks;
-  known.last = reason;
-  known.open = false;
+void UpstreamStats::healthCheckStarted(EndpointId endpoint, HealthCheckReason reason) {
+  ++countsOf(reason).started;
+  EndpointRecord& record = endpoints_[endpoint];
+  ++record.healthChecks;
+  record.lastReason = reason;
+  record.unusedAnswer = false;
 }
 
 void UpstreamStats::healthCheckEnded(EndpointId endpoint, bool answered) {
   const auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end() || !answered) return;
-  ++of(found->second.last).answered;
-  found->second.open = true;
+  ++countsOf(found->second.lastReason).answered;
+  found->second.unusedAnswer = true;
 }
 
-void UpstreamStats::sent(EndpointId endpoint) {
+void UpstreamStats::requestSent(EndpointId endpoint) {
   const auto found = endpoints_.find(endpoint);
-  if (found == endpoints_.end() || !std::exchange(found->second.open, false)) return;
-  ++of(found->second.last).used;
+  if (found == endpoints_.end() || !std::exchange(found->second.unusedAnswer, false)) return;
+  ++countsOf(found->second.lastReason).used;
 }
 
-Carried UpstreamStats::opened(Purpose purpose) {
-  ++connections_.opened[static_cast<std::size_t>(purpose)];
-  Carried carried;
-  carried.openedFor = purpose;
-  count(carried, purpose);
-  return carried;
+ConnectionUsage UpstreamStats::connectionOpened(TrafficType traffic) {
+  ++connections_.opened[static_cast<std::size_t>(traffic)];
+  ConnectionUsage usage;
+  count(usage, traffic);
+  return usage;
 }
 
-void UpstreamStats::reused(Carried& carried, Purpose purpose) {
-  ++connections_.reused[static_cast<std::size_t>(purpose)];
-  count(carried, purpose);
+void UpstreamStats::connectionReused(ConnectionUsage& usage, TrafficType traffic) {
+  ++connections_.reused[static_cast<std::size_t>(traffic)];
+  count(usage, traffic);
 }
 
-void UpstreamStats::closed(const Carried& carried) {
+void UpstreamStats::connectionClosed(const ConnectionUsage& usage) {
   ++connections_.closed;
-  if (carried.requests == 0) ++connections_.closedUnused;
-  if (carried.requests == 1) ++connections_.closedOnce;
+  if (usage.requests == 0) ++connections_.closedUnused;
+  if (usage.requests == 1) ++connections_.closedAfterOneRequest;
 }
 
-std::size_t UpstreamStats::endpointsHealthChecked() const { return endpoints_.size(); }
+std::size_t UpstreamStats::healthCheckedEndpoints() const { return endpoints_.size(); }
 
-std::uint64_t UpstreamStats::mostHealthChecked() const {
+std::uint64_t UpstreamStats::maxHealthChecksPerEndpoint() const {
   std::uint64_t most = 0;
-  for (const auto& [endpoint, known] : endpoints_) most = std::max(most, known.healthChecks);
+  for (const auto& [endpoint, record] : endpoints_) most = std::max(most, record.healthChecks);
   return most;
 }
 
 std::string describe(const UpstreamStats& upstreamStats) {
-  std::string out = "probing:";
-  for (std::size_t i = 0; i < kHealthCheckReasons; ++i) {
-    const auto reason = static_cast<HealthCheckReason>(i);
-    const HealthCheckCounts& counts = upstreamStats.healthChecks(reason);
-    const std::string name(nameOf(reason));
-    add(out, name, counts.made);
-    add(out, name + "_answered", counts.answered);
-    add(out, name + "_used", counts.used);
-  }
-  add(out, "members", upstreamStats.endpointsHealthChecked());
-  add(out, "most", upstreamStats.mostHealthChecked());
-  const ConnectionCounts& connections = upstreamStats.connections();
-  out += "\ngiven_up:";
-  for (std::size_t i = 0; i < kRejectReasons; ++i) {
-    add(out, std::string(kRejectReasonNames[i]), upstreamStats.givenUpFor(static_cast<RejectReason>(i)));
-  }
-  out += "\nconnecting:";
-  add(out, "for_requests", connections.opened[0]);
-  add(out, "for_probes", connections.opened[1]);
-  add(out, "again_for_requests", connections.reused[0]);
-  add(out, "again_for_probes", connections.reused[1]);
-  add(out, "closed", connections.closed);
-  add(out, "closed_unused", connections.closedUnused);
-  add(out, "closed_used_once", connections.closedOnce);
-  return out + '\n';
+  return describeHealthChecks(upstreamStats) + describeRejections(upstreamStats) +
+         describeConnections(upstreamStats.connections());
 }
 
 }  // namespace heathflow::stats
--- a/src/stats/upstream_stats.h
+++ b/src/stats/upstream_stats.h
@@ -1,87 +1,85 @@
-// What a gateway asks of its endpoints, and whether it was of use: health checks by reason, connections by
-// what they were opened for. Counts only; it knows no socket and no clock.
+// Counts health checks by reason, with how many were of use, connections by what they carried, and requests
+// that got no answer from an endpoint by reason. It does no input or output and reads no clock.
 #pragma once
 
 #include <array>
 #include <cstddef>
 #include <cstdint>
 #include <string>
-#include <string_view>
 #include <unordered_map>
 
 #include "policy/routing_policy.h"
 
 namespace heathflow::stats {
 
-inline constexpr std::size_t kHealthCheckReasons = 6;  // in the order of ProbeReason
-// The name of a reason as counters show it.
-std::string_view nameOf(HealthCheckReason reason);
+inline constexpr std::size_t kHealthCheckReasons = 6;  // values of HealthCheckReason
+inline constexpr std::size_t kRejectReasons = 10;      // values of RejectReason
 
-inline constexpr std::size_t kRejectReasons = 10;  // in the order of Hindrance
-std::string_view nameOf(RejectReason why);
-
-enum class Purpose { Request, HealthCheck };
+// What a connection is used for.
+enum class TrafficType { Request, HealthCheck };
+inline constexpr std::size_t kTrafficTypes = 2;
 
 struct HealthCheckCounts {
-  std::uint64_t made = 0;
+  std::uint64_t started = 0;
   std::uint64_t answered = 0;
-  std::uint64_t used = 0;  // a request went to the endpoint before it was checked again
+  std::uint64_t used = 0;  // a request was sent to the endpoint before its next health check
 };
 
 // What one connection has carried so far.
-struct Carried {
-  Purpose openedFor = Purpose::Request;
+struct ConnectionUsage {
   std::uint64_t requests = 0;
   std::uint64_t healthChecks = 0;
 };
 
 struct ConnectionCounts {
-  std::array<std::uint64_t, 2> opened{};  // by purpose
-  std::array<std::uint64_t, 2> reused{};
+  std::array<std::uint64_t, kTrafficTypes> opened{};  // by the traffic that each was opened for
+  std::array<std::uint64_t, kTrafficTypes> reused{};  // by the traffic of the further use
   std::uint64_t closed = 0;
-  std::uint64_t closedUnused = 0;  // no request was ever sent on it
-  std::uint64_t closedOnce = 0;    // just one was
+  std::uint64_t closedUnused = 0;           // carried no request
+  std::uint64_t closedAfterOneRequest = 0;  // carried a single request
 };
 
 class UpstreamStats {
  public:
-  void healthChecked(EndpointId endpoint, HealthCheckReason reason);
+  void healthCheckStarted(EndpointId endpoint, HealthCheckReason reason);
   void healthCheckEnded(EndpointId endpoint, bool answered);
-  // A request goes to the endpoint: what its last health check told was of use.
-  void sent(EndpointId endpoint);
-  void forget(EndpointId endpoint) { endpoints_.erase(endpoint); }
+  // A request is sent to the endpoint: the result of its last health check was of use.
+  void requestSent(EndpointId endpoint);
+  void endpointRemoved(EndpointId endpoint) { endpoints_.erase(endpoint); }
 
-  // A request got a last answer that no endpoint gave.
-  void givenUp(RejectReason why) { ++givenUp_[static_cast<std::size_t>(why)]; }
-  std::uint64_t givenUpFor(RejectReason why) const { return givenUp_[static_cast<std::size_t>(why)]; }
+  // A request was rejected or failed without an answer of an endpoint.
+  void requestRejected(RejectReason reason) { ++rejected_[static_cast<std::size_t>(reason)]; }
+  std::uint64_t rejectedFor(RejectReason reason) const { return rejected_[static_cast<std::size_t>(reason)]; }
 
-  Carried opened(Purpose purpose);
-  void reused(Carried& carried, Purpose purpose);
-  void closed(const Carried& carried);
+  ConnectionUsage connectionOpened(TrafficType traffic);
+  void connectionReused(ConnectionUsage& usage, TrafficType traffic);
+  void connectionClosed(const ConnectionUsage& usage);
 
   const HealthCheckCounts& healthChecks(HealthCheckReason reason) const {
     return healthChecks_[static_cast<std::size_t>(reason)];
   }
   const ConnectionCounts& connections() const { return connections_; }
-  // How many endpoints were checked of those known, and how often the one that was checked most.
-  std::size_t endpointsHealthChecked() const;
-  std::uint64_t mostHealthChecked() const;
+  // How many of the known endpoints had a health check, and how many health checks any one of them had.
+  std::size_t healthCheckedEndpoints() const;
+  std::uint64_t maxHealthChecksPerEndpoint() const;
 
  private:
-  struct Known {
+  struct EndpointRecord {
     std::uint64_t healthChecks = 0;
-    HealthCheckReason last = HealthCheckReason::Initial;
-    bool open = false;  // its last health check was answered, and nothing has used that yet
+    HealthCheckReason lastReason = HealthCheckReason::Initial;
+    bool unusedAnswer = false;  // the last health check was answered, and no request was sent since
   };
-  HealthCheckCounts& of(HealthCheckReason reason) { return healthChecks_[static_cast<std::size_t>(reason)]; }
+  HealthCheckCounts& countsOf(HealthCheckReason reason) {
+    return healthChecks_[static_cast<std::size_t>(reason)];
+  }
 
   std::array<HealthCheckCounts, kHealthCheckReasons> healthChecks_{};
-  std::array<std::uint64_t, kRejectReasons> givenUp_{};
+  std::array<std::uint64_t, kRejectReasons> rejected_{};
   ConnectionCounts connections_;
-  std::unordered_map<EndpointId, Known> endpoints_;
+  std::unordered_map<EndpointId, EndpointRecord> endpoints_;
 };
 
-// As lines, a group each, like the other counters.
+// As lines of "group: name=value ...", like the other counters.
 std::string describe(const UpstreamStats& upstreamStats);
 
 }  // namespace heathflow::stats
--- a/src/tools/startup_sim.cpp
+++ b/src/tools/startup_sim.cpp
@@ -128,7 +128,7 @@
       out.last = std::max(out.last, answer->at);
       if (answer->at > discovery::kToldWithin) ++out.late;
     } else {
-      due.emplace(ways[number].again(now, CallFailure::TurnedAway), number);
+      due.emplace(ways[number].again(now, CallFailure::Rejected), number);
     }
   }
   out.calls = model.calls();
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace heathflow::routing {
+namespace heathflow::upstream {
 namespace {
 
 // Guards against a request that crosses the endpoint's own close: idle connections go this many connect
@@ -12,7 +12,7 @@
 }  // namespace
 
 ConnectionPool::ConnectionPool(transport::EventLoop& loop, Protocols protocols, Times times,
-                               DescriptorBudget& budget, Observer& observer)
+                               DescriptorBudget& budget, stats::Observer& observer)
     : loop_(loop),
       protocols_(std::move(protocols)),
       times_(times),
@@ -38,7 +38,7 @@
 void ConnectionPool::forget(EndpointId endpoint) {
   closeIdle(endpoint);
   places_.erase(endpoint);
-  observer_.upstreamStats.forget(endpoint);
+  observer_.upstreamStats.endpointRemoved(endpoint);
 }
 
 std::size_t ConnectionPool::protocolFor(EndpointId endpoint) const {
@@ -72,7 +72,7 @@
     }
     removeIdle(*idle);
     ++observer_.counters.connectionsReused;
-    observer_.upstreamStats.reused(connections_.at(idle).carried, exchange.purpose());
+    observer_.upstreamStats.connectionReused(connections_.at(idle).usage, exchange.trafficType());
     connection = idle;
     idle->begin(exchange);
     return Started::Yes;
@@ -89,8 +89,8 @@
   ++observer_.counters.connectionsOpened;
   budget_.endpointOpened();
   connection = opened.get();
-  connections_.emplace(connection,
-                       Opened{std::move(opened), observer_.upstreamStats.opened(exchange.purpose())});
+  connections_.emplace(connection, Opened{std::move(opened),
+                                          observer_.upstreamStats.connectionOpened(exchange.trafficType())});
   connection->begin(exchange);
   return Started::Yes;
 }
@@ -111,14 +111,14 @@
 
 void ConnectionPool::closeIdle(Route& route, Micros idleSince) {
   while (!route.idle.empty() && route.idle.front()->first <= idleSince) {
-    ++observer_.counters.connectionsRetired;
+    ++observer_.counters.idleConnectionsClosed;
     route.idle.front()->second->close();
   }
 }
 
 bool ConnectionPool::closeLongestIdle() {
   if (idle_.empty()) return false;
-  ++observer_.counters.connectionsSpared;
+  ++observer_.counters.connectionsEvicted;
   idle_.front().second->close();
   return true;
 }
@@ -154,24 +154,25 @@
   const auto found = connections_.find(&connection);
   if (found == connections_.end()) return;
   budget_.endpointClosed();
-  observer_.upstreamStats.closed(found->second.carried);
+  observer_.upstreamStats.connectionClosed(found->second.usage);
   loop_.retire(std::move(found->second.connection));
   connections_.erase(found);
 }
 
 void ConnectionPool::onProtocolError(EndpointConnection& connection) {
   ++observer_.counters.endpointProtocolErrors;
-  observer_.note(Topic::Endpoints, "an answer from " + toText(connection.socketAddress()) + " can't be read");
+  observer_.note(stats::Topic::Upstream,
+                 "an answer from " + toText(connection.socketAddress()) + " can't be read");
 }
 
 void ConnectionPool::onConnectFailed(EndpointConnection&) { ++observer_.counters.connectionsFailed; }
 
 void ConnectionPool::retireOld() {
   while (!idle_.empty() && idle_.front().first + keepIdle_ <= loop_.now()) {
-    ++observer_.counters.connectionsRetired;
+    ++observer_.counters.idleConnectionsClosed;
     idle_.front().second->close();
   }
   if (!idle_.empty()) retirement_.arm(idle_.front().first + keepIdle_);
 }
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::upstream
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -16,7 +16,7 @@
 #include "upstream/descriptor_budget.h"
 #include "upstream/endpoint_connection.h"
 
-namespace heathflow::routing {
+namespace heathflow::upstream {
 
 class ConnectionPool final : private EndpointConnectionOwner {
  public:
@@ -29,7 +29,7 @@
   using Protocols = std::vector<const protocol::Protocol*>;
 
   ConnectionPool(transport::EventLoop& loop, Protocols protocols, Times times, DescriptorBudget& budget,
-                 Observer& observer);
+                 stats::Observer& observer);
   ~ConnectionPool() override;
 
   // Where an endpoint is reached from now on, by protocol; nothing where it is not. When that changes, idle
@@ -62,7 +62,7 @@
   using Place = std::vector<Route>;
   struct Opened {
     std::unique_ptr<EndpointConnection> connection;
-    stats::Carried carried;
+    stats::ConnectionUsage usage;
   };
 
   void onIdle(EndpointConnection& connection) override;
@@ -80,11 +80,11 @@
   Times times_;
   Micros keepIdle_;
   DescriptorBudget& budget_;
-  Observer& observer_;
+  stats::Observer& observer_;
   std::unordered_map<EndpointId, Place> places_;
   std::unordered_map<EndpointConnection*, Opened> connections_;
   IdleList idle_;
   transport::Timer retirement_;
 };
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::upstream
--- a/src/upstream/descriptor_budget.h
+++ b/src/upstream/descriptor_budget.h
@@ -6,7 +6,7 @@
 
 #include "stats/observer.h"
 
-namespace heathflow::routing {
+namespace heathflow::upstream {
 
 class DescriptorBudget {
  public:
@@ -15,7 +15,7 @@
   // Clients beyond their part are still let in, up to so many, to be told so.
   static constexpr std::size_t kTurnedAwayAtOnce = 16;
 
-  DescriptorBudget(std::size_t limit, Counters& counters)
+  DescriptorBudget(std::size_t limit, stats::Counters& counters)
       : limit_(std::max(limit, 2 * (kReserved + kTurnedAwayAtOnce)) - kReserved - kTurnedAwayAtOnce),
         counters_(counters) {}
 
@@ -47,7 +47,7 @@
   std::size_t clients_ = 0;
   std::size_t lingering_ = 0;  // of these
   std::size_t endpoints_ = 0;
-  Counters& counters_;
+  stats::Counters& counters_;
 };
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::upstream
--- a/src/upstream/endpoint_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace heathflow::routing {
+namespace heathflow::upstream {
 namespace {
 
 // One answer; a request as long as a client may send it, with a little for its changed time. A request and
@@ -189,4 +189,4 @@
   finish(ExchangeEnd::Cause::Broken, nullptr, opened_ && how != transport::StreamEnd::NotConnected);
 }
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::upstream
--- a/src/upstream/endpoint_connection.h
+++ b/src/upstream/endpoint_connection.h
@@ -11,7 +11,7 @@
 #include "stats/upstream_stats.h"
 #include "transport/stream.h"
 
-namespace heathflow::routing {
+namespace heathflow::upstream {
 
 class EndpointConnection;
 
@@ -37,7 +37,7 @@
 class Exchange {
  public:
   virtual ~Exchange() = default;
-  virtual stats::Purpose purpose() const { return stats::Purpose::Request; }
+  virtual stats::TrafficType trafficType() const { return stats::TrafficType::Request; }
   // The connection is up. False: nothing is to be written any more.
   virtual bool write(protocol::EndpointSide& side, transport::Buffer& out) = 0;
   // A part of the answer is there. False: it can't be taken at present, and resume() is called when it can.
@@ -129,4 +129,4 @@
   std::size_t appended_ = 0;  // bytes of the request handed to the stream
 };
 
-}  // namespace heathflow::routing
+}  // namespace heathflow::upstream
--- a/tests/attempt_time_test.cpp
+++ b/tests/attempt_time_test.cpp
@@ -69,7 +69,7 @@
   rig.endpoints[0]->welcomes = false;
   PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("one")));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsStarted == 1; }));
   const Micros sentAt = rig.loop.now();
   rig.pass(3'000 * kMilli);
   rig.endpoints[0]->welcomeNow();
@@ -89,7 +89,7 @@
   for (auto& endpoint : rig.endpoints) endpoint->welcomes = endpoint.get() == rig.holder;
   rig.pass(2'000 * kMilli);
   rig.held->say(rig.holder->error("XX000"));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsStarted == 2; }));
   rig.pass(1'500 * kMilli);
   for (auto& endpoint : rig.endpoints) endpoint->welcomeNow();
   ASSERT_TRUE(rig.nextTold(2));
--- a/tests/bolt_gateway_test.cpp
+++ b/tests/bolt_gateway_test.cpp
@@ -155,7 +155,7 @@
   ASSERT_TRUE(client.replied(10));
   EXPECT_EQ(client.tags(), "SRSSRSSSRSSSRS");
   EXPECT_EQ(rig.counters().requestsServed, 4U);
-  EXPECT_EQ(rig.counters().requestsTaken, 4U) << "a transaction is one request";
+  EXPECT_EQ(rig.counters().requestsAccepted, 4U) << "a transaction is one request";
 }
 
 TEST(BoltRequests, AreTheSameHoweverTheirBytesAreSplit) {
@@ -501,7 +501,7 @@
   std::string replies = client.tags();
   replies.erase(std::remove(replies.begin(), replies.end(), 'R'), replies.end());
   EXPECT_EQ(replies, "SIIIS") << "all that stood before RESET is ignored";
-  EXPECT_EQ(rig.counters().requestsLeft, 1U);
+  EXPECT_EQ(rig.counters().requestsCancelled, 1U);
   EXPECT_EQ(rig.outcomes(AttemptOutcome::Cancelled), 1U);
   EXPECT_EQ(rig.statements().size(), 1U);
   streams(1, 5, true);
@@ -566,7 +566,7 @@
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags().back(), 'F');
   EXPECT_EQ(client.code(), kTransient) << "a read may be asked again";
-  EXPECT_EQ(rig.counters().attemptsMade, 1U) << "and is not moved";
+  EXPECT_EQ(rig.counters().attemptsStarted, 1U) << "and is not moved";
 }
 
 class BoltBadClients : public testing::Test {
@@ -681,7 +681,7 @@
   EXPECT_TRUE(within.gone());
   EXPECT_EQ(half.code(), kInvalid);
   EXPECT_EQ(within.code(), kInvalid);
-  EXPECT_EQ(rig.counters().requestsLeft, 1U);
+  EXPECT_EQ(rig.counters().requestsCancelled, 1U);
 }
 
 // One that has logged on may rest, as pools of clients do.
@@ -758,7 +758,7 @@
         std::make_unique<ClientStandIn>(rig.loop, i % 2 == 0 ? rig.socketAddress : rig.graphEndpoint));
     clients.back()->ask(request("any", std::to_string(i)));
   }
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 34 && held >= 8; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == 34 && held >= 8; }));
   // Warm it would have as many as the other; cold a fifth of what the warm ones answer, over both protocols.
   EXPECT_LE(asked(2) - before, 3U);
   EXPECT_GE(asked(1), 5U);
@@ -829,7 +829,7 @@
   ASSERT_TRUE(rows.answered());
   EXPECT_EQ(rows.code(), "22023");
   EXPECT_TRUE(only.statements().empty());
-  EXPECT_EQ(only.counters().attemptsMade, 0U);
+  EXPECT_EQ(only.counters().attemptsStarted, 0U);
 }
 
 }  // namespace
--- a/tests/client_leaving_test.cpp
+++ b/tests/client_leaving_test.cpp
@@ -24,11 +24,11 @@
   }
   ClientStandIn stays(rig.loop, rig.socketAddress);
   stays.ask(request("save", "stays"));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 21; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == 21; }));
   for (auto& client : burst) client->hangUp();
   rig.endpoints[0]->reopen();
   ASSERT_TRUE(stays.answered());
-  EXPECT_EQ(rig.counters().requestsLeft, 20U);
+  EXPECT_EQ(rig.counters().requestsCancelled, 20U);
   for (const std::string& statement : rig.endpoints[0]->statements)
     EXPECT_EQ(statement.find("id=left"), std::string::npos) << statement;
 }
@@ -47,13 +47,13 @@
   held->say(rig.endpoints[0]->value("the first"));
   client.resetNow();
   ASSERT_TRUE(rig.until([&] {
-    return rig.counters().requestsServed + rig.counters().requestsLeft >= 1 &&
+    return rig.counters().requestsServed + rig.counters().requestsCancelled >= 1 &&
            rig.counters().descriptors <= 1;
   }));
   rig.loop.turn(0);
   // Where the answer was seen before the end, the next one had begun by then.
   EXPECT_LE(rig.endpoints[0]->statements.size(), 2U);
-  EXPECT_LE(rig.counters().requestsTaken, 2U);
+  EXPECT_LE(rig.counters().requestsAccepted, 2U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Leaving, LeavingRule, kBoth, nameOf);
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -98,7 +98,7 @@
   other.ask("SELECT 1 /* \"\n{\"level\":\"none\"} */");
   ASSERT_TRUE(other.answered());
   ASSERT_TRUE(until([&] { return process.says("can't be read"); }));
-  EXPECT_TRUE(process.says("\"topic\":\"clients\",\"connection\":2,\"protocol\":\"postgresql\",\"text\":"))
+  EXPECT_TRUE(process.says("\"topic\":\"downstream\",\"connection\":2,\"protocol\":\"postgresql\",\"text\":"))
       << process.log();
   process.signal(SIGTERM);
   ASSERT_TRUE(until([&] { return process.over(); }));
--- a/tests/connection_closing_test.cpp
+++ b/tests/connection_closing_test.cpp
@@ -96,7 +96,7 @@
     ASSERT_TRUE(
         rig.until([&] { return rig.counters().requestsServed == static_cast<std::uint64_t>(i) + 1; }));
   }
-  ASSERT_TRUE(rig.until([&] { return rig.counters().clientsRested > 0; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().idleClientsEvicted > 0; }));
   // All ask at once, whether their connection lingers by now or not.
   for (std::size_t i = 0; i < crowd.size(); ++i)
     (void)crowd[i]->send(askingOf(GetParam(), request("any", "again" + std::to_string(i))));
--- a/tests/departed_client_test.cpp
+++ b/tests/departed_client_test.cpp
@@ -78,7 +78,7 @@
           rig.until([&] { return rig.counters().clientsAccepted == 2 && rig.counters().descriptors <= 1; }));
       rig.pass(kLongEnough);
       EXPECT_EQ(rig.statements().size(), 1U) << "the one that warmed up";
-      EXPECT_EQ(rig.counters().attemptsMade, 1U);
+      EXPECT_EQ(rig.counters().attemptsStarted, 1U);
     }
   }
 }
@@ -97,7 +97,7 @@
     rig.pass(kLongEnough);
     if (leaves) {
       EXPECT_EQ(rig.sent("one"), before);
-      EXPECT_EQ(rig.counters().requestsLeft, 1U);
+      EXPECT_EQ(rig.counters().requestsCancelled, 1U);
     } else {
       EXPECT_GT(rig.sent("one"), before);
     }
@@ -115,10 +115,10 @@
   }
   PlainSocket client(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + askingOf(GetParam(), request("any", "one"))));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsStarted == 2; }));
   ASSERT_EQ(rig.counters().attemptsWritten, 1U);
   client.hangUp();
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   for (auto& endpoint : rig.endpoints) endpoint->welcomeNow();
   rig.pass(kLongEnough);
   EXPECT_EQ(rig.sent("one"), 1U);
@@ -132,9 +132,9 @@
   ClientStandIn stays(rig.loop, rig.socketAddress);
   ASSERT_TRUE(client.send(opening() + asking("one")));
   stays.ask(request("save", "two"));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 2; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == 2; }));
   client.hangUp();
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   rig.endpoints[0]->reopen();
   ASSERT_TRUE(stays.answered());
   rig.pass(kLongEnough);
@@ -155,9 +155,9 @@
   while (more.size() < 400'000) more += asking("more");
   ASSERT_TRUE(client.send(more));
   client.hangUp();
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   rig.pass(kLongEnough);
-  EXPECT_EQ(rig.counters().requestsTaken, 1U);
+  EXPECT_EQ(rig.counters().requestsAccepted, 1U);
   EXPECT_EQ(rig.sent("more"), 0U);
 }
 
@@ -183,9 +183,9 @@
   rig.endpoints[0]->welcomes = false;
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(asking("one"));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsMade == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().attemptsStarted == 1; }));
   client.say(bolt::plain(bolt::kReset));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   rig.endpoints[0]->welcomeNow();
   client.say(asking("two"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsServed == 1; }));
@@ -202,7 +202,7 @@
   ASSERT_TRUE(rig.until([&] { return rig.outcomes(AttemptOutcome::Overloaded) == 1; }));
   const std::size_t before = rig.sent("one");
   client.say(bolt::plain(bolt::kReset));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   rig.pass(kLongEnough);
   EXPECT_EQ(rig.sent("one"), before);
 }
--- a/tests/dialing_test.cpp
+++ b/tests/dialing_test.cpp
@@ -13,7 +13,7 @@
 // A request has been taken, and its connection to the first endpoint stands and waits for the welcome.
 bool waitsForAWelcome(GatewayRig& rig) {
   return rig.until([&] {
-    return rig.counters().requestsTaken == 1 && rig.endpoints[0]->openLines() > 0 &&
+    return rig.counters().requestsAccepted == 1 && rig.endpoints[0]->openLines() > 0 &&
            !rig.endpoints[0]->lines.back()->got.empty();
   });
 }
@@ -28,7 +28,7 @@
     ClientStandIn client(rig.loop, rig.socketAddress);
     client.ask(request("any", "1"));
     ASSERT_TRUE(
-        rig.until([&] { return rig.counters().attemptsMade == 1 && rig.endpoints[1]->openLines() > 0; }));
+        rig.until([&] { return rig.counters().attemptsStarted == 1 && rig.endpoints[1]->openLines() > 0; }));
     if (!listFirst) rig.endpoints[1]->welcomeNow();
     rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "]");
     if (listFirst) rig.endpoints[1]->welcomeNow();
@@ -55,10 +55,10 @@
     ASSERT_TRUE(waitsForAWelcome(rig));
     client->hangUp();
     if (!sameTurn) {
-      ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+      ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
     }
     rig.endpoints[0]->welcomeNow();
-    ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+    ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
     ClientStandIn next(rig.loop, rig.socketAddress);
     next.ask(request("save", "2"));
     ASSERT_TRUE(next.answered());
@@ -113,11 +113,13 @@
   auto client = std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress);
   client->ask(request("save", "1"));
   ASSERT_TRUE(
-      rig.until([&] { return rig.counters().requestsTaken == 1 && rig.endpoints[0]->openLines() > 0; }));
+      rig.until([&] { return rig.counters().requestsAccepted == 1 && rig.endpoints[0]->openLines() > 0; }));
   client->hangUp();
   rig.endpoints[0]->shut();
   ASSERT_TRUE(rig.until([&] {
-    return rig.counters().requestsLeft + rig.counters().requestsFailed + rig.counters().requestsRejected == 1;
+    return rig.counters().requestsCancelled + rig.counters().requestsFailed +
+               rig.counters().requestsRejected ==
+           1;
   }));
   EXPECT_TRUE(rig.until([&] { return rig.counters().descriptors == 0; }));
   EXPECT_TRUE(rig.endpoints[0]->statements.empty());
--- a/tests/endpoint_connection_test.cpp
+++ b/tests/endpoint_connection_test.cpp
@@ -45,14 +45,14 @@
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("save", "1"));
   ASSERT_TRUE(client.answered());
-  const std::uint64_t healthChecks = rig.counters().healthChecksMade;
+  const std::uint64_t healthChecks = rig.counters().healthChecksStarted;
   Line& idle = *rig.endpoints[0]->lines.back();
   idle.hangUp();
   ASSERT_TRUE(rig.until([&] { return rig.counters().connectionsStale == 1; }));
   client.ask(request("save", "2"));
   ASSERT_TRUE(client.answered(2));
   EXPECT_EQ(rig.counters().requestsServed, 2U);
-  EXPECT_EQ(rig.counters().healthChecksMade, healthChecks);
+  EXPECT_EQ(rig.counters().healthChecksStarted, healthChecks);
   EXPECT_EQ(rig.outcomes(AttemptOutcome::ConnectionReset), 0U);
 }
 
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -48,7 +48,7 @@
   for (std::size_t i = 0; i < 30; ++i) {
     busy.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
     busy.back()->ask(request("save", "busy" + std::to_string(i)));
-    ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == i + 1; }));
+    ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == i + 1; }));
   }
   const std::size_t out = held.size();
   for (int i = 0; i < 100; ++i) {
@@ -59,7 +59,7 @@
     EXPECT_EQ(again.lastCode(), "53300");
   }
   for (const auto& client : busy) EXPECT_FALSE(client->ended());
-  EXPECT_EQ(rig.counters().requestsTaken, 30U);
+  EXPECT_EQ(rig.counters().requestsAccepted, 30U);
   EXPECT_EQ(held.size(), out);
   EXPECT_LE(rig.counters().descriptorsPeak, 100U);
 }
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -141,7 +141,7 @@
   for (ClientStandIn* client : {&silent, &welcomed, &half, &begun, &known}) EXPECT_TRUE(client->gone());
   EXPECT_EQ(silent.types() + welcomed.types(), "");
   for (ClientStandIn* client : {&half, &begun, &known}) EXPECT_EQ(client->code(), "08P01");
-  EXPECT_EQ(rig.counters().requestsTaken, 1U);
+  EXPECT_EQ(rig.counters().requestsAccepted, 1U);
 }
 
 // Guards the error's way to a client that sends on, whatever it is told: all is taken off the socket, so that
@@ -215,7 +215,7 @@
       clients.push_back(std::make_unique<ClientStandIn>(loop, socketAddress));
       clients.back()->ask(request("any", std::to_string(i)));
     }
-    if (!until([&] { return counters().requestsTaken == kClients; })) {
+    if (!until([&] { return counters().requestsAccepted == kClients; })) {
       throw std::runtime_error("the gateway does not take what fits");
     }
   }
@@ -234,8 +234,8 @@
   extra.ask(request("any", "extra"));
   EXPECT_TRUE(extra.gone());
   EXPECT_EQ(extra.code(), "53300");
-  EXPECT_EQ(rig.counters().clientsTurnedAway, 1U);
-  EXPECT_EQ(rig.counters().requestsTaken, 30U);
+  EXPECT_EQ(rig.counters().clientsRejected, 1U);
+  EXPECT_EQ(rig.counters().requestsAccepted, 30U);
   EXPECT_LE(rig.counters().descriptorsPeak, 100U);
 }
 
@@ -249,7 +249,7 @@
   last.say(pg::startup() + pg::query(request("any", "last")));
   EXPECT_TRUE(last.gone());
   EXPECT_EQ(last.code(), "53300") << "told, not cut off";
-  EXPECT_EQ(rig.counters().requestsTaken, 30U);
+  EXPECT_EQ(rig.counters().requestsAccepted, 30U);
 }
 
 // Guards descriptors against clients that begin a message and never finish it.
@@ -315,8 +315,8 @@
   // The crowd is thinned out without being asked, down to what may stay.
   ASSERT_TRUE(rig.until([&] { return rig.counters().descriptors <= 15 + rig.counters().connectionsOpened; }));
   for (const auto& client : usual) EXPECT_FALSE(client->ended());
-  EXPECT_EQ(rig.counters().clientsTurnedAway, 0U);
-  EXPECT_GE(rig.counters().clientsRested, 1U);
+  EXPECT_EQ(rig.counters().clientsRejected, 0U);
+  EXPECT_GE(rig.counters().idleClientsEvicted, 1U);
 }
 
 // Large values, and a client that reads none of them.
@@ -353,7 +353,7 @@
     many += pg::query(request("any", std::to_string(i), "", 400));
   }
   rig.slow.say(many);
-  EXPECT_TRUE(rig.until([&] { return rig.counters().clientsNotReading == 1; }));
+  EXPECT_TRUE(rig.until([&] { return rig.counters().slowReadersClosed == 1; }));
   EXPECT_LT(rig.counters().requestsServed, 600U);
 }
 
--- a/tests/idle_crowd_test.cpp
+++ b/tests/idle_crowd_test.cpp
@@ -113,7 +113,7 @@
   ASSERT_TRUE(site.until([&] { return site.discovery.calls.size() > calls; })) << site.process->log();
   EXPECT_EQ(site.served(good), kGood);
   EXPECT_FALSE(site.second.statements.empty());
-  EXPECT_FALSE(site.process->says("can't be taken in")) << site.process->log();
+  EXPECT_FALSE(site.process->says("can't be accepted")) << site.process->log();
   EXPECT_FALSE(site.process->over());
 }
 
--- a/tests/outcome_test.cpp
+++ b/tests/outcome_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 namespace pg = test::pg;
-using Cause = ExchangeEnd::Cause;
+using Cause = upstream::ExchangeEnd::Cause;
 
 constexpr Micros kNow = 1767225601000000;
 
@@ -36,7 +36,8 @@
     client.askHealthCheck(out);
     client.feed(bytes, false, out);
   }
-  ExchangeEnd end(Cause cause = Cause::Answered, Stage stage = Stage::Answering) const {
+  upstream::ExchangeEnd end(Cause cause = Cause::Answered,
+                            upstream::Stage stage = upstream::Stage::Answering) const {
     return {cause, stage, &client.answer(), bytes};
   }
   std::string bytes;
@@ -44,30 +45,31 @@
 };
 
 TEST(OutcomeTable, NothingHasRunBeforeTheLastByteIsWritten) {
-  for (const Stage stage : {Stage::Connecting, Stage::PartlyWritten}) {
+  for (const upstream::Stage stage : {upstream::Stage::Connecting, upstream::Stage::PartlyWritten}) {
     EXPECT_EQ(outcomeOf({Cause::Broken, stage, nullptr, {}}), AttemptOutcome::ConnectFailed);
   }
   const Read turnedDown(pg::error("53300", "FATAL"));
-  EXPECT_EQ(outcomeOf(turnedDown.end(Cause::TurnedDown, Stage::Connecting)), AttemptOutcome::ConnectFailed);
-  EXPECT_EQ(outcomeOf({Cause::Unwanted, Stage::Connecting, nullptr, {}}), AttemptOutcome::NotSent);
+  EXPECT_EQ(outcomeOf(turnedDown.end(Cause::TurnedDown, upstream::Stage::Connecting)),
+            AttemptOutcome::ConnectFailed);
+  EXPECT_EQ(outcomeOf({Cause::Unwanted, upstream::Stage::Connecting, nullptr, {}}), AttemptOutcome::NotSent);
 }
 
 TEST(OutcomeTable, ABreakBehindItMayHaveRun) {
-  for (const Stage stage : {Stage::Written, Stage::Answering}) {
+  for (const upstream::Stage stage : {upstream::Stage::Written, upstream::Stage::Answering}) {
     EXPECT_EQ(outcomeOf({Cause::Broken, stage, nullptr, {}}), AttemptOutcome::ConnectionReset);
   }
 }
 
 // Guards endpoints against being left alone, and then taken for cold, for an answer that can't be read.
 TEST(OutcomeTable, AMalformedAnswerMayHaveRunAndIsNoReset) {
-  for (const Stage stage : {Stage::Written, Stage::Answering}) {
+  for (const upstream::Stage stage : {upstream::Stage::Written, upstream::Stage::Answering}) {
     EXPECT_EQ(outcomeOf({Cause::Malformed, stage, nullptr, {}}), AttemptOutcome::Malformed);
   }
-  for (const Stage stage : {Stage::Connecting, Stage::PartlyWritten}) {
+  for (const upstream::Stage stage : {upstream::Stage::Connecting, upstream::Stage::PartlyWritten}) {
     EXPECT_EQ(outcomeOf({Cause::Malformed, stage, nullptr, {}}), AttemptOutcome::ConnectFailed);
   }
   const HealthCheckEnded healthCheck = healthCheckEndOf(
-      socketSettings(), {Cause::Malformed, Stage::Answering, nullptr, {}}, kNow, agreeingClocks());
+      socketSettings(), {Cause::Malformed, upstream::Stage::Answering, nullptr, {}}, kNow, agreeingClocks());
   EXPECT_FALSE(healthCheck.ok);
   EXPECT_TRUE(healthCheck.rejected) << "it lives";
 }
@@ -164,8 +166,8 @@
   const HealthCheckEnded rejected =
       healthCheckEndOf(settings, Read(pg::error("42501") + pg::ready()).end(), kNow, agreeingClocks());
   EXPECT_FALSE(rejected.ok || rejected.rejected);
-  const HealthCheckEnded dead =
-      healthCheckEndOf(settings, {Cause::Broken, Stage::Connecting, nullptr, {}}, kNow, agreeingClocks());
+  const HealthCheckEnded dead = healthCheckEndOf(
+      settings, {Cause::Broken, upstream::Stage::Connecting, nullptr, {}}, kNow, agreeingClocks());
   EXPECT_FALSE(dead.ok || dead.rejected);
 }
 
--- a/tests/pipelining_test.cpp
+++ b/tests/pipelining_test.cpp
@@ -52,7 +52,7 @@
     return true;
   }
   std::uint64_t answered() const {
-    const routing::Counters& counters = rig_.counters();
+    const stats::Counters& counters = rig_.counters();
     return counters.requestsServed + counters.requestsRejected + counters.requestsFailed;
   }
   bool everAsked(const std::string& id) const {
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -73,7 +73,7 @@
   EXPECT_EQ(client.value(), "the last");
   ASSERT_TRUE(site.until([&] { return process.over(); }));
   EXPECT_EQ(process.status(), 0);
-  EXPECT_TRUE(process.says("requests: taken=1 served=1 refused=0 failed=0 left=0"));
+  EXPECT_TRUE(process.says("requests: accepted=1 served=1 rejected=0 failed=0 cancelled=0"));
 }
 
 // Guards what is out when the kill comes: it gets its answer before, and the process ends by itself.
@@ -104,8 +104,8 @@
   ASSERT_TRUE(client.answered());
   process.signal(SIGUSR1);
   ASSERT_TRUE(site.until([&] { return process.says("descriptors: now="); }));
-  EXPECT_TRUE(process.says("requests: taken=1 served=1"));
-  EXPECT_TRUE(process.says("attempts: made=1 written=1 ok=1"));
+  EXPECT_TRUE(process.says("requests: accepted=1 served=1"));
+  EXPECT_TRUE(process.says("attempts: started=1 written=1 ok=1"));
   EXPECT_FALSE(process.over());
 }
 
--- a/tests/rig_test.cpp
+++ b/tests/rig_test.cpp
@@ -495,7 +495,7 @@
     Process& child = *site.children[0];
     pid = child.pid();
     child.signal(SIGUSR1);
-    ASSERT_TRUE(site.until([&] { return child.counters().contains("memory.refusals"); }));
+    ASSERT_TRUE(site.until([&] { return child.counters().contains("memory.rejections"); }));
     EXPECT_GE(child.counters().at("requests.served"), 1U);
     EXPECT_GE(child.counters().at("discovery.lists"), 1U);
     EXPECT_FALSE(child.events().empty());
--- a/tests/rule_test.cpp
+++ b/tests/rule_test.cpp
@@ -74,7 +74,7 @@
   other.ask(request("any", "7"));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
   other.hangUp();
-  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("again")); });
   owner.ask(request("any", "7"));
   ASSERT_TRUE(owner.answered(2));
@@ -89,7 +89,7 @@
   client.ask(request("save", "1"));
   ASSERT_TRUE(rig.until([&] { return rig.statements().size() == 1; }));
   client.hangUp();
-  EXPECT_TRUE(rig.until([&] { return rig.counters().requestsLeft == 1; }));
+  EXPECT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   EXPECT_EQ(rig.outcomes(AttemptOutcome::Cancelled), 1U);
   EXPECT_TRUE(rig.until([&] {
     return std::any_of(rig.endpoints[0]->lines.begin(), rig.endpoints[0]->lines.end(),
@@ -196,7 +196,7 @@
     writer.ask(request("save", "1"));
     ASSERT_TRUE(writer.answered());
     EXPECT_EQ(writer.types(), "EZ");
-    ASSERT_TRUE(rig.until([&] { return rig.counters().healthChecksTurnedAway > round; }));
+    ASSERT_TRUE(rig.until([&] { return rig.counters().healthChecksRejected > round; }));
     rig.endpoints[0]->answer = [&](Line& line, const std::string&) {
       line.say(rig.endpoints[0]->value("good"));
     };
@@ -216,7 +216,7 @@
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(
-      rig.until([&] { return rig.counters().attemptsMade == 1 && !rig.endpoints[1]->lines.empty(); }));
+      rig.until([&] { return rig.counters().attemptsStarted == 1 && !rig.endpoints[1]->lines.empty(); }));
   rig.discovery.tell("[" + entry("m1", rig.endpoints[1]->address(), false, "Terminating") + "]");
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   EXPECT_EQ(rig.counters().attemptsWritten, 0U);
@@ -316,7 +316,7 @@
   }
   EXPECT_GE(rig.counters().connectionsReused, 9U);
   EXPECT_TRUE(rig.until([&] { return rig.endpoints[0]->openLines() == 0; }));
-  EXPECT_GE(rig.counters().connectionsRetired, 1U);
+  EXPECT_GE(rig.counters().idleConnectionsClosed, 1U);
 }
 
 TEST_P(EndpointsRule, AnAnswerThatMakesNoSenseIsNoAnswer) {
@@ -424,7 +424,7 @@
   EXPECT_TRUE(extra.answered());
   EXPECT_EQ(extra.types(), "TDCZ");
   EXPECT_TRUE(clients[0]->gone());
-  EXPECT_EQ(rig.counters().clientsTurnedAway, 0U);
+  EXPECT_EQ(rig.counters().clientsRejected, 0U);
 }
 
 // Guards the places of clients against those that ask once and stay.
@@ -439,7 +439,7 @@
     clients.back()->ask(request("any", std::to_string(i)));
     ASSERT_TRUE(clients.back()->answered());
   }
-  ASSERT_TRUE(rig.until([&] { return rig.counters().clientsRested == kStayed - kMayStay; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().idleClientsEvicted == kStayed - kMayStay; }));
   for (std::size_t i = 0; i < kStayed - kMayStay; ++i) EXPECT_TRUE(clients[i]->gone()) << "the longest first";
   for (std::size_t i = kStayed - kMayStay; i < kStayed; ++i) EXPECT_FALSE(clients[i]->ended());
 }
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -104,7 +104,7 @@
     if (held) rig.endpoints[0]->shut();
     ClientStandIn client(rig.loop, rig.socketAddress);
     client.ask(request("save", "1", "", 60'000));
-    ASSERT_TRUE(rig.until([&] { return rig.counters().requestsTaken == 1 && (held || asked == 1); }));
+    ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == 1 && (held || asked == 1); }));
     const transport::Micros told = rig.loop.now();
     bool done = false;
     rig.gateway->drain([&] { done = true; });
--- a/tests/sparing_test.cpp
+++ b/tests/sparing_test.cpp
@@ -20,48 +20,50 @@
 
 TEST(UpstreamStats, AHealthCheckIsUsedWhenARequestGoesThereBeforeTheNextHealthCheck) {
   stats::UpstreamStats upstreamStats;
-  upstreamStats.healthChecked(1, HealthCheckReason::ReadWaiting);
-  upstreamStats.sent(1);  // it has told nothing yet
+  upstreamStats.healthCheckStarted(1, HealthCheckReason::ReadWaiting);
+  upstreamStats.requestSent(1);  // it has told nothing yet
   upstreamStats.healthCheckEnded(1, true);
-  upstreamStats.sent(2);
+  upstreamStats.requestSent(2);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 0U);
-  upstreamStats.sent(1);
-  upstreamStats.sent(1);
+  upstreamStats.requestSent(1);
+  upstreamStats.requestSent(1);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 1U);
-  upstreamStats.healthChecked(1, HealthCheckReason::PrimaryUnknown);
+  upstreamStats.healthCheckStarted(1, HealthCheckReason::PrimaryUnknown);
   upstreamStats.healthCheckEnded(1, false);
-  upstreamStats.sent(1);
-  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).made, 1U);
+  upstreamStats.requestSent(1);
+  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).started, 1U);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).answered, 0U);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).used, 0U);
-  EXPECT_EQ(upstreamStats.mostHealthChecked(), 2U);
+  EXPECT_EQ(upstreamStats.maxHealthChecksPerEndpoint(), 2U);
 }
 
 TEST(UpstreamStats, AConnectionIsUnusedUntilARequestWentOverIt) {
   stats::UpstreamStats upstreamStats;
-  stats::Carried healthChecksOnly = upstreamStats.opened(stats::Purpose::HealthCheck);
-  upstreamStats.reused(healthChecksOnly, stats::Purpose::HealthCheck);
-  stats::Carried once = upstreamStats.opened(stats::Purpose::HealthCheck);
-  upstreamStats.reused(once, stats::Purpose::Request);
-  const stats::Carried first = upstreamStats.opened(stats::Purpose::Request);
-  stats::Carried often = first;
-  upstreamStats.reused(often, stats::Purpose::Request);
-  for (const stats::Carried& carried : {healthChecksOnly, once, often}) upstreamStats.closed(carried);
+  stats::ConnectionUsage healthChecksOnly = upstreamStats.connectionOpened(stats::TrafficType::HealthCheck);
+  upstreamStats.connectionReused(healthChecksOnly, stats::TrafficType::HealthCheck);
+  stats::ConnectionUsage once = upstreamStats.connectionOpened(stats::TrafficType::HealthCheck);
+  upstreamStats.connectionReused(once, stats::TrafficType::Request);
+  const stats::ConnectionUsage first = upstreamStats.connectionOpened(stats::TrafficType::Request);
+  stats::ConnectionUsage often = first;
+  upstreamStats.connectionReused(often, stats::TrafficType::Request);
+  for (const stats::ConnectionUsage& carried : {healthChecksOnly, once, often})
+    upstreamStats.connectionClosed(carried);
   EXPECT_EQ(upstreamStats.connections().closed, 3U);
   EXPECT_EQ(upstreamStats.connections().closedUnused, 1U);
-  EXPECT_EQ(upstreamStats.connections().closedOnce, 1U);
+  EXPECT_EQ(upstreamStats.connections().closedAfterOneRequest, 1U);
 }
 
 TEST(UpstreamStats, ForgetsEndpointsAndNamesEveryCount) {
   stats::UpstreamStats upstreamStats;
-  upstreamStats.healthChecked(1, HealthCheckReason::Unresponsive);
-  upstreamStats.givenUp(RejectReason::SlowStart);
-  EXPECT_EQ(upstreamStats.endpointsHealthChecked(), 1U);
-  upstreamStats.forget(1);
+  upstreamStats.healthCheckStarted(1, HealthCheckReason::Unresponsive);
+  upstreamStats.requestRejected(RejectReason::SlowStart);
+  EXPECT_EQ(upstreamStats.healthCheckedEndpoints(), 1U);
+  upstreamStats.endpointRemoved(1);
   upstreamStats.healthCheckEnded(1, true);
-  EXPECT_EQ(upstreamStats.endpointsHealthChecked(), 0U);
+  EXPECT_EQ(upstreamStats.healthCheckedEndpoints(), 0U);
   const std::string text = describe(upstreamStats);
-  for (const char* name : {"silent=1", "silent_used=0", "members=0", "cold=1", "closed_unused=0"}) {
+  for (const char* name :
+       {"unresponsive=1", "unresponsive_used=0", "endpoints=0", "slow_start=1", "closed_unused=0"}) {
     EXPECT_NE(text.find(name), std::string::npos) << name;
   }
 }
--- a/tests/startup_test.cpp
+++ b/tests/startup_test.cpp
@@ -71,7 +71,8 @@
     Caller caller(settingsOf(i, 10'000, kS), 0);
     Micros now = caller.first();
     EXPECT_LE(now, 2400 * kMs);
-    for (int silent = 0; silent < 2; ++silent) now = caller.failed(now + kAnswerWithin, CallFailure::Silent);
+    for (int silent = 0; silent < 2; ++silent)
+      now = caller.failed(now + kAnswerWithin, CallFailure::TimedOut);
     EXPECT_LE(now, kToldWithin - 100 * kMs);
   }
 }
@@ -103,8 +104,8 @@
   std::vector<Micros> first, second;
   for (unsigned i = 0; i < 300; ++i) {
     Caller caller(settingsOf(i, 300), 0);
-    first.push_back(caller.failed(0, CallFailure::TurnedAway));
-    second.push_back(caller.failed(0, CallFailure::TurnedAway));
+    first.push_back(caller.failed(0, CallFailure::Rejected));
+    second.push_back(caller.failed(0, CallFailure::Rejected));
   }
   for (const auto& times : {first, second}) {
     EXPECT_GT(*std::max_element(times.begin(), times.end()), 1400 * kMs);
@@ -119,7 +120,7 @@
 TEST(AfterAFailure, FewThatWereTurnedAwayComeBackSoon) {
   for (unsigned i = 0; i < 10; ++i) {
     Caller caller(settingsOf(i, 10), 0);
-    EXPECT_LE(caller.failed(0, CallFailure::TurnedAway), 250 * kMs);
+    EXPECT_LE(caller.failed(0, CallFailure::Rejected), 250 * kMs);
   }
 }
 
@@ -127,7 +128,7 @@
   std::vector<Micros> times;
   for (unsigned i = 0; i < 300; ++i) {
     Caller caller(settingsOf(i, 300), 0);
-    times.push_back(caller.failed(0, CallFailure::TurnedAway, kS));
+    times.push_back(caller.failed(0, CallFailure::Rejected, kS));
   }
   EXPECT_GE(*std::min_element(times.begin(), times.end()), kS);
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 1500 * kMs);
@@ -139,7 +140,7 @@
   std::vector<Micros> times;
   for (unsigned i = 0; i < 100; ++i) {
     Caller caller(settingsOf(i, 300), 0);
-    times.push_back(caller.failed(0, CallFailure::TurnedAway, 3600 * kS));
+    times.push_back(caller.failed(0, CallFailure::Rejected, 3600 * kS));
   }
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 1500 * kMs);
   EXPECT_LE(mostWithin(times, 50 * kMs), 35U) << "and they come back apart";
@@ -152,12 +153,12 @@
   std::vector<Micros> third, fourth;
   for (unsigned i = 0; i < 300; ++i) {
     Caller caller(settingsOf(i, 300), 0);
-    for (int before = 0; before < 2; ++before) caller.failed(0, CallFailure::TurnedAway);
-    third.push_back(caller.failed(0, CallFailure::TurnedAway));
-    fourth.push_back(caller.failed(0, CallFailure::TurnedAway));
-    EXPECT_LE(caller.failed(0, CallFailure::TurnedAway), kToldWithin);
+    for (int before = 0; before < 2; ++before) caller.failed(0, CallFailure::Rejected);
+    third.push_back(caller.failed(0, CallFailure::Rejected));
+    fourth.push_back(caller.failed(0, CallFailure::Rejected));
+    EXPECT_LE(caller.failed(0, CallFailure::Rejected), kToldWithin);
     caller.told();
-    EXPECT_LE(caller.failed(0, CallFailure::TurnedAway), 1500 * kMs) << "a list ends the row";
+    EXPECT_LE(caller.failed(0, CallFailure::Rejected), 1500 * kMs) << "a list ends the row";
   }
   EXPECT_GT(*std::max_element(third.begin(), third.end()), 2800 * kMs);
   EXPECT_LE(*std::max_element(third.begin(), third.end()), 3 * kS);
@@ -171,15 +172,15 @@
 // a row; the test above has what further ones do.
 TEST(AfterAFailure, OfWhateverKindTwoInARowLeaveTimeForAnAnswer) {
   using Kind = CallFailure;
-  const std::vector<Kind> kinds = {Kind::TurnedAway, Kind::Broken, Kind::Silent, Kind::Unreachable,
-                                   Kind::Unreadable};
+  const std::vector<Kind> kinds = {Kind::Rejected, Kind::ConnectionReset, Kind::TimedOut, Kind::Unreachable,
+                                   Kind::Malformed};
   for (const Kind one : kinds) {
     for (const Kind two : kinds) {
       for (unsigned i = 0; i < 50; ++i) {
         Caller caller(settingsOf(i, 350, 20 * kMs), 0);
         caller.told();
-        for (int before = 0; before < 8 && one != Kind::TurnedAway; ++before) caller.failed(0, one);
-        const auto took = [](Kind kind) { return kind == Kind::Silent ? kAnswerWithin : kS; };
+        for (int before = 0; before < 8 && one != Kind::Rejected; ++before) caller.failed(0, one);
+        const auto took = [](Kind kind) { return kind == Kind::TimedOut ? kAnswerWithin : kS; };
         const Micros next = caller.failed(took(one), one, 10 * kS);
         const Micros last = caller.failed(next + took(two), two, 10 * kS);
         EXPECT_LE(last, kToldWithin - kS) << static_cast<int>(one) << ' ' << static_cast<int>(two);
@@ -190,14 +191,14 @@
 
 TEST(AfterAFailure, ABrokenCallIsTriedAgainEverLessEagerlyWithinTheTerm) {
   Caller caller(settingsOf(0, 1), 0);
-  EXPECT_LE(caller.failed(0, CallFailure::Broken), 500 * kMs);
+  EXPECT_LE(caller.failed(0, CallFailure::ConnectionReset), 500 * kMs);
   for (int i = 0; i < 20; ++i) {
-    const Micros next = caller.failed(0, CallFailure::Broken);
+    const Micros next = caller.failed(0, CallFailure::ConnectionReset);
     EXPECT_GE(next, 250 * kMs);
     EXPECT_LE(next, 1500 * kMs);
   }
   caller.told();
-  EXPECT_LE(caller.failed(0, CallFailure::Broken), 500 * kMs);
+  EXPECT_LE(caller.failed(0, CallFailure::ConnectionReset), 500 * kMs);
 }
 
 // Hundreds whose watches fall silent together: soon, since what they miss counts, and not as one.
@@ -206,9 +207,9 @@
   for (unsigned i = 0; i < 300; ++i) {
     Caller caller(settingsOf(i, 300), 0);
     caller.told();
-    times.push_back(caller.failed(0, CallFailure::Silent));
+    times.push_back(caller.failed(0, CallFailure::TimedOut));
     // So is the second in a row: its time is gone as well.
-    EXPECT_LE(caller.failed(0, CallFailure::Silent), 250 * kMs);
+    EXPECT_LE(caller.failed(0, CallFailure::TimedOut), 250 * kMs);
   }
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 250 * kMs);
   EXPECT_LE(mostWithin(times, 25 * kMs), 60U);
@@ -218,8 +219,8 @@
   auto settings = settingsOf(0, 1);
   settings.ownService = true;
   Caller caller(settings, 0);
-  for (const CallFailure how :
-       {CallFailure::Broken, CallFailure::Silent, CallFailure::Unreachable, CallFailure::Unreadable}) {
+  for (const CallFailure how : {CallFailure::ConnectionReset, CallFailure::TimedOut, CallFailure::Unreachable,
+                                CallFailure::Malformed}) {
     for (int i = 0; i < 5; ++i) EXPECT_LE(caller.failed(0, how), 250 * kMs);
     caller.told();
   }
