--- a/src/discovery/directory.cpp
+++ b/src/discovery/directory.cpp
@@ -33,7 +33,7 @@
     if (!entry.second.gone) return false;
     names_.erase(entry.second.id);
     launches_.forget(entry.first);
-    pool_.forget(entry.second.id);
+    pool_.remove(entry.second.id);
     return true;
   });
 }
@@ -90,7 +90,7 @@
         observer_.note(stats::Topic::Discovery, "a member's address can't be read: " + listed.hostPort);
         continue;
       }
-      pool_.place(entry.id, placesOf(listed, *socketAddress));
+      pool_.setAddresses(entry.id, placesOf(listed, *socketAddress));
     }
     Endpoint endpoint;
     endpoint.id = entry.id;
--- /dev/null
+++ b/src/downstream/request_reader.h
@@ -0,0 +1,26 @@
+// Validates what a client states of its request and translates it into the policy's terms.
+#pragma once
+
+#include <cstddef>
+#include <string_view>
+
+#include "downstream/session_context.h"
+#include "policy/routing_policy.h"
+#include "protocol/wire.h"
+#include "settings/settings.h"
+#include "wallclock/positions.h"
+
+namespace heathflow::downstream {
+
+// @param protocol  the index of the client's protocol.
+// @return why the request can't be served; empty where it can.
+std::string_view findProblem(const protocol::Asked& asked, const SessionContext& context,
+                             const settings::InstanceSettings& settings, std::size_t protocol);
+
+// Of a request for which findProblem() has found nothing.
+// @param arrivedAt  when its last byte arrived, from which on the client waits.
+Request toRequest(const protocol::Asked& asked, const SessionContext& context,
+                  const settings::InstanceSettings& settings, const wallclock::EndpointTime& endpointTime,
+                  Micros arrivedAt, Micros now);
+
+}  // namespace heathflow::downstream
--- /dev/null
+++ b/src/downstream/session_context.h
@@ -0,0 +1,30 @@
+// What all client sessions of a gateway share.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "policy/routing_policy.h"
+
+namespace heathflow::downstream {
+
+struct SessionContext {
+  explicit SessionContext(const std::vector<std::string>& names) : classNames(names) {
+    for (std::size_t i = 0; i < classNames.size(); ++i) {
+      classIndexes.emplace(classNames[i], static_cast<std::uint32_t>(i));
+    }
+  }
+  std::vector<std::string> classNames;
+  std::unordered_map<std::string_view, std::uint32_t> classIndexes;
+  std::unordered_set<std::string> openRequests;  // ids
+  std::uint64_t connectionCount = 0;             // accepted so far
+  // The protocols, by index, in which a group is served; groups that are missing are served in all.
+  std::unordered_map<GroupId, std::vector<bool>> servedProtocols;
+};
+
+}  // namespace heathflow::downstream
--- a/src/emulator/hollow.cpp
+++ b/src/emulator/hollow.cpp
@@ -10,9 +10,8 @@
 
 }  // namespace
 
-HollowGateway::HollowGateway(transport::EventLoop& loop, const std::string& configuration) : loop_(loop) {
-  std::string problem;
-  if (!program::parseConfig(configuration, config_, problem)) throw std::runtime_error(problem);
+HollowGateway::HollowGateway(transport::EventLoop& loop, const std::string& configuration)
+    : loop_(loop), config_(program::parseConfig(configuration)) {
   config_.memory = kMemoryOfAll;
 }
 
@@ -20,8 +19,7 @@
   end();
   observer_ = std::make_unique<Silent>();
   gateway_ = std::make_unique<program::Gateway>(loop_, config_, *observer_);
-  std::string problem;
-  if (gateway_->listen(problem) != 0) throw std::runtime_error(problem);
+  if (const auto error = gateway_->listen()) throw std::runtime_error(error->text);
   gateway_->start();
 }
 
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -16,137 +16,110 @@
 using Json = nlohmann::json;
 
 // Used where neither the file nor the system sets a lower limit (DEPLOY, Limits).
-constexpr std::size_t kSocketsAtMost = 1024;
+constexpr std::size_t kDefaultMaxSockets = 1024;
 // LATER, Score: a gateway has 32 to 192 MB.
-constexpr std::size_t kMemoryMbLeast = 32;
-constexpr std::size_t kMemoryMbMost = 1'000'000;
+constexpr std::size_t kDefaultMemoryMb = 32;
+constexpr std::size_t kMaxMemoryMb = 1'000'000;
 constexpr std::size_t kMegabyte = 1'000'000;
 
-const char* variable(const char* name) {
+const char* environmentVariable(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr || *value == '\0' ? nullptr : value;
 }
 
+std::string keyName(const char* key) { return std::string("the key '") + key + "'"; }
+
 // A text from the file, or from the environment where the file lacks it.
-bool readText(const Json& file, const char* key, const char* name, std::string& out, std::string& problem) {
+// @param variable  null: none.
+std::string readText(const Json& file, const char* key, const char* variable) {
   const auto found = file.find(key);
   if (found != file.end() && !found->is_null()) {
-    if (!found->is_string()) {
-      problem = std::string("the key '") + key + "' holds a value of the wrong type";
-      return false;
-    }
-    out = found->get<std::string>();
-    return true;
-  }
-  const char* value = name == nullptr ? nullptr : variable(name);
-  if (value == nullptr) {
-    problem = std::string("the key '") + key + "' is missing";
-    return false;
+    if (!found->is_string()) throw ConfigError(keyName(key) + " holds a value of the wrong type");
+    return found->get<std::string>();
   }
-  out = value;
-  return true;
+  const char* value = variable == nullptr ? nullptr : environmentVariable(variable);
+  if (value == nullptr) throw ConfigError(keyName(key) + " is missing");
+  return value;
 }
 
-bool readEndpoint(const Json& file, const char* key, const char* name, transport::SocketAddress& out,
-                  std::string& problem) {
-  std::string text;
-  if (!readText(file, key, name, text, problem)) return false;
-  const auto socketAddress = transport::parseSocketAddress(text);
-  if (!socketAddress) {
-    problem = std::string("the key '") + key + "' holds no address and port: " + text;
-    return false;
-  }
-  out = *socketAddress;
-  return true;
+transport::SocketAddress readAddress(const Json& file, const char* key, const char* variable) {
+  const std::string text = readText(file, key, variable);
+  const auto address = transport::parseSocketAddress(text);
+  if (!address) throw ConfigError(keyName(key) + " holds no address and port: " + text);
+  return *address;
 }
 
-bool readSeed(const Json& file, std::uint64_t& out, std::string& problem) {
-  std::string text;
-  if (!readText(file, "seed", nullptr, text, problem)) return false;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), out, 16);
-  if (error == std::errc() && end == text.data() + text.size() && !text.empty()) return true;
-  problem = "the key 'seed' holds no hexadecimal number";
-  return false;
+std::uint64_t readSeed(const Json& file) {
+  const std::string text = readText(file, "seed", nullptr);
+  std::uint64_t seed = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
+  if (error != std::errc() || end != text.data() + text.size() || text.empty())
+    throw ConfigError("the key 'seed' holds no hexadecimal number");
+  return seed;
 }
 
-std::size_t systemSockets() {
+std::size_t systemSocketLimit() {
   rlimit limit{};
-  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return kSocketsAtMost;
+  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) return kDefaultMaxSockets;
   return static_cast<std::size_t>(limit.rlim_cur);
 }
 
-// One of the limits; it stays as it is where the file names none.
-bool readLimit(const Json& file, const char* key, std::size_t& out, std::string& problem) {
+// @return 'otherwise' where the file does not name the limit.
+std::size_t readLimit(const Json& file, const char* key, std::size_t otherwise) {
   const auto limits = file.find("limits");
-  if (limits == file.end() || !limits->is_object() || !limits->contains(key)) return true;
+  if (limits == file.end() || !limits->is_object() || !limits->contains(key)) return otherwise;
   const Json& value = limits->at(key);
-  if (!value.is_number_unsigned()) {
-    problem = std::string("the key '") + key + "' holds a value of the wrong type";
-    return false;
-  }
-  out = value.get<std::size_t>();
-  return true;
+  if (!value.is_number_unsigned()) throw ConfigError(keyName(key) + " holds a value of the wrong type");
+  return value.get<std::size_t>();
 }
 
-bool readLimits(const Json& file, Config& out, std::string& problem) {
-  out.sockets = kSocketsAtMost;
-  out.memory = kMemoryMbLeast;
-  if (!readLimit(file, "sockets", out.sockets, problem) || !readLimit(file, "memory_mb", out.memory, problem))
-    return false;
-  out.sockets = std::min(out.sockets, systemSockets());
-  out.memory = std::min(out.memory, kMemoryMbMost) * kMegabyte;
-  return true;
+protocol::EndpointList readKnownList(const Json& file) {
+  std::string problem;
+  const auto known = protocol::parseEndpointList(file.at("known").dump(), problem);
+  if (!known) throw ConfigError("the key 'known' can't be read: " + problem);
+  return *known;
+}
+
+Config readAll(const Json& file) {
+  if (!file.is_object()) throw ConfigError("the file is no JSON object");
+  Config config;
+  config.name = readText(file, "name", "NODE_NAME");
+  config.listen = readAddress(file, "listen", "NODE_LISTEN");
+  config.discovery = readAddress(file, "discovery", "NODE_DISCOVERY");
+  config.seed = readSeed(file);
+  config.sockets = std::min(readLimit(file, "sockets", kDefaultMaxSockets), systemSocketLimit());
+  config.memory = std::min(readLimit(file, "memory_mb", kDefaultMemoryMb), kMaxMemoryMb) * kMegabyte;
+  for (const char* key : {"settings", "known"}) {
+    if (!file.contains(key)) throw ConfigError(keyName(key) + " is missing");
+  }
+  config.known = readKnownList(file);
+  config.settings = settings::parseSettings(file.at("settings").dump());
+  return config;
 }
 
 }  // namespace
 
-bool parseConfig(const std::string& text, Config& out, std::string& problem) {
+Config parseConfig(const std::string& text) {
   try {
-    const Json file = Json::parse(text, nullptr, false);
-    if (!file.is_object()) {
-      problem = "the file is no JSON object";
-      return false;
-    }
-    if (!readText(file, "name", "NODE_NAME", out.name, problem) ||
-        !readEndpoint(file, "listen", "NODE_LISTEN", out.listen, problem) ||
-        !readEndpoint(file, "discovery", "NODE_DISCOVERY", out.discovery, problem) ||
-        !readSeed(file, out.seed, problem) || !readLimits(file, out, problem)) {
-      return false;
-    }
-    for (const char* key : {"settings", "known"}) {
-      if (file.contains(key)) continue;
-      problem = std::string("the key '") + key + "' is missing";
-      return false;
-    }
-    const auto known = protocol::parseEndpointList(file.at("known").dump(), problem);
-    if (!known) {
-      problem = "the key 'known' can't be read: " + problem;
-      return false;
-    }
-    out.known = *known;
-    out.settings = settings::parseSettings(file.at("settings").dump());
-    return true;
+    return readAll(Json::parse(text, nullptr, false));
+  } catch (const ConfigError&) {
+    throw;
   } catch (const std::exception& error) {
-    problem = error.what();
-    return false;
+    throw ConfigError(error.what());
   }
 }
 
-bool loadConfig(Config& out, std::string& problem, const std::string& otherwise, int& error) {
-  error = 0;
-  const char* path = variable("NODE_CONFIG");
-  const bool given = path == nullptr && !otherwise.empty();
-  if (given) path = otherwise.c_str();
-  if (path == nullptr) {
-    problem = "the variable NODE_CONFIG is not set";
-    return false;
-  }
-  const files::Content text = files::read(path);
-  if (text.bytes) return parseConfig(*text.bytes, out, problem);
-  error = text.error;
-  problem = std::string("the file that ") + (given ? "the settings name" : "NODE_CONFIG names") +
-            " can't be opened: " + path + ": " + std::strerror(error);
-  return false;
+Config loadConfig(const std::string& fallbackFile) {
+  const char* path = environmentVariable("NODE_CONFIG");
+  const bool useFallback = path == nullptr && !fallbackFile.empty();
+  if (useFallback) path = fallbackFile.c_str();
+  if (path == nullptr) throw ConfigError("the variable NODE_CONFIG is not set");
+  const files::Content content = files::read(path);
+  if (content.bytes) return parseConfig(*content.bytes);
+  throw ConfigError(std::string("the file that ") +
+                        (useFallback ? "the settings name" : "NODE_CONFIG names") +
+                        " can't be opened: " + path + ": " + std::strerror(content.error),
+                    content.error);
 }
 
 }  // namespace heathflow::program
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -1,7 +1,8 @@
-// What the process is started with: the environment and the file that it names.
+// The configuration that the process is started with: a JSON file and a few environment variables.
 #pragma once
 
 #include <cstdint>
+#include <stdexcept>
 #include <string>
 
 #include "protocol/endpoint_list.h"
@@ -21,10 +22,24 @@
   settings::InstanceSettings settings;
 };
 
-// Reads the file that NODE_CONFIG names, else the one given, and the variables beside it. False, with one
-// plain line that names the key, on bad input; 'error' then holds why the file could not be read, or 0.
-bool loadConfig(Config& out, std::string& problem, const std::string& otherwise, int& error);
-// The same from the text of the file.
-bool parseConfig(const std::string& text, Config& out, std::string& problem);
+// A configuration that can't be used; what() is one line that names the key.
+class ConfigError : public std::runtime_error {
+ public:
+  explicit ConfigError(const std::string& text, int systemError = 0)
+      : std::runtime_error(text), systemError_(systemError) {}
+  // The error number where the file could not be read; 0 where its content is wrong.
+  int systemError() const { return systemError_; }
+
+ private:
+  int systemError_;
+};
+
+// Reads the file that NODE_CONFIG names, and the variables beside it.
+// @param fallbackFile  read where NODE_CONFIG is not set; empty: none.
+// @throws ConfigError
+Config loadConfig(const std::string& fallbackFile);
+// @param text  of the file.
+// @throws ConfigError
+Config parseConfig(const std::string& text);
 
 }  // namespace heathflow::program
--- /dev/null
+++ b/src/program/config_reloader.cpp
@@ -0,0 +1,34 @@
+#include "program/config_reloader.h"
+
+#include <utility>
+
+#include "program/config.h"
+#include "program/log.h"
+
+namespace heathflow::program {
+
+ConfigReloader::ConfigReloader(transport::EventLoop& loop, Gateway& gateway, std::string fallbackFile)
+    : loop_(loop),
+      gateway_(gateway),
+      fallbackFile_(std::move(fallbackFile)),
+      nextAttempt_(loop, [this] { attempt(); }) {}
+
+void ConfigReloader::reload() {
+  retry_ = discovery::StartRetry(discovery::kReloadWithin);
+  attempt();
+}
+
+void ConfigReloader::attempt() {
+  try {
+    const Config fresh = loadConfig(fallbackFile_);
+    nextAttempt_.disarm();
+    gateway_.reload(fresh);
+    logLine("the configuration was read again: discovery at " + toText(fresh.discovery));
+  } catch (const ConfigError& error) {
+    const discovery::Micros wait = error.systemError() == 0 ? -1 : retry_.next(error.systemError());
+    if (wait < 0) return logLine(std::string("the configuration stays as it was: ") + error.what());
+    nextAttempt_.arm(loop_.now() + wait);
+  }
+}
+
+}  // namespace heathflow::program
--- a/src/program/gateway.h
+++ b/src/program/gateway.h
@@ -1,8 +1,11 @@
-// All parts of one gateway, put together.
+// One gateway with all its parts.
 #pragma once
 
+#include <cstddef>
 #include <functional>
 #include <memory>
+#include <optional>
+#include <string>
 #include <vector>
 
 #include "discovery/caller.h"
@@ -11,43 +14,65 @@
 #include "downstream/client_listener.h"
 #include "installation/installation.h"
 #include "program/config.h"
+#include "program/protocols.h"
 #include "routing/router.h"
 #include "snapshot/snapshot.h"
 #include "upstream/connection_pool.h"
 
 namespace heathflow::program {
 
+// Why a listener could not be opened.
+struct ListenError {
+  int systemError = 0;
+  std::string text;  // for the log
+};
+
 class Gateway {
  public:
-  // Without an installation it serves as the platform has it: one listener, one protocol.
+  // @param config        outlives the gateway.
+  // @param installation  without one the gateway has the platform's listener and protocol.
+  // @param earlier       the snapshot of an earlier incarnation.
   Gateway(transport::EventLoop& loop, const Config& config, stats::Observer& observer,
           const installation::Installation& installation = {},
           const std::optional<snapshot::Snapshot>& earlier = {});
 
-  // Opens the listeners that are not open yet; nobody is taken in before start(). 0, or the error number and
-  // what it means.
-  int listen(std::string& problem);
-  // Takes clients from here on.
+  // Opens the listeners that are not open yet; no client is accepted before start().
+  // @return nothing once all are open.
+  std::optional<ListenError> listen();
+  // Accepts clients from here on.
   void start();
-  // Where clients reach it.
+  // @return the address at which clients reach it.
   std::optional<transport::SocketAddress> boundTo(std::size_t listener = 0) const {
-    return entrances_[listener].listener->boundTo();
+    return listeners_[listener].listener->boundTo();
   }
-  // Takes over what may change while it runs: where discovery is. The rest holds from the next start on.
+  // Takes over what may change while it runs: the address of discovery. The rest holds from the next start
+  // on.
   void reload(const Config& fresh);
-  // What the next life should know.
-  snapshot::Snapshot remember() const;
-  // Grows with each list that was taken in, so that a new one is seen to be worth keeping.
+  // @return what the next incarnation should know.
+  snapshot::Snapshot currentSnapshot() const;
+  // How many endpoint lists have been received, to see whether there is a new one to store.
   std::uint64_t listsTaken() const { return observer_.counters.listsTaken; }
-  // Lets all clients go between their requests, then calls back. What endpoints do not answer in time gets
-  // its answer before the platform ends the process.
+  // Closes all clients between their requests. Requests without an answer get one before the platform kills
+  // the process.
+  // @param done  called when all are closed.
   void drain(std::function<void()> done);
 
  private:
+  struct Listener {
+    transport::SocketAddress address;
+    std::string name;
+    std::unique_ptr<protocol::Protocol> protocol;
+    std::unique_ptr<downstream::ClientListener> listener;
+  };
+  void onList(const protocol::EndpointList& list);
+  void addListener(const installation::Listener& settings);
+  ListenError listenError(const Listener& listener, int error) const;
+  protocol::EndpointList initialList() const;
+
   transport::EventLoop& loop_;
   const Config& config_;
   installation::Installation installation_;
-  std::vector<std::unique_ptr<protocol::Protocol>> protocols_;  // by the pool's index
+  Protocols protocols_;  // by the pool's index
   upstream::DescriptorBudget budget_;
   upstream::ConnectionPool pool_;
   routing::Router router_;
@@ -55,20 +80,12 @@
   routing::Directory directory_;
   discovery::Caller caller_;
   routing::DiscoveryWatch watch_;
-  snapshot::Snapshot memory_;  // of the list as it is, and of earlier lives
-  std::string movedTo_;        // the list service's new place, while the list is still of the old one
-  downstream::ClientSession::Shared shared_;
-  struct Entrance {
-    transport::SocketAddress address;
-    std::string name;
-    std::unique_ptr<protocol::Protocol> protocol;
-    std::unique_ptr<downstream::ClientListener> listener;
-  };
-  void take(const protocol::EndpointList& list);
-  void addEntrance(const installation::Listener& listener, stats::Observer& observer);
-  std::vector<Entrance> entrances_;
-  bool ending_ = false;
-  std::size_t draining_ = 0;  // listeners that are not yet done
+  snapshot::Snapshot snapshot_;  // of the list as it is, and of earlier incarnations
+  std::string newListSource_;    // the list service's new address, while the list is still of the old one
+  downstream::SessionContext context_;
+  std::vector<Listener> listeners_;
+  bool shuttingDown_ = false;
+  std::size_t drainingListeners_ = 0;
 };
 
 }  // namespace heathflow::program
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -18,11 +18,11 @@
 using installation::LogForm;
 using Level = spdlog::level::level_enum;
 
-constexpr std::array<const char*, stats::kTopics> kNames = {"downstream", "upstream",   "discovery",
-                                                            "limits",     "invariants", "requests"};
+constexpr std::array<const char*, stats::kTopics> kTopicNames = {"downstream", "upstream",   "discovery",
+                                                                 "limits",     "invariants", "requests"};
 
-// Said of the process itself.
-constexpr const char* kOwnTopic = "process";
+// Of lines about the process itself.
+constexpr const char* kProcessTopic = "process";
 
 std::unique_ptr<spdlog::logger> makeLogger(LogForm form) {
   auto logger =
@@ -46,20 +46,20 @@
 struct Writer {
   LogForm form = LogForm::Text;
   std::unique_ptr<spdlog::logger> logger = makeLogger(LogForm::Text);
-  std::uint64_t lost = 0;  // lines, since the last one that was written
+  std::uint64_t lostLines = 0;  // since the last line that was written
 };
 
 Writer& writer() {
-  static Writer only;
-  return only;
+  static Writer instance;
+  return instance;
 }
 
-// A text in double quotes. What comes from outside can't end a line or forge a field.
+// A text in double quotes, escaped, so that text from clients can't end a line or forge a field.
 std::string jsonText(std::string_view text) {
   return nlohmann::json(text).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-// Text that comes from outside stays within its line in the plain form too.
+// Without control characters, so that text from clients stays within its line.
 std::string oneLine(std::string_view text) {
   std::string out(text);
   for (char& c : out) {
@@ -81,11 +81,11 @@
   out += value;
 }
 
-// Whether a line can be written without waiting for whoever reads the log. A pipe that can take something
-// takes a piece of this size whole (POSIX, PIPE_BUF).
-constexpr std::size_t kLineMost = PIPE_BUF - 128;
+// A pipe that is writable takes a write of this size at once (POSIX, PIPE_BUF).
+constexpr std::size_t kMaxLineLength = PIPE_BUF - 128;
 
-bool readerKeepsUp() {
+// Whether a line can be written without waiting for the log's reader.
+bool isWritable() {
   pollfd standardError{STDERR_FILENO, POLLOUT, 0};
   int ready = 0;
   do {
@@ -94,44 +94,45 @@
   return ready < 0 || (standardError.revents & POLLOUT) != 0;
 }
 
-// Guards the one thread: a log that nobody reads loses lines, and no request waits for it.
+// A log that nobody reads loses lines, for requests must not wait for it.
 void writeLine(Writer& to, Level level, std::string line) {
-  if (!readerKeepsUp()) {
-    ++to.lost;
+  if (!isWritable()) {
+    ++to.lostLines;
     return;
   }
-  if (line.size() > kLineMost) line.resize(kLineMost);
+  if (line.size() > kMaxLineLength) line.resize(kMaxLineLength);
   to.logger->log(level, spdlog::string_view_t(line.data(), line.size()));
 }
 
-std::string lineOf(LogForm form, const char* topic, const std::string& text, const stats::LogContext& about) {
+std::string lineOf(LogForm form, const char* topic, const std::string& text,
+                   const stats::LogContext& context) {
   std::string line;
   if (form == LogForm::Text) {
-    if (topic != kOwnTopic) line = std::string(topic) + ": ";
+    if (topic != kProcessTopic) line = std::string(topic) + ": ";
     line += oneLine(text);
   } else {
     const bool json = form == LogForm::Json;
     addField(line, form, "topic", json ? jsonText(topic) : topic);
-    if (about.connection != 0) addField(line, form, "connection", std::to_string(about.connection));
-    if (!about.protocol.empty()) {
-      addField(line, form, "protocol", json ? jsonText(about.protocol) : std::string(about.protocol));
+    if (context.connection != 0) addField(line, form, "connection", std::to_string(context.connection));
+    if (!context.protocol.empty()) {
+      addField(line, form, "protocol", json ? jsonText(context.protocol) : std::string(context.protocol));
     }
-    if (!about.request.empty()) addField(line, form, "request", jsonText(about.request));
-    if (about.family) addField(line, form, "family", std::to_string(*about.family));
+    if (!context.request.empty()) addField(line, form, "request", jsonText(context.request));
+    if (context.family) addField(line, form, "family", std::to_string(*context.family));
     addField(line, form, "text", jsonText(text));
   }
   return line;
 }
 
-void write(Level level, const char* topic, const std::string& text, const stats::LogContext& about) {
+void write(Level level, const char* topic, const std::string& text, const stats::LogContext& context) {
   Writer& to = writer();
   if (!to.logger->should_log(level)) return;
-  if (to.lost > 0 && readerKeepsUp()) {
+  if (to.lostLines > 0 && isWritable()) {
     const std::string missing =
-        std::to_string(std::exchange(to.lost, 0)) + " lines were lost: nobody read the log";
-    writeLine(to, Level::warn, lineOf(to.form, kOwnTopic, missing, {}));
+        std::to_string(std::exchange(to.lostLines, 0)) + " lines were lost: nobody read the log";
+    writeLine(to, Level::warn, lineOf(to.form, kProcessTopic, missing, {}));
   }
-  writeLine(to, level, lineOf(to.form, topic, text, about));
+  writeLine(to, level, lineOf(to.form, topic, text, context));
 }
 
 }  // namespace
@@ -162,13 +163,13 @@
   }
 }
 
-void logLine(const std::string& text) { write(Level::info, kOwnTopic, text, {}); }
+void logLine(const std::string& text) { write(Level::info, kProcessTopic, text, {}); }
 
-void Log::trace(stats::Topic topic, const std::string& text, const stats::LogContext& about) {
-  write(Level::trace, kNames[static_cast<std::size_t>(topic)], text, about);
+void Log::trace(stats::Topic topic, const std::string& text, const stats::LogContext& context) {
+  write(Level::trace, kTopicNames[static_cast<std::size_t>(topic)], text, context);
 }
 
-void Log::note(stats::Topic topic, const std::string& text, const stats::LogContext& about) {
+void Log::note(stats::Topic topic, const std::string& text, const stats::LogContext& context) {
   const auto index = static_cast<std::size_t>(topic);
   Bucket& bucket = buckets_[index];
   const std::int64_t second = seconds_();
@@ -176,14 +177,14 @@
     const std::uint64_t dropped = bucket.dropped;
     bucket = Bucket{second, 0, 0};
     if (dropped != 0) {
-      write(Level::warn, kNames[index], std::to_string(dropped) + " more lines were left out", {});
+      write(Level::warn, kTopicNames[index], std::to_string(dropped) + " more lines were left out", {});
     }
   }
   if (++bucket.lines > linesPerSecond_) {
     ++bucket.dropped;
     return;
   }
-  write(Level::warn, kNames[index], text, about);
+  write(Level::warn, kTopicNames[index], text, context);
 }
 
 }  // namespace heathflow::program
--- a/src/program/log.h
+++ b/src/program/log.h
@@ -1,5 +1,4 @@
-// The log: lines on standard error, so many a second of each topic at the most. One function writes them all,
-// as plain text, as key=value or as JSON, whatever the settings say.
+// The log: lines on standard error, limited by topic and second, as plain text, key=value or JSON.
 #pragma once
 
 #include <array>
@@ -12,9 +11,9 @@
 
 namespace heathflow::program {
 
-// From here on lines have this form, and those below this level are left out. Plain text until then.
+// Sets the form and the level of all further lines; plain text until then.
 void configureLog(const installation::LogSettings& settings);
-// Writes one line, always. For what is said once: start, end, what was asked for.
+// Writes one line without a limit, for rare events: start, end, counters.
 void logLine(const std::string& text);
 
 class Log final : public stats::Observer {
@@ -25,11 +24,12 @@
 
   void setLinesPerSecond(unsigned lines) { linesPerSecond_ = lines; }
 
-  // Guards the disk and the CPU of a process in trouble: the rest of a second's lines are only counted.
+  // Beyond the limit lines are only counted, so that an overloaded process does not spend its CPU and disk on
+  // them.
   using Observer::note;
-  void note(stats::Topic topic, const std::string& text, const stats::LogContext& about) override;
-  // Not limited: it is for one who looks for a cause, and asked for.
-  void trace(stats::Topic topic, const std::string& text, const stats::LogContext& about) override;
+  void note(stats::Topic topic, const std::string& text, const stats::LogContext& context) override;
+  // Not limited.
+  void trace(stats::Topic topic, const std::string& text, const stats::LogContext& context) override;
 
  private:
   struct Bucket {
--- /dev/null
+++ b/src/program/serve.cpp
@@ -0,0 +1,163 @@
+#include "program/serve.h"
+
+#include <csignal>
+#include <cstring>
+#include <memory>
+#include <optional>
+#include <sstream>
+#include <vector>
+
+#include "files/files.h"
+#include "installation/installation.h"
+#include "program/config.h"
+#include "program/config_reloader.h"
+#include "program/counters.h"
+#include "program/gateway.h"
+#include "program/log.h"
+#include "program/signals.h"
+#include "program/snapshot_writer.h"
+#include "program/startup_retry.h"
+
+namespace heathflow::program {
+namespace {
+
+constexpr Micros kMicrosPerSecond = 1'000'000;
+
+void logCounters(const stats::Observer& observer) {
+  std::istringstream lines(describe(observer.counters) + describe(observer.upstreamStats));
+  for (std::string line; std::getline(lines, line);) logLine(line);
+}
+
+void logProblems(const std::vector<installation::Problem>& problems) {
+  for (const auto& problem : problems) logLine(toText(problem));
+}
+
+// @return nothing, and logs why, where the settings can't be used.
+std::optional<installation::Installation> readSettings(const std::string& file) {
+  if (file.empty()) return installation::Installation{};
+  files::Content text;
+  const int error = retryAtStartup("the reading of the settings", [&] {
+    text = files::read(file);
+    return text.error;
+  });
+  if (error != 0) {
+    logLine(file + ": the file can't be opened: " + std::strerror(error));
+    return {};
+  }
+  std::vector<installation::Problem> problems;
+  auto settings = installation::parse(file, *text.bytes, problems);
+  if (settings) installation::readSecrets(*settings, file, problems);
+  logProblems(problems);
+  if (!problems.empty()) return {};
+  return settings ? *settings : installation::Installation{};
+}
+
+// @return nothing, and logs why, where the configuration can't be used.
+std::optional<Config> readConfig(const installation::Installation& installation,
+                                 const std::string& settingsFile) {
+  std::optional<Config> config;
+  std::string problem;
+  (void)retryAtStartup("the reading of the configuration", [&] {
+    try {
+      config = loadConfig(installation.nodeFile);
+      return 0;
+    } catch (const ConfigError& error) {
+      problem = error.what();
+      return error.systemError();
+    }
+  });
+  if (!config) {
+    logLine(problem);
+    return {};
+  }
+  std::vector<installation::Problem> problems;
+  installation::checkClasses(installation, settingsFile, config->settings.classNames, problems);
+  logProblems(problems);
+  if (!problems.empty()) return {};
+  return config;
+}
+
+// Creates what a lack of descriptors or memory may prevent for a moment.
+// @return null, and logs why, where it can't be created.
+template <typename Make>
+auto createAtStartup(const std::string& step, const std::string& failure, Make make) -> decltype(make()) {
+  decltype(make()) created;
+  const int error = retryAtStartup(step, [&] {
+    created = make();
+    return 0;
+  });
+  if (error != 0) logLine(failure + ": " + std::strerror(error));
+  return created;
+}
+
+void logListeners(const Gateway& gateway, const Config& config,
+                  const installation::Installation& installation) {
+  logLine(config.name + " serves at " + toText(gateway.boundTo().value_or(config.listen)));
+  for (std::size_t i = 0; i < installation.listeners.size(); ++i) {
+    const installation::Listener& listener = installation.listeners[i];
+    logLine("the listener '" + listener.name + "' speaks " + listener.protocol + " at " +
+            toText(gateway.boundTo(i + 1).value_or(listener.address)));
+  }
+}
+
+// @return whether all listeners are open; logs why not.
+bool openListeners(Gateway& gateway) {
+  std::optional<ListenError> error;
+  const int failed = retryAtStartup("the opening of the listeners", [&] {
+    error = gateway.listen();
+    return error ? error->systemError : 0;
+  });
+  if (failed != 0) logLine(error ? error->text : std::strerror(failed));
+  return failed == 0;
+}
+
+ExitCode runGateway(transport::EventLoop& loop, const Config& config,
+                    const installation::Installation& installation) {
+  Log log;
+  log.setLinesPerSecond(installation.log.linesPerSecond);
+  log.tracing = installation.log.level == installation::LogLevel::Trace;
+  const auto earlier = loadSnapshot(installation.snapshot, config.name);
+  Gateway gateway(loop, config, log, installation, earlier);
+  SnapshotWriter snapshotWriter(loop, installation.snapshot, earlier, gateway);
+  ConfigReloader reloader(loop, gateway, installation.nodeFile);
+  const auto onSignal = [&](int signal) {
+    if (signal == SIGUSR1) return logCounters(log);
+    if (signal == SIGHUP) return reloader.reload();
+    logLine("shutting down: clients are notified");
+    gateway.drain([&] { loop.stop(); });
+  };
+  const auto signals = createAtStartup("the taking of signals", "signals can't be taken",
+                                       [&] { return std::make_unique<Signals>(loop, onSignal); });
+  if (signals == nullptr) return kFailed;
+  const Micros countersInterval = installation.log.countersEvery * kMicrosPerSecond;
+  transport::Timer countersTimer(loop, [&] {
+    logCounters(log);
+    countersTimer.arm(loop.now() + countersInterval);
+  });
+  if (countersInterval > 0) countersTimer.arm(loop.now() + countersInterval);
+  if (!openListeners(gateway)) return kFailed;
+  gateway.start();
+  snapshotWriter.start();
+  logListeners(gateway, config, installation);
+  loop.run();
+  snapshotWriter.stop();
+  logCounters(log);
+  return kGood;
+}
+
+}  // namespace
+
+ExitCode serve(const std::string& settingsFile) {
+  const auto installation = readSettings(settingsFile);
+  if (!installation) return kUnusable;
+  const auto config = readConfig(*installation, settingsFile);
+  if (!config) return kUnusable;
+  configureLog(installation->log);
+  for (const std::string& note : config->settings.notes) logLine(note);
+  const auto loop = createAtStartup("waiting for events", "events can't be waited for",
+                                    [] { return std::make_unique<transport::EventLoop>(); });
+  if (loop == nullptr) return kFailed;
+  return runGateway(*loop, *config, *installation);
+}
+
+}  // namespace heathflow::program
--- a/src/program/signals.cpp
+++ b/src/program/signals.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-sigset_t wantedSignals() {
+sigset_t handledSignals() {
   sigset_t out;
   sigemptyset(&out);
   for (const int signal : {SIGTERM, SIGINT, SIGHUP, SIGUSR1}) sigaddset(&out, signal);
@@ -20,16 +20,16 @@
 
 }  // namespace
 
-void holdSignals() {
+void blockSignals() {
   std::signal(SIGPIPE, SIG_IGN);
-  const sigset_t wanted = wantedSignals();
-  sigprocmask(SIG_BLOCK, &wanted, nullptr);
+  const sigset_t handled = handledSignals();
+  sigprocmask(SIG_BLOCK, &handled, nullptr);
 }
 
 Signals::Signals(transport::EventLoop& loop, Handler handler) : loop_(loop), handler_(std::move(handler)) {
-  holdSignals();
-  const sigset_t wanted = wantedSignals();
-  fd_ = transport::UniqueFd(::signalfd(-1, &wanted, SFD_NONBLOCK | SFD_CLOEXEC));
+  blockSignals();
+  const sigset_t handled = handledSignals();
+  fd_ = transport::UniqueFd(::signalfd(-1, &handled, SFD_NONBLOCK | SFD_CLOEXEC));
   if (!fd_ || !loop_.watch(fd_.get(), *this))
     throw std::system_error(errno, std::generic_category(), "signals");
 }
@@ -38,7 +38,7 @@
 
 void Signals::onReady(std::uint32_t) {
   signalfd_siginfo info{};
-  // Read until there is no more: the descriptor is announced by its edges.
+  // The descriptor is edge-triggered, so that it has to be read until it is empty.
   for (;;) {
     const ssize_t got = ::read(fd_.get(), &info, sizeof info);
     if (got == static_cast<ssize_t>(sizeof info)) {
--- a/src/program/signals.h
+++ b/src/program/signals.h
@@ -7,14 +7,15 @@
 
 namespace heathflow::program {
 
-// From the first moment of a serving process: signals that come before they are taken wait, where by their
-// usual effect they would end it.
-void holdSignals();
+// Blocks the signals that Signals handles, which then wait until one is created. Called first of all, for by
+// default they would end the process.
+void blockSignals();
 
 class Signals final : private transport::IoHandler {
  public:
   using Handler = std::function<void(int signal)>;
-  // From here on SIGTERM, SIGINT, SIGHUP and SIGUSR1 come as calls, and SIGPIPE not at all.
+  // Handles SIGTERM, SIGINT, SIGHUP and SIGUSR1; SIGPIPE is ignored.
+  // @throws std::system_error
   Signals(transport::EventLoop& loop, Handler handler);
   ~Signals() override;
 
--- a/src/program/starting.cpp
+++ b/src/program/startup_retry.cpp
@@ -1,4 +1,4 @@
-#include "program/starting.h"
+#include "program/startup_retry.h"
 
 #include <cstring>
 #include <ctime>
@@ -13,14 +13,14 @@
 constexpr discovery::Micros kMicrosPerSecond = 1'000'000;
 constexpr long kNanosPerMicro = 1000;
 
-void rest(discovery::Micros span) {
+void sleepFor(discovery::Micros span) {
   const timespec time{span / kMicrosPerSecond, span % kMicrosPerSecond * kNanosPerMicro};
   ::nanosleep(&time, nullptr);
 }
 
-int errorOf(const std::function<int()>& attempt) {
+int runStep(const std::function<int()>& step) {
   try {
-    return attempt();
+    return step();
   } catch (const std::system_error& error) {
     return error.code().value();
   }
@@ -28,17 +28,17 @@
 
 }  // namespace
 
-int untilStarted(const std::string& what, const std::function<int()>& attempt) {
+int retryAtStartup(const std::string& name, const std::function<int()>& step) {
   discovery::StartRetry retry;
-  bool told = false;
+  bool logged = false;
   for (;;) {
-    const int error = errorOf(attempt);
+    const int error = runStep(step);
     if (error == 0) return 0;
     const discovery::Micros wait = retry.next(error);
     if (wait < 0) return error;
-    if (!told) logLine(what + " is tried again: " + std::strerror(error));
-    told = true;
-    rest(wait);
+    if (!logged) logLine(name + " is tried again: " + std::strerror(error));
+    logged = true;
+    sleepFor(wait);
   }
 }
 
--- /dev/null
+++ b/src/routing/attempt_result.cpp
@@ -0,0 +1,113 @@
+#include "routing/attempt_result.h"
+
+#include <limits>
+#include <optional>
+
+#include "protocol/load_report.h"
+
+namespace heathflow::routing {
+namespace {
+
+using AnswerKind = protocol::Answer::Kind;
+using Cause = upstream::ExchangeEnd::Cause;
+using upstream::ExchangeStage;
+
+using transport::kMicrosPerMilli;
+constexpr std::int64_t kOne = 1'000'000;  // in the millionths of a Decimal
+// A position beyond this would overflow in microseconds.
+constexpr std::int64_t kMaxPositionMs = std::numeric_limits<std::int64_t>::max() / kMicrosPerMilli;
+
+// @param index  of the report's field; below 0: the settings have none.
+std::optional<protocol::Decimal> numberAt(const settings::ReportLayout& layout, int index,
+                                          std::string_view text) {
+  if (index < 0) return std::nullopt;
+  const auto field = protocol::reportField(text, layout.fields[static_cast<std::size_t>(index)]);
+  return field ? protocol::parseDecimal(*field) : std::nullopt;
+}
+
+AttemptOutcome outcomeOf(AnswerKind kind) {
+  switch (kind) {
+    case AnswerKind::Value:
+      return AttemptOutcome::Ok;
+    case AnswerKind::Full:
+      return AttemptOutcome::Overloaded;
+    case AnswerKind::Miss:
+      return AttemptOutcome::PreconditionFailed;
+    case AnswerKind::None:
+    case AnswerKind::Empty:   // the request may have run
+    case AnswerKind::NotNow:  // does not say whether the request has run
+    case AnswerKind::Error:
+      break;
+  }
+  return AttemptOutcome::Error;
+}
+
+}  // namespace
+
+bool mayHaveRun(AttemptOutcome outcome) {
+  return outcome != AttemptOutcome::Overloaded && outcome != AttemptOutcome::ConnectFailed &&
+         outcome != AttemptOutcome::NotSent && outcome != AttemptOutcome::PreconditionFailed;
+}
+
+AttemptOutcome outcomeOf(const upstream::ExchangeEnd& end) {
+  if (end.cause == Cause::Cancelled) return AttemptOutcome::NotSent;
+  // The request runs only after its last byte was written.
+  if (end.stage == ExchangeStage::Connecting || end.stage == ExchangeStage::PartlyWritten)
+    return AttemptOutcome::ConnectFailed;
+  if (end.cause == Cause::Malformed) return AttemptOutcome::Malformed;
+  if (end.cause != Cause::Answered) return AttemptOutcome::ConnectionReset;
+  return outcomeOf(end.answer->kind);
+}
+
+LoadReport parseLoadReport(const settings::InstanceSettings& settings, std::string_view text, Micros now,
+                           wallclock::EndpointTime& endpointTime) {
+  const settings::ReportLayout& layout = settings.report;
+  LoadReport report;
+  if (const auto role = numberAt(layout, layout.role, text);
+      role && role->micros >= 0 && role->micros <= kOne) {
+    report.role = role->micros * 2 >= kOne ? Role::Primary : Role::Replica;
+  }
+  if (const auto position = numberAt(layout, layout.position, text); position && position->micros > 0) {
+    // It may have been rounded up by as much as its last digit.
+    const bool byPrimary = report.role == Role::Primary;
+    report.position = endpointTime.heard(position->micros - position->step, now, byPrimary);
+    // A report with a position in the future is not trusted at all.
+    if (!report.position) return {};
+  }
+  if (const auto inFlight = numberAt(layout, layout.held, text)) {
+    report.inFlight = static_cast<double>(inFlight->micros) / static_cast<double>(kOne);
+  }
+  return report;
+}
+
+void readResponseMetadata(const settings::InstanceSettings& settings, const upstream::ExchangeEnd& end,
+                          Micros now, wallclock::EndpointTime& endpointTime, AttemptEnded& event) {
+  if (end.cause != Cause::Answered) return;
+  const protocol::Answer& answer = *end.answer;
+  if (answer.primary) event.role = *answer.primary ? Role::Primary : Role::Replica;
+  if (answer.positionMs && *answer.positionMs <= kMaxPositionMs) {
+    const bool byPrimary = event.role == Role::Primary;
+    event.position = endpointTime.heard(*answer.positionMs * kMicrosPerMilli, now, byPrimary);
+  }
+  event.report = parseLoadReport(settings, answer.report.of(end.bytes), now, endpointTime);
+}
+
+HealthCheckEnded healthCheckResultOf(const settings::InstanceSettings& settings,
+                                     const upstream::ExchangeEnd& end, Micros now,
+                                     wallclock::EndpointTime& endpointTime) {
+  HealthCheckEnded event;
+  // The endpoint's host responds, though not with a result.
+  event.rejected =
+      end.brokenAfterConnect || (end.cause == Cause::Malformed && end.stage != ExchangeStage::Connecting);
+  if (end.answer == nullptr) return event;
+  if (end.answer->kind == AnswerKind::Value) {
+    event.ok = true;
+    event.report = parseLoadReport(settings, end.answer->value.of(end.bytes), now, endpointTime);
+  } else {
+    event.refusesNewWork = end.answer->kind == AnswerKind::NotNow;
+    event.rejected = event.refusesNewWork || end.answer->kind == AnswerKind::Full;
+  }
+  return event;
+}
+
+}  // namespace heathflow::routing
--- /dev/null
+++ b/src/routing/health_check_manager.cpp
@@ -0,0 +1,99 @@
+#include "routing/health_check_manager.h"
+
+#include <utility>
+
+#include "routing/attempt_result.h"
+
+namespace heathflow::routing {
+
+using Selection = upstream::ConnectionPool::Selection;
+
+struct HealthCheckManager::HealthCheck final : upstream::Exchange {
+  HealthCheck(HealthCheckManager& owner, EndpointId to)
+      : manager(owner),
+        endpoint(to),
+        startedAt(owner.env_.loop.now()),
+        timeout(owner.env_.loop, [this] { manager.onTimeout(*this); }) {}
+
+  stats::TrafficType trafficType() const override { return stats::TrafficType::HealthCheck; }
+  bool write(protocol::EndpointSide& side, transport::Buffer& out) override {
+    return side.askHealthCheck(out);
+  }
+  void onExchangeEnd(const upstream::ExchangeEnd& end) override { manager.onExchangeEnd(*this, end); }
+
+  HealthCheckManager& manager;
+  EndpointId endpoint;
+  Micros startedAt;
+  upstream::EndpointConnection* connection = nullptr;
+  bool retried = false;
+  transport::Timer timeout;
+};
+
+HealthCheckManager::HealthCheckManager(const Environment& environment) : env_(environment) {}
+HealthCheckManager::~HealthCheckManager() = default;
+
+void HealthCheckManager::start(const StartHealthCheck& action) {
+  const EndpointId endpoint = action.endpoint;
+  if (checks_.contains(endpoint)) return;
+  ++env_.observer.counters.healthChecksStarted;
+  env_.observer.upstreamStats.healthCheckStarted(endpoint, action.reason);
+  HealthCheck& check =
+      *checks_.emplace(endpoint, std::make_unique<HealthCheck>(*this, endpoint)).first->second;
+  // The settings have no timeout for health checks; that of connections serves.
+  check.timeout.arm(env_.loop.now() + env_.settings.logic.connectTimeout);
+  connect(check, action.onOldestConnection ? Selection::OldestIdle : Selection::NewestIdle);
+}
+
+void HealthCheckManager::connect(HealthCheck& check, Selection selection) {
+  using StartResult = upstream::ConnectionPool::StartResult;
+  const std::size_t protocol = env_.pool.firstProtocol(check.endpoint);
+  switch (env_.pool.start(check.endpoint, protocol, check, check.connection, selection)) {
+    case StartResult::Started:
+      return;
+    case StartResult::NoDescriptor: {
+      // The gateway's own lack of descriptors says nothing about the endpoint.
+      HealthCheckEnded rejected;
+      rejected.rejected = true;
+      return end(check, rejected);
+    }
+    case StartResult::Unreachable:
+      return end(check, {});
+  }
+}
+
+void HealthCheckManager::onExchangeEnd(HealthCheck& check, const upstream::ExchangeEnd& exchangeEnd) {
+  // A connection that breaks says nothing about its endpoint: one retry on a new connection.
+  if (exchangeEnd.brokenAfterConnect && !std::exchange(check.retried, true))
+    return connect(check, Selection::NewConnection);
+  HealthCheckEnded event =
+      healthCheckResultOf(env_.settings, exchangeEnd, env_.loop.now(), env_.endpointTime);
+  if (event.ok) event.connectionAge = check.connection->age();
+  end(check, event);
+}
+
+void HealthCheckManager::onTimeout(HealthCheck& check) {
+  // Connections to a host that vanished stay open until it is back and resets them. Where not even a health
+  // check gets a byte, the connections that were idle before it are closed too.
+  const bool noResponse = check.connection->awaitsFirstByte();
+  check.connection->abort();
+  if (noResponse) env_.pool.closeIdle(check.endpoint, check.startedAt);
+  end(check, {});
+}
+
+void HealthCheckManager::end(HealthCheck& check, HealthCheckEnded event) {
+  const auto found = checks_.find(check.endpoint);
+  if (found == checks_.end() || found->second.get() != &check) return;
+  check.timeout.disarm();
+  event.endpoint = check.endpoint;
+  event.elapsed = env_.loop.now() - check.startedAt;
+  stats::Counters& counters = env_.observer.counters;
+  ++(event.ok         ? counters.healthChecksAnswered
+     : event.rejected ? counters.healthChecksRejected
+                      : counters.healthChecksFailed);
+  env_.observer.upstreamStats.healthCheckEnded(event.endpoint, event.ok);
+  env_.loop.retire(std::move(found->second));
+  checks_.erase(found);
+  env_.policy.post(event);
+}
+
+}  // namespace heathflow::routing
--- /dev/null
+++ b/src/routing/policy_driver.h
@@ -0,0 +1,34 @@
+// Feeds events to the routing policy, one at a time, and has the router perform the actions. An event that is
+// posted while an action is performed waits until all earlier actions are.
+#pragma once
+
+#include <cstdint>
+#include <deque>
+#include <vector>
+
+#include "policy/routing_policy.h"
+#include "transport/event_loop.h"
+
+namespace heathflow::routing {
+
+class Router;
+
+class PolicyDriver {
+ public:
+  PolicyDriver(transport::EventLoop& loop, Router& router, const PolicySettings& settings,
+               std::uint64_t seed);
+
+  void post(Event event);
+  // Performs the actions that are pending and handles the events that they cause.
+  void run();
+
+ private:
+  transport::EventLoop& loop_;
+  Router& router_;
+  std::deque<Event> events_;
+  std::vector<Action> actions_;
+  bool running_ = false;
+  RoutingPolicy policy_;
+};
+
+}  // namespace heathflow::routing
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -5,107 +5,127 @@
 namespace heathflow::upstream {
 namespace {
 
-// Guards against a request that crosses the endpoint's own close: idle connections go this many connect
-// limits before the endpoint's limit, so that neither a late clock nor a slow path lets the two meet.
-constexpr Micros kMarginInConnectLimits = 4;
+// Idle connections are closed so many connect timeouts before the endpoint closes them, so that neither a
+// late timer nor a slow network lets a request cross the endpoint's close.
+constexpr Micros kIdleMarginConnectTimeouts = 4;
+
+Micros maxIdleTime(const ConnectionPool::Timeouts& timeouts) {
+  return std::max(timeouts.idle / 2, timeouts.idle - kIdleMarginConnectTimeouts * timeouts.connect);
+}
 
 }  // namespace
 
-ConnectionPool::ConnectionPool(transport::EventLoop& loop, Protocols protocols, Times times,
+ConnectionPool::ConnectionPool(transport::EventLoop& loop, Protocols protocols, Timeouts timeouts,
                                DescriptorBudget& budget, stats::Observer& observer)
     : loop_(loop),
       protocols_(std::move(protocols)),
-      times_(times),
-      keepIdle_(std::max(times.idleLimit / 2, times.idleLimit - kMarginInConnectLimits * times.connectLimit)),
+      timeouts_(timeouts),
+      maxIdleTime_(maxIdleTime(timeouts)),
       budget_(budget),
       observer_(observer),
-      retirement_(loop, [this] { retireOld(); }) {}
+      expiryTimer_(loop, [this] { closeExpired(); }) {}
 
 ConnectionPool::~ConnectionPool() = default;
 
-void ConnectionPool::place(EndpointId endpoint,
-                           std::vector<std::optional<transport::SocketAddress>> socketAddresses) {
-  Place& place = places_[endpoint];
-  place.resize(protocols_.size());
-  socketAddresses.resize(protocols_.size());
-  for (std::size_t i = 0; i < place.size(); ++i) {
-    if (place[i].socketAddress == socketAddresses[i]) continue;
-    place[i].socketAddress = socketAddresses[i];
-    closeIdle(place[i], std::numeric_limits<Micros>::max());
+void ConnectionPool::setAddresses(EndpointId endpoint,
+                                  std::vector<std::optional<transport::SocketAddress>> addresses) {
+  Routes& routes = routes_[endpoint];
+  routes.resize(protocols_.size());
+  addresses.resize(protocols_.size());
+  for (std::size_t i = 0; i < routes.size(); ++i) {
+    if (routes[i].address == addresses[i]) continue;
+    routes[i].address = addresses[i];
+    closeIdle(routes[i], std::numeric_limits<Micros>::max());
   }
 }
 
-void ConnectionPool::forget(EndpointId endpoint) {
+void ConnectionPool::remove(EndpointId endpoint) {
   closeIdle(endpoint);
-  places_.erase(endpoint);
+  routes_.erase(endpoint);
   observer_.upstreamStats.endpointRemoved(endpoint);
 }
 
-std::size_t ConnectionPool::protocolFor(EndpointId endpoint) const {
-  const auto found = places_.find(endpoint);
-  if (found == places_.end()) return 0;
+std::size_t ConnectionPool::firstProtocol(EndpointId endpoint) const {
+  const auto found = routes_.find(endpoint);
+  if (found == routes_.end()) return 0;
   const auto at = std::find_if(found->second.begin(), found->second.end(),
-                               [](const Route& route) { return route.socketAddress.has_value(); });
+                               [](const Route& route) { return route.address.has_value(); });
   return at == found->second.end() ? 0 : static_cast<std::size_t>(at - found->second.begin());
 }
 
-std::string ConnectionPool::whereOf(EndpointId endpoint) const {
-  const auto found = places_.find(endpoint);
-  if (found == places_.end()) return "nowhere";
-  const auto& socketAddress = found->second[protocolFor(endpoint)].socketAddress;
-  return socketAddress ? toText(*socketAddress) : "nowhere";
+std::string ConnectionPool::addressText(EndpointId endpoint) const {
+  const auto found = routes_.find(endpoint);
+  if (found == routes_.end()) return "an unknown address";
+  const auto& address = found->second[firstProtocol(endpoint)].address;
+  return address ? toText(*address) : "an unknown address";
 }
 
-ConnectionPool::Started ConnectionPool::start(EndpointId endpoint, std::size_t protocol, Exchange& exchange,
-                                              EndpointConnection*& connection, Over over) {
-  const auto found = places_.find(endpoint);
-  if (found == places_.end() || protocol >= found->second.size()) return Started::Unreachable;
+ConnectionPool::StartResult ConnectionPool::start(EndpointId endpoint, std::size_t protocol,
+                                                  Exchange& exchange, EndpointConnection*& connection,
+                                                  Selection selection) {
+  const auto found = routes_.find(endpoint);
+  if (found == routes_.end() || protocol >= found->second.size()) return StartResult::Unreachable;
   Route& route = found->second[protocol];
-  if (!route.socketAddress) return Started::Unreachable;
-  while (over != Over::NewOne && !route.idle.empty()) {
-    EndpointConnection* idle = idleOf(route, over);
-    if (!idle->fresh()) {
-      // Closed by the endpoint, or it holds bytes that would be taken for an answer.
-      ++observer_.counters.connectionsStale;
-      idle->close();
-      continue;
-    }
-    removeIdle(*idle);
+  if (!route.address) return StartResult::Unreachable;
+  if (EndpointConnection* idle = takeIdle(route, selection)) {
     ++observer_.counters.connectionsReused;
     observer_.upstreamStats.connectionReused(connections_.at(idle).usage, exchange.trafficType());
     connection = idle;
-    idle->begin(exchange);
-    return Started::Yes;
+    idle->start(exchange);
+    return StartResult::Started;
   }
-  if (!budget_.endpointFits() && !closeLongestIdle()) return Started::NoRoom;
+  return startOnNewConnection(endpoint, protocol, exchange, connection, *route.address);
+}
+
+// An idle connection that can be used; null where there is none or a new one is wanted.
+EndpointConnection* ConnectionPool::takeIdle(Route& route, Selection selection) {
+  while (selection != Selection::NewConnection && !route.idle.empty()) {
+    EndpointConnection* idle = select(route, selection);
+    if (idle->reusable()) {
+      removeIdle(*idle);
+      return idle;
+    }
+    // The endpoint has closed it, or it holds bytes that would be taken for a response.
+    ++observer_.counters.connectionsStale;
+    idle->close();
+  }
+  return nullptr;
+}
+
+ConnectionPool::StartResult ConnectionPool::startOnNewConnection(EndpointId endpoint, std::size_t protocol,
+                                                                 Exchange& exchange,
+                                                                 EndpointConnection*& connection,
+                                                                 const transport::SocketAddress& address) {
+  if (!budget_.canOpenUpstream() && !evictLongestIdle()) return StartResult::NoDescriptor;
   auto opened =
       std::make_unique<EndpointConnection>(loop_, static_cast<EndpointConnectionOwner&>(*this), endpoint,
                                            protocol, protocols_[protocol]->towardsEndpoint());
   int error = 0;
-  if (!opened->connect(*route.socketAddress, times_.connectLimit, error)) {
+  if (!opened->connect(address, timeouts_.connect, error)) {
     ++observer_.counters.connectionsFailed;
-    return transport::ownLack(error) ? Started::NoRoom : Started::Unreachable;
+    return transport::ownLack(error) ? StartResult::NoDescriptor : StartResult::Unreachable;
   }
   ++observer_.counters.connectionsOpened;
-  budget_.endpointOpened();
+  budget_.upstreamOpened();
   connection = opened.get();
-  connections_.emplace(connection, Opened{std::move(opened),
-                                          observer_.upstreamStats.connectionOpened(exchange.trafficType())});
-  connection->begin(exchange);
-  return Started::Yes;
+  connections_.emplace(
+      connection,
+      PooledConnection{std::move(opened), observer_.upstreamStats.connectionOpened(exchange.trafficType())});
+  connection->start(exchange);
+  return StartResult::Started;
 }
 
-EndpointConnection* ConnectionPool::idleOf(const Route& route, Over over) {
-  if (over == Over::NewestIdle) return route.idle.back()->second;
-  const auto oldest = std::max_element(
-      route.idle.begin(), route.idle.end(),
-      [](const auto& a, const auto& b) { return a->second->connectionAge() < b->second->connectionAge(); });
+EndpointConnection* ConnectionPool::select(const Route& route, Selection selection) {
+  if (selection == Selection::NewestIdle) return route.idle.back()->second;
+  const auto oldest =
+      std::max_element(route.idle.begin(), route.idle.end(),
+                       [](const auto& a, const auto& b) { return a->second->age() < b->second->age(); });
   return (*oldest)->second;
 }
 
 void ConnectionPool::closeIdle(EndpointId endpoint, Micros idleSince) {
-  const auto found = places_.find(endpoint);
-  if (found == places_.end()) return;
+  const auto found = routes_.find(endpoint);
+  if (found == routes_.end()) return;
   for (Route& route : found->second) closeIdle(route, idleSince);
 }
 
@@ -116,7 +136,7 @@
   }
 }
 
-bool ConnectionPool::closeLongestIdle() {
+bool ConnectionPool::evictLongestIdle() {
   if (idle_.empty()) return false;
   ++observer_.counters.connectionsEvicted;
   idle_.front().second->close();
@@ -124,17 +144,17 @@
 }
 
 ConnectionPool::Route* ConnectionPool::routeOf(const EndpointConnection& connection) {
-  const auto found = places_.find(connection.endpoint());
-  return found == places_.end() ? nullptr : &found->second[connection.protocol()];
+  const auto found = routes_.find(connection.endpoint());
+  return found == routes_.end() ? nullptr : &found->second[connection.protocol()];
 }
 
 void ConnectionPool::onIdle(EndpointConnection& connection) {
   Route* route = routeOf(connection);
-  // Its endpoint has moved, or is known no more.
-  if (route == nullptr || route->socketAddress != connection.socketAddress()) return connection.close();
+  // The endpoint was removed, or has another address now.
+  if (route == nullptr || route->address != connection.socketAddress()) return connection.close();
   idle_.emplace_back(loop_.now(), &connection);
   route->idle.push_back(std::prev(idle_.end()));
-  if (!retirement_.armed()) retirement_.arm(loop_.now() + keepIdle_);
+  if (!expiryTimer_.armed()) expiryTimer_.arm(loop_.now() + maxIdleTime_);
 }
 
 void ConnectionPool::removeIdle(EndpointConnection& connection) {
@@ -148,12 +168,12 @@
   idle.erase(std::next(at).base());
 }
 
-void ConnectionPool::onDone(EndpointConnection& connection, bool unasked) {
-  if (unasked) ++observer_.counters.connectionsStale;
+void ConnectionPool::onClosed(EndpointConnection& connection, bool whileIdle) {
+  if (whileIdle) ++observer_.counters.connectionsStale;
   removeIdle(connection);
   const auto found = connections_.find(&connection);
   if (found == connections_.end()) return;
-  budget_.endpointClosed();
+  budget_.upstreamClosed();
   observer_.upstreamStats.connectionClosed(found->second.usage);
   loop_.retire(std::move(found->second.connection));
   connections_.erase(found);
@@ -162,17 +182,17 @@
 void ConnectionPool::onProtocolError(EndpointConnection& connection) {
   ++observer_.counters.endpointProtocolErrors;
   observer_.note(stats::Topic::Upstream,
-                 "an answer from " + toText(connection.socketAddress()) + " can't be read");
+                 "a response from " + toText(connection.socketAddress()) + " can't be read");
 }
 
 void ConnectionPool::onConnectFailed(EndpointConnection&) { ++observer_.counters.connectionsFailed; }
 
-void ConnectionPool::retireOld() {
-  while (!idle_.empty() && idle_.front().first + keepIdle_ <= loop_.now()) {
+void ConnectionPool::closeExpired() {
+  while (!idle_.empty() && idle_.front().first + maxIdleTime_ <= loop_.now()) {
     ++observer_.counters.idleConnectionsClosed;
     idle_.front().second->close();
   }
-  if (!idle_.empty()) retirement_.arm(idle_.front().first + keepIdle_);
+  if (!idle_.empty()) expiryTimer_.arm(idle_.front().first + maxIdleTime_);
 }
 
 }  // namespace heathflow::upstream
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,5 +1,4 @@
-// The connections to all endpoints: where each is reached, in each protocol, and which connections stand
-// idle.
+// The connections to all endpoints: the addresses of each endpoint by protocol, and its idle connections.
 #pragma once
 
 #include <limits>
@@ -8,6 +7,7 @@
 #include <optional>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "policy/routing_policy.h"
@@ -20,71 +20,74 @@
 
 class ConnectionPool final : private EndpointConnectionOwner {
  public:
-  struct Times {
-    Micros connectLimit;  // within which a connection must be up
-    Micros idleLimit;     // after which endpoints close an idle one
+  struct Timeouts {
+    Micros connect;  // until a connection has to be ready
+    Micros idle;     // after which endpoints close an idle one
   };
 
-  // The protocols that endpoints are spoken to in, by index. They outlive the pool.
+  // By index. They outlive the pool.
   using Protocols = std::vector<const protocol::Protocol*>;
 
-  ConnectionPool(transport::EventLoop& loop, Protocols protocols, Times times, DescriptorBudget& budget,
+  ConnectionPool(transport::EventLoop& loop, Protocols protocols, Timeouts timeouts, DescriptorBudget& budget,
                  stats::Observer& observer);
   ~ConnectionPool() override;
 
-  // Where an endpoint is reached from now on, by protocol; nothing where it is not. When that changes, idle
-  // connections to the old place are closed.
-  void place(EndpointId endpoint, std::vector<std::optional<transport::SocketAddress>> socketAddresses);
-  void forget(EndpointId endpoint);
+  // Idle connections to an address that changes are closed.
+  // @param addresses  of the endpoint, by protocol; nothing where it does not speak that protocol.
+  void setAddresses(EndpointId endpoint, std::vector<std::optional<transport::SocketAddress>> addresses);
+  void remove(EndpointId endpoint);
 
-  enum class Started { Yes, NoRoom, Unreachable };
-  // Over which connection: the newest idle one, the idle one that has stood longest, else, or where that is
-  // asked for, a new one.
-  enum class Over { NewestIdle, OldestIdle, NewOne };
-  Started start(EndpointId endpoint, std::size_t protocol, Exchange& exchange,
-                EndpointConnection*& connection, Over over = Over::NewestIdle);
-  // The first protocol that the endpoint is reached in.
-  std::size_t protocolFor(EndpointId endpoint) const;
-  // Where it is reached, as text for the log.
-  std::string whereOf(EndpointId endpoint) const;
-  std::size_t protocols() const { return protocols_.size(); }
-  // Closes the idle connections to an endpoint that have been so since that time or before.
+  enum class StartResult { Started, NoDescriptor, Unreachable };
+  enum class Selection { NewestIdle, OldestIdle, NewConnection };
+  // Starts an exchange over an idle connection, or a new one where there is none that can be used.
+  // @param connection  receives the connection; it is set before the exchange gets its first call.
+  StartResult start(EndpointId endpoint, std::size_t protocol, Exchange& exchange,
+                    EndpointConnection*& connection, Selection selection = Selection::NewestIdle);
+  // The first protocol that the endpoint has an address for.
+  std::size_t firstProtocol(EndpointId endpoint) const;
+  // Of the first protocol, for the log.
+  std::string addressText(EndpointId endpoint) const;
+  // Closes the connections to an endpoint that became idle at that time or before.
   void closeIdle(EndpointId endpoint, Micros idleSince = std::numeric_limits<Micros>::max());
-  // Closes the connection that has been idle longest; false when there is none.
-  bool closeLongestIdle();
+  // Frees a descriptor. @return false when no connection is idle.
+  bool evictLongestIdle();
 
  private:
   using IdleList = std::list<std::pair<Micros, EndpointConnection*>>;  // the longest idle first
-  struct Route {                                                       // of one protocol
-    std::optional<transport::SocketAddress> socketAddress;
+  // How an endpoint is reached in one protocol.
+  struct Route {
+    std::optional<transport::SocketAddress> address;
     std::vector<IdleList::iterator> idle;  // the newest last
   };
-  using Place = std::vector<Route>;
-  struct Opened {
+  using Routes = std::vector<Route>;  // by protocol
+  struct PooledConnection {
     std::unique_ptr<EndpointConnection> connection;
     stats::ConnectionUsage usage;
   };
 
   void onIdle(EndpointConnection& connection) override;
-  void onDone(EndpointConnection& connection, bool unasked) override;
+  void onClosed(EndpointConnection& connection, bool whileIdle) override;
   void onProtocolError(EndpointConnection& connection) override;
   void onConnectFailed(EndpointConnection& connection) override;
-  static EndpointConnection* idleOf(const Route& route, Over over);
+  EndpointConnection* takeIdle(Route& route, Selection selection);
+  StartResult startOnNewConnection(EndpointId endpoint, std::size_t protocol, Exchange& exchange,
+                                   EndpointConnection*& connection, const transport::SocketAddress& address);
+  static EndpointConnection* select(const Route& route, Selection selection);
   Route* routeOf(const EndpointConnection& connection);
   void closeIdle(Route& route, Micros idleSince);
   void removeIdle(EndpointConnection& connection);
-  void retireOld();
+  void closeExpired();
 
   transport::EventLoop& loop_;
   Protocols protocols_;
-  Times times_;
-  Micros keepIdle_;
+  Timeouts timeouts_;
+  Micros maxIdleTime_;
   DescriptorBudget& budget_;
   stats::Observer& observer_;
-  std::unordered_map<EndpointId, Place> places_;
-  std::unordered_map<EndpointConnection*, Opened> connections_;
+  std::unordered_map<EndpointId, Routes> routes_;
+  std::unordered_map<EndpointConnection*, PooledConnection> connections_;
   IdleList idle_;
-  transport::Timer retirement_;
+  transport::Timer expiryTimer_;
 };
 
 }  // namespace heathflow::upstream
--- a/src/upstream/descriptor_budget.h
+++ b/src/upstream/descriptor_budget.h
@@ -1,4 +1,4 @@
-// How many sockets may be open to clients and endpoints, so that the rest of the process keeps its own.
+// Limits the sockets that are open to clients and endpoints, so that the rest of the process keeps its own.
 #pragma once
 
 #include <algorithm>
@@ -10,42 +10,43 @@
 
 class DescriptorBudget {
  public:
-  // Kept back: standard streams, epoll, signals, listener, discovery, and a little for what the system opens.
+  // For standard streams, epoll, signals, listeners, discovery, and what the system opens.
   static constexpr std::size_t kReserved = 24;
-  // Clients beyond their part are still let in, up to so many, to be told so.
-  static constexpr std::size_t kTurnedAwayAtOnce = 16;
+  // So many clients beyond their share are accepted at a time, to be sent an error.
+  static constexpr std::size_t kMaxRejectedClients = 16;
 
+  // @param limit  of descriptors for the whole process.
   DescriptorBudget(std::size_t limit, stats::Counters& counters)
-      : limit_(std::max(limit, 2 * (kReserved + kTurnedAwayAtOnce)) - kReserved - kTurnedAwayAtOnce),
+      : limit_(std::max(limit, 2 * (kReserved + kMaxRejectedClients)) - kReserved - kMaxRejectedClients),
         counters_(counters) {}
 
   // Clients get half of all descriptors: each of their requests needs a connection to an endpoint as well.
-  bool clientFits() const { return clients_ < limit_ / 2; }
-  // Whether one more may still be taken in to be told that there is no place for it.
-  bool clientMayBeRejected() const { return clients_ < limit_ / 2 + kTurnedAwayAtOnce; }
-  // They hold so much of the third that fronts count on that new ones might soon find no place. Those that
-  // only linger give theirs as soon as it is wanted.
-  bool clientsCrowd() const { return clients_ - lingering_ > limit_ / 4; }
-  bool endpointFits() const { return std::min(clients_, limit_ / 2) + endpoints_ < limit_; }
-
-  void clientOpened() { changed(++clients_ + endpoints_); }
+  bool canServeClient() const { return clients_ < limit_ / 2; }
+  // Whether one more client may be accepted to be sent an error.
+  bool canRejectClient() const { return clients_ < limit_ / 2 + kMaxRejectedClients; }
+  // Whether clients use more than half of their share, so that idle ones are evicted before new ones have to
+  // be rejected. Lingering connections don't count: they are closed as soon as a descriptor is needed.
+  bool shouldEvictIdleClients() const { return clients_ - lingering_ > limit_ / 4; }
+  bool canOpenUpstream() const { return std::min(clients_, limit_ / 2) + endpoints_ < limit_; }
+
+  void clientOpened() { setInUse(++clients_ + endpoints_); }
   void clientLingers() { ++lingering_; }
   void clientClosed(bool lingered) {
     if (lingered) --lingering_;
-    changed(--clients_ + endpoints_);
+    setInUse(--clients_ + endpoints_);
   }
-  void endpointOpened() { changed(clients_ + ++endpoints_); }
-  void endpointClosed() { changed(clients_ + --endpoints_); }
+  void upstreamOpened() { setInUse(clients_ + ++endpoints_); }
+  void upstreamClosed() { setInUse(clients_ + --endpoints_); }
 
  private:
-  void changed(std::size_t now) {
-    counters_.descriptors = now;
-    counters_.descriptorsPeak = std::max<std::uint64_t>(counters_.descriptorsPeak, now);
+  void setInUse(std::size_t descriptors) {
+    counters_.descriptors = descriptors;
+    counters_.descriptorsPeak = std::max<std::uint64_t>(counters_.descriptorsPeak, descriptors);
   }
 
   std::size_t limit_;
   std::size_t clients_ = 0;
-  std::size_t lingering_ = 0;  // of these
+  std::size_t lingering_ = 0;  // of the clients
   std::size_t endpoints_ = 0;
   stats::Counters& counters_;
 };
--- a/src/upstream/endpoint_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -5,11 +5,11 @@
 namespace heathflow::upstream {
 namespace {
 
-// One answer; a request as long as a client may send it, with a little for its changed time. A request and
-// its attempt hold no more than both at once, which keeps all of them together within the memory of the
-// process.
+// A request is as long as its client may send it, plus the rewritten timeout.
+constexpr std::size_t kRewrittenTimeoutBytes = 1024;
+// A request and its attempt together never hold more than both limits, which bounds the process's memory.
 constexpr transport::Stream::Limits kLimits = {protocol::kEndpointAnswerLimit,
-                                               protocol::kClientMessageLimit + 1024};
+                                               protocol::kClientMessageLimit + kRewrittenTimeoutBytes};
 
 }  // namespace
 
@@ -21,172 +21,201 @@
       endpoint_(endpoint),
       protocol_(protocol),
       stream_(loop, *this, kLimits),
-      startLimit_(loop, [this] { onEnd(transport::StreamEnd::NotConnected); }),
+      connectTimer_(loop, [this] { onEnd(transport::StreamEnd::NotConnected); }),
       side_(std::move(side)) {}
 
-bool EndpointConnection::connect(const transport::SocketAddress& socketAddress, Micros limit, int& error) {
+bool EndpointConnection::connect(const transport::SocketAddress& socketAddress, Micros timeout, int& error) {
   socketAddress_ = socketAddress;
-  limit_ = limit;
+  connectTimeout_ = timeout;
   if (!stream_.connect(socketAddress, error)) return false;
-  startLimit_.arm(loop_.now() + limit);
+  connectTimer_.arm(loop_.now() + timeout);
   return true;
 }
 
-void EndpointConnection::begin(Exchange& exchange) {
+void EndpointConnection::start(Exchange& exchange) {
   exchange_ = &exchange;
-  asked_ = paused_ = waiting_ = full_ = false;
-  appended_ = 0;
-  if (up_) write();
+  requestStarted_ = paused_ = writeBlocked_ = inputFull_ = false;
+  requestBytes_ = 0;
+  if (ready_) writeRequest();
 }
 
-bool EndpointConnection::takesMore(std::size_t size) {
+bool EndpointConnection::canWriteMore(std::size_t size) {
   transport::Buffer& out = stream_.output();
-  waiting_ = asked_ && !out.empty() && !out.reserve(out.size() + size);
-  return !waiting_;
+  writeBlocked_ = requestStarted_ && !out.empty() && !out.reserve(out.size() + size);
+  return !writeBlocked_;
 }
 
-void EndpointConnection::more(std::string_view message) {
-  if (!asked_) return;  // it goes out with the request
+void EndpointConnection::writeMore(std::string_view message) {
+  if (!requestStarted_) return;
   const std::size_t before = stream_.output().size();
-  // Guards the request against a part of it that is missing: without memory for it the connection ends.
-  if (!side_->more(message, stream_.output())) return startLimit_.arm(loop_.now());
-  appended_ += stream_.output().size() - before;
+  // Without memory for the part the connection ends, so that no request runs without it.
+  if (!side_->more(message, stream_.output())) return connectTimer_.arm(loop_.now());
+  requestBytes_ += stream_.output().size() - before;
   stream_.flush();
 }
 
-void EndpointConnection::resume() {
+void EndpointConnection::resumeResponse() {
   if (!std::exchange(paused_, false) || stream_.closed()) return;
-  take();
+  readInput();
 }
 
-void EndpointConnection::abandon() {
+void EndpointConnection::abort() {
   exchange_ = nullptr;
   close();
 }
 
 void EndpointConnection::close() {
-  startLimit_.disarm();
+  connectTimer_.disarm();
   stream_.close();
-  owner_.onDone(*this, false);
+  owner_.onClosed(*this, false);
 }
 
-Stage EndpointConnection::stage() const {
-  if (!asked_) return Stage::Connecting;
-  if (written() < std::min(side_->runsFrom(), appended_)) return Stage::PartlyWritten;
-  return side_->answering() ? Stage::Answering : Stage::Written;
+ExchangeStage EndpointConnection::stage() const {
+  if (!requestStarted_) return ExchangeStage::Connecting;
+  if (bytesWritten() < std::min(side_->runsFrom(), requestBytes_)) return ExchangeStage::PartlyWritten;
+  return side_->answering() ? ExchangeStage::Responding : ExchangeStage::Written;
 }
 
-bool EndpointConnection::undoneIfBroken() const { return asked_ && written() < side_->effectFrom(); }
+bool EndpointConnection::rolledBackByClose() const {
+  return requestStarted_ && bytesWritten() < side_->effectFrom();
+}
 
 void EndpointConnection::onOpen() {
-  opened_ = true;
+  connected_ = true;
   side_->start(stream_.output());
   stream_.flush();
 }
 
 void EndpointConnection::onDrained() {
-  if (exchange_ != nullptr && std::exchange(waiting_, false)) exchange_->onRoom();
+  if (exchange_ != nullptr && std::exchange(writeBlocked_, false)) exchange_->onWritable();
 }
 
-void EndpointConnection::write() {
+void EndpointConnection::writeRequest() {
   const std::size_t before = stream_.output().size();
-  if (!exchange_->write(*side_, stream_.output())) return finish(ExchangeEnd::Cause::Unwanted, nullptr);
-  asked_ = true;
-  appended_ = stream_.output().size() - before;
+  if (!exchange_->write(*side_, stream_.output())) return finish(ExchangeEnd::Cause::Cancelled, nullptr);
+  requestStarted_ = true;
+  requestBytes_ = stream_.output().size() - before;
   stream_.flush();
 }
 
 void EndpointConnection::onInput() {
-  full_ = stream_.stalled();
-  if (!paused_) take();
+  inputFull_ = stream_.stalled();
+  if (!paused_) readInput();
 }
 
-void EndpointConnection::take() {
-  using Event = protocol::EndpointSide::Event;
-  for (;;) {
+void EndpointConnection::readInput() {
+  Next next = Next::ReadOn;
+  while (next == Next::ReadOn) {
     const std::string_view bytes = stream_.input().view();
     const std::size_t before = stream_.output().size();
-    const Event event = side_->feed(bytes, full_, stream_.output());
+    const protocol::EndpointSide::Event event = side_->feed(bytes, inputFull_, stream_.output());
     if (stream_.output().size() != before) stream_.flush();
-    switch (event) {
-      case Event::NeedMore:
-        // An answer longer than any that is allowed, or than there is memory for, would wait for ever.
-        if (full_) break;
-        return;
-      case Event::Ready:
-        startLimit_.disarm();
-        up_ = true;
-        upSince_ = loop_.now();
-        stream_.input().consume(side_->seen());
-        side_->dropped();
-        if (!stream_.input().empty()) break;
-        if (exchange_ == nullptr) return owner_.onIdle(*this);
-        return write();
-      case Event::Rejected:
-        return finish(ExchangeEnd::Cause::TurnedDown, &side_->answer());
-      case Event::Part:
-        if (exchange_ == nullptr) break;
-        if (!exchange_->onPart(side_->answer(), bytes)) {
-          paused_ = true;
-          return;
-        }
-        // The exchange may have been given up in there.
-        if (stream_.closed() || exchange_ == nullptr) return;
-        stream_.input().consume(side_->seen());
-        side_->dropped();
-        full_ = false;
-        stream_.resume();
-        if (stream_.input().empty()) return;
-        continue;
-      case Event::Answered:
-        if (exchange_ != nullptr && !exchange_->hasRoom(side_->answer().size())) {
-          paused_ = true;
-          return;
-        }
-        return finish(ExchangeEnd::Cause::Answered, &side_->answer());
-      case Event::Broken:
-        break;
-    }
-    break;
+    next = handle(event, bytes);
   }
+  if (next == Next::Wait) return;
   if (exchange_ != nullptr) owner_.onProtocolError(*this);
   finish(ExchangeEnd::Cause::Malformed, nullptr);
 }
 
-// The exchange is over. The connection is kept where it can carry another.
-void EndpointConnection::finish(ExchangeEnd::Cause cause, const protocol::Answer* answer, bool dropped) {
+EndpointConnection::Next EndpointConnection::handle(protocol::EndpointSide::Event event,
+                                                    std::string_view bytes) {
+  using Event = protocol::EndpointSide::Event;
+  switch (event) {
+    case Event::NeedMore:
+      // A response beyond the limit, or beyond the memory, would never be complete.
+      return inputFull_ ? Next::ProtocolError : Next::Wait;
+    case Event::Ready:
+      return onReady();
+    case Event::Rejected:
+      finish(ExchangeEnd::Cause::ConnectionRejected, &side_->answer());
+      return Next::Wait;
+    case Event::Part:
+      return onPart(bytes);
+    case Event::Answered:
+      return onAnswered();
+    case Event::Broken:
+      break;
+  }
+  return Next::ProtocolError;
+}
+
+EndpointConnection::Next EndpointConnection::onReady() {
+  connectTimer_.disarm();
+  ready_ = true;
+  readySince_ = loop_.now();
+  consumeInput();
+  if (!stream_.input().empty()) return Next::ProtocolError;
+  if (exchange_ == nullptr) {
+    owner_.onIdle(*this);
+  } else {
+    writeRequest();
+  }
+  return Next::Wait;
+}
+
+EndpointConnection::Next EndpointConnection::onPart(std::string_view bytes) {
+  if (exchange_ == nullptr) return Next::ProtocolError;
+  if (!exchange_->onResponsePart(side_->answer(), bytes)) {
+    paused_ = true;
+    return Next::Wait;
+  }
+  // The call may have aborted the connection.
+  if (stream_.closed() || exchange_ == nullptr) return Next::Wait;
+  consumeInput();
+  inputFull_ = false;
+  stream_.resume();
+  return stream_.input().empty() ? Next::Wait : Next::ReadOn;
+}
+
+EndpointConnection::Next EndpointConnection::onAnswered() {
+  if (exchange_ != nullptr && !exchange_->canTakeResponse(side_->answer().size())) {
+    paused_ = true;
+  } else {
+    finish(ExchangeEnd::Cause::Answered, &side_->answer());
+  }
+  return Next::Wait;
+}
+
+void EndpointConnection::consumeInput() {
+  stream_.input().consume(side_->seen());
+  side_->dropped();
+}
+
+// Ends the exchange. The connection is kept where it can carry another.
+void EndpointConnection::finish(ExchangeEnd::Cause cause, const protocol::Answer* answer,
+                                bool brokenAfterConnect) {
   Exchange* exchange = std::exchange(exchange_, nullptr);
-  const Stage reached = stage();
-  const bool rolledBack = answer != nullptr ? answer->rolledBack : undoneIfBroken();
-  const bool whole = cause == ExchangeEnd::Cause::Answered || cause == ExchangeEnd::Cause::Unwanted;
-  const bool sound =
-      whole && !stream_.closed() && side_->seen() == stream_.input().size() && stream_.output().empty();
-  const bool keep = sound && side_->usable();
-  if (!up_) owner_.onConnectFailed(*this);
-  // Whose request ended badly is set right first, within the time that a start has.
-  const bool mending = sound && !keep && up_ && side_->tidy(stream_.output());
+  const ExchangeStage reached = stage();
+  const bool rolledBack = answer != nullptr ? answer->rolledBack : rolledBackByClose();
+  const bool complete = cause == ExchangeEnd::Cause::Answered || cause == ExchangeEnd::Cause::Cancelled;
+  const bool inSync =
+      complete && !stream_.closed() && side_->seen() == stream_.input().size() && stream_.output().empty();
+  const bool keep = inSync && side_->usable();
+  if (!ready_) owner_.onConnectFailed(*this);
+  // After a request that ended badly the protocol resets the connection, within the connect timeout.
+  const bool resetting = inSync && !keep && ready_ && side_->tidy(stream_.output());
   paused_ = false;
-  // Closed first: the exchange may lead to a next attempt, and none goes out while this one is open.
-  if (!keep && !mending) {
-    startLimit_.disarm();
+  // Closed before the exchange ends, which may start the next attempt: no two of them overlap.
+  if (!keep && !resetting) {
+    connectTimer_.disarm();
     stream_.close();
   }
   if (exchange != nullptr) {
-    exchange->onExchangeEnd({cause, reached, answer, stream_.input().view(), dropped, rolledBack});
+    exchange->onExchangeEnd({cause, reached, answer, stream_.input().view(), brokenAfterConnect, rolledBack});
   }
-  if (!keep && !mending) return owner_.onDone(*this, exchange == nullptr && up_);
-  stream_.input().consume(side_->seen());
-  side_->dropped();
+  if (!keep && !resetting) return owner_.onClosed(*this, exchange == nullptr && ready_);
+  consumeInput();
   if (keep) return owner_.onIdle(*this);
-  asked_ = false;
-  startLimit_.arm(loop_.now() + limit_);
+  requestStarted_ = false;
+  connectTimer_.arm(loop_.now() + connectTimeout_);
   stream_.flush();
 }
 
 void EndpointConnection::onEnd(transport::StreamEnd how) {
-  // What was whole before the end counts as whole.
+  // A response that was complete before the end counts.
   if (side_->wholeAtEnd()) return finish(ExchangeEnd::Cause::Answered, &side_->answer());
-  finish(ExchangeEnd::Cause::Broken, nullptr, opened_ && how != transport::StreamEnd::NotConnected);
+  finish(ExchangeEnd::Cause::ConnectionBroken, nullptr,
+         connected_ && how != transport::StreamEnd::NotConnected);
 }
 
 }  // namespace heathflow::upstream
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -8,7 +8,7 @@
 namespace heathflow::program {
 namespace {
 
-// Guards the CPU and the disk of a machine in trouble.
+// Failure: an overloaded machine spends its CPU and disk on log lines.
 TEST(LogLines, AreLimitedByTopic) {
   std::int64_t second = 100;
   Log log([&] { return second; });
