--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The program's command line and what it serves by its settings file.
+// The program's command line, and a gateway with a settings file.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -14,48 +14,52 @@
 namespace heathflow::test {
 namespace {
 
-// Runs a command to its end; its output, both streams, and its exit status.
-std::pair<std::string, int> runs(const std::string& arguments) {
+struct CommandResult {
+  std::string output;  // of both streams
+  int status = 0;
+};
+
+CommandResult run(const std::string& arguments) {
   const std::string command = "env -u NODE_CONFIG " HEATHFLOW_PROGRAM " " + arguments + " 2>&1";
   std::FILE* pipe = ::popen(command.c_str(), "r");
-  std::string out;
+  std::string output;
   std::array<char, 512> bytes{};
-  while (std::fgets(bytes.data(), bytes.size(), pipe) != nullptr) out += bytes.data();
+  while (std::fgets(bytes.data(), bytes.size(), pipe) != nullptr) output += bytes.data();
   const int status = ::pclose(pipe);
-  return {out, WIFEXITED(status) ? WEXITSTATUS(status) : -1};
+  return {output, WIFEXITED(status) ? WEXITSTATUS(status) : -1};
 }
 
-TEST(CommandLine, TellsItsVersionAndItsUse) {
-  EXPECT_EQ(runs("--version").second, 0);
-  EXPECT_EQ(runs("--version").first.substr(0, 10), "heathflow ");
-  const auto [help, status] = runs("--help");
+TEST(CommandLine, PrintsVersionAndUsage) {
+  EXPECT_EQ(run("--version").status, 0);
+  EXPECT_EQ(run("--version").output.substr(0, 10), "heathflow ");
+  const auto [help, status] = run("--help");
   EXPECT_EQ(status, 0);
   for (const char* mark : {"serve", "check-config", "64 wrong usage"})
     EXPECT_NE(help.find(mark), std::string::npos) << mark;
-  EXPECT_EQ(runs("sing").second, 64);
-  EXPECT_EQ(runs("check-config").second, 64);
-  EXPECT_EQ(runs("serve --colour red").second, 64);
+  EXPECT_EQ(run("unknown-command").status, 64);
+  EXPECT_EQ(run("check-config").status, 64);
+  EXPECT_EQ(run("serve --unknown-option red").status, 64);
 }
 
-TEST(CommandLine, WithoutAConfigurationSaysSo) {
+TEST(CommandLine, LogsAMissingConfiguration) {
   for (const char* arguments : {"", "serve"}) {
-    const auto [said, status] = runs(arguments);
+    const auto [output, status] = run(arguments);
     EXPECT_EQ(status, 2);
-    EXPECT_EQ(said, "heathflow: the variable NODE_CONFIG is not set\n");
+    EXPECT_EQ(output, "heathflow: the variable NODE_CONFIG is not set\n");
   }
 }
 
 TEST(CommandLine, ChecksSettingsFiles) {
-  EXPECT_EQ(runs("check-config " HEATHFLOW_SOURCE "/deploy/heathflow.xml").second, 0);
+  EXPECT_EQ(run("check-config " HEATHFLOW_SOURCE "/deploy/heathflow.xml").status, 0);
   const TemporaryFile bad(
       "<heathflow xmlns=\"urn:heathflow:settings:1\" version=\"1\">\n<log "
       "form=\"x\"/>\n<log/>\n</heathflow>");
-  const auto [said, status] = runs("check-config " + bad.path());
+  const auto [output, status] = run("check-config " + bad.path());
   EXPECT_EQ(status, 2);
-  EXPECT_NE(said.find(bad.path() + ":2: element 'log'"), std::string::npos) << said;
-  EXPECT_NE(said.find(bad.path() + ":3: element 'log'"), std::string::npos) << said;
-  EXPECT_EQ(runs("serve --config " + bad.path()).second, 2);
-  EXPECT_EQ(runs("check-config /no/such.xml").second, 2);
+  EXPECT_NE(output.find(bad.path() + ":2: element 'log'"), std::string::npos) << output;
+  EXPECT_NE(output.find(bad.path() + ":3: element 'log'"), std::string::npos) << output;
+  EXPECT_EQ(run("serve --config " + bad.path()).status, 2);
+  EXPECT_EQ(run("check-config /no/such.xml").status, 2);
 }
 
 TEST(CommandLine, ServesBoltBesideThePlatformsListenerWithLogsAsJson) {
@@ -78,22 +82,22 @@
   Process process(configText({}, discovery.address(), discovery.endpoints),
                   {"serve", "--config", settings.path()});
   const auto until = [&](auto&& condition) { return test::until(loop, condition); };
-  const auto place = [&](const std::string& mark) {
+  const auto addressAfter = [&](const std::string& mark) {
     const std::size_t at = process.log().find(mark) + mark.size();
     return transport::parseSocketAddress(process.log().substr(at, process.log().find('"', at) - at)).value();
   };
   ASSERT_TRUE(until([&] { return process.says("speaks bolt at ") || process.over(); }));
   ASSERT_FALSE(process.over()) << process.log();
   EXPECT_EQ(process.log().substr(0, 9), "{\"time\":\"");
-  ClientStandIn client(loop, Place(place("speaks bolt at "), Speaks::Bolt));
+  ClientStandIn client(loop, Place(addressAfter("speaks bolt at "), Speaks::Bolt));
   client.ask(request("save", "1"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "from " + graph.address());
-  ClientStandIn other(loop, Place(place("serves at ")));
+  ClientStandIn other(loop, Place(addressAfter("serves at ")));
   other.ask(request("save", "2"));
   ASSERT_TRUE(other.answered());
   EXPECT_EQ(other.value(), "from " + rows.address());
-  // What clients say can't forge a line.
+  // Failure: text from a client forges a log line.
   other.forget();
   other.ask("SELECT 1 /* \"\n{\"level\":\"none\"} */");
   ASSERT_TRUE(other.answered());
--- a/tests/process_site.h
+++ b/tests/process_site.h
@@ -1,4 +1,4 @@
-// The built program's surroundings: a list service and one endpoint that leads.
+// What the built program needs around it: a list service and a primary.
 #pragma once
 
 #include <string>
--- a/tests/program_process.h
+++ b/tests/program_process.h
@@ -14,7 +14,7 @@
   explicit Process(const std::string& config, std::vector<std::string> arguments = {},
                    emulator::Environment environment = {})
       : Child(HEATHFLOW_PROGRAM, config, std::move(arguments), std::move(environment)) {}
-  // Once it has said where it serves.
+  // Valid once the program has logged its address.
   transport::SocketAddress socketAddress() {
     return Child::socketAddress().value_or(transport::SocketAddress{});
   }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -23,7 +23,7 @@
             "heathflow: upstream: 995 more lines were left out\nheathflow: upstream: the next second\n");
 }
 
-TEST(CounterLines, NameEveryGroup) {
+TEST(CounterLines, HaveEveryGroup) {
   stats::Counters counters;
   counters.requestsAccepted = 7;
   counters.attemptsEnded[static_cast<std::size_t>(heathflow::AttemptOutcome::PreconditionFailed)] = 3;
