--- a/src/discovery/discovery_backoff.cpp
+++ b/src/discovery/discovery_backoff.cpp
@@ -21,9 +21,9 @@
   ++failures_;
   // A call that timed out has cost its time already, and a dedicated service need not be spared: the delay
   // only spreads gateways whose watches timed out together.
-  if (failure == CallFailure::Silent || dedicatedService_)
+  if (failure == CallFailure::TimedOut || dedicatedService_)
     return static_cast<Micros>(random() * static_cast<double>(kMinDelay));
-  if (failure == CallFailure::TurnedAway) return delayAfterRejection(callCost, retryAfter.value_or(0));
+  if (failure == CallFailure::Rejected) return delayAfterRejection(callCost, retryAfter.value_or(0));
   const Micros delay = std::min(maxDelay(), kMinDelay << std::min(failures_, kMaxDoublings));
   return static_cast<Micros>((0.5 + 0.5 * random()) * static_cast<double>(delay));
 }
--- a/src/discovery/discovery_schedule.cpp
+++ b/src/discovery/discovery_schedule.cpp
@@ -25,7 +25,7 @@
 
 Micros DiscoverySchedule::nextCallAfterFailure(Micros now, CallFailure failure,
                                                std::optional<Micros> retryAfter) {
-  if (failure == CallFailure::TurnedAway && !settings_.dedicatedService) cost_.observeRejection();
+  if (failure == CallFailure::Rejected && !settings_.dedicatedService) cost_.observeRejection();
   return now + backoff_.nextDelay(failure, cost_.assumed(), retryAfter);
 }
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -6,7 +6,7 @@
 namespace heathflow::discovery {
 namespace {
 
-using routing::Topic;
+using stats::Topic;
 using transport::kMicrosPerMilli;
 // PROTOCOL, Discovery: a watch lasts as long as the next call comes within 200 ms. Guards against a tight
 // loop with a service that answers at once though nothing has changed.
@@ -22,7 +22,7 @@
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
-                               DiscoverySchedule& schedule, routing::Observer& observer, OnList onList,
+                               DiscoverySchedule& schedule, stats::Observer& observer, OnList onList,
                                OnFailure onFailure, OnLeaseEnd onLeaseEnd)
     : loop_(loop),
       socketAddress_(socketAddress),
@@ -164,7 +164,7 @@
     loop_.retire(std::move(overdue_.front()));
     overdue_.erase(overdue_.begin());
   }
-  callFailed({CallFailure::Silent, "no answer in time", {}}, elapsed);
+  callFailed({CallFailure::TimedOut, "no answer in time", {}}, elapsed);
 }
 
 // The list stays as it was.
@@ -181,9 +181,9 @@
 }
 
 void DiscoveryWatch::updateLease(CallFailure failure) {
-  const bool endedByService = failure == CallFailure::TurnedAway || failure == CallFailure::Broken;
+  const bool endedByService = failure == CallFailure::Rejected || failure == CallFailure::ConnectionReset;
   if (watching_ && endedByService) lease_.watchEnded(loop_.now());
-  if (watching_ && failure == CallFailure::Silent) lease_.watchTimedOut(loop_.now());
+  if (watching_ && failure == CallFailure::TimedOut) lease_.watchTimedOut(loop_.now());
   lease_.callFailed(loop_.now());
   leaseChanged();
 }
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -28,7 +28,7 @@
   using OnLeaseEnd = std::function<void(std::optional<Micros> connectedBefore)>;
 
   DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
-                 DiscoverySchedule& schedule, routing::Observer& observer, OnList onList, OnFailure onFailure,
+                 DiscoverySchedule& schedule, stats::Observer& observer, OnList onList, OnFailure onFailure,
                  OnLeaseEnd onLeaseEnd);
 
   // The revision of the cached list from which the first call asks for changes.
@@ -59,7 +59,7 @@
   transport::EventLoop& loop_;
   transport::SocketAddress socketAddress_;
   DiscoverySchedule& schedule_;
-  routing::Observer& observer_;
+  stats::Observer& observer_;
   OnList onList_;
   OnFailure onFailure_;
   OnLeaseEnd onLeaseEnd_;
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using protocol::ListedEndpoint;
-using routing::Topic;
+using stats::Topic;
 using transport::kMicrosPerMilli;
 using Phase = ListedEndpoint::Phase;
 // With more names than this, removed ones are forgotten, which bounds memory.
@@ -45,7 +45,7 @@
     if (!entry.second.removed) return false;
     names_.erase(entry.second.id);
     launches_.forget(entry.first);
-    pool_.forget(entry.second.id);
+    pool_.remove(entry.second.id);
     return true;
   });
 }
@@ -75,7 +75,7 @@
   if (entry.phase == listed.phase) return;
   entry.phase = listed.phase;
   if (!observer_.tracing) return;
-  observer_.trace(Topic::Endpoints, listed.id + " at " + listed.hostPort + " is " + phaseName(listed.phase),
+  observer_.trace(Topic::Upstream, listed.id + " at " + listed.hostPort + " is " + phaseName(listed.phase),
                   {});
 }
 
@@ -113,7 +113,7 @@
         observer_.note(Topic::Discovery, "an endpoint's address can't be read: " + listed.hostPort);
         continue;
       }
-      pool_.place(entry.id, addressesOf(listed, *address));
+      pool_.setAddresses(entry.id, addressesOf(listed, *address));
     }
     event.endpoints.push_back(endpointOf(listed, entry.id));
   }
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -29,8 +29,8 @@
 class EndpointDirectory {
  public:
   // @param portsByGroup of groups that differ from 'defaultPorts'.
-  EndpointDirectory(routing::ConnectionPool& pool, ProtocolPorts defaultPorts,
-                    std::unordered_map<GroupId, ProtocolPorts> portsByGroup, routing::Observer& observer)
+  EndpointDirectory(upstream::ConnectionPool& pool, ProtocolPorts defaultPorts,
+                    std::unordered_map<GroupId, ProtocolPorts> portsByGroup, stats::Observer& observer)
       : pool_(pool),
         defaultPorts_(std::move(defaultPorts)),
         portsByGroup_(std::move(portsByGroup)),
@@ -54,10 +54,10 @@
   void forgetRemoved();
   void traceChange(Entry& entry, const protocol::ListedEndpoint& listed) const;
 
-  routing::ConnectionPool& pool_;
+  upstream::ConnectionPool& pool_;
   ProtocolPorts defaultPorts_;
   std::unordered_map<GroupId, ProtocolPorts> portsByGroup_;
-  routing::Observer& observer_;
+  stats::Observer& observer_;
   std::unordered_map<std::string, Entry> byName_;
   std::unordered_map<EndpointId, std::string> names_;
   wallclock::LaunchTimes launches_;
--- a/src/standins/gateway_rig.h
+++ b/src/standins/gateway_rig.h
@@ -103,10 +103,10 @@
          more + " */";
 }
 
-class Notes final : public routing::Observer {
+class Notes final : public stats::Observer {
  public:
   using Observer::note;
-  void note(routing::Topic, const std::string& text, const routing::About&) override {
+  void note(stats::Topic, const std::string& text, const stats::LogContext&) override {
     lines.push_back(text);
   }
   std::vector<std::string> lines;
@@ -129,10 +129,7 @@
       graph.back()->primary = i == 0;
     }
     discovery.endpoints = list();
-    std::string problem;
-    if (!program::parseConfig(configText(options, discovery.address(), list()), config, problem)) {
-      throw std::runtime_error(problem);
-    }
+    config = program::parseConfig(configText(options, discovery.address(), list()));
     start();
   }
   static transport::Clock clockOf(const GatewayOptions& options) {
@@ -173,8 +170,7 @@
   }
   void start() {
     gateway = std::make_unique<program::Gateway>(loop, config, notes, installation);
-    std::string problem;
-    if (gateway->listen(problem) != 0) throw std::runtime_error(problem);
+    if (const auto error = gateway->listen()) throw std::runtime_error(error->text);
     gateway->start();
     if (!installation.listeners.empty()) graphEndpoint = Place(*gateway->boundTo(1), Speaks::Bolt);
     socketAddress = speaks == Speaks::Bolt ? graphEndpoint : Place(*gateway->boundTo());
@@ -183,7 +179,7 @@
   bool until(Condition&& condition) {
     return test::until(loop, std::forward<Condition>(condition));
   }
-  const routing::Counters& counters() const { return notes.counters; }
+  const stats::Counters& counters() const { return notes.counters; }
   std::uint64_t outcomes(AttemptOutcome outcome) const {
     return counters().attemptsEnded[static_cast<std::size_t>(outcome)];
   }
--- a/tests/discovery_schedule_test.cpp
+++ b/tests/discovery_schedule_test.cpp
@@ -66,7 +66,7 @@
     Micros now = schedule.firstCallAt();
     EXPECT_LE(now, 2400 * kMs);
     for (int silent = 0; silent < 2; ++silent)
-      now = schedule.nextCallAfterFailure(now + kCallTimeout, CallFailure::Silent);
+      now = schedule.nextCallAfterFailure(now + kCallTimeout, CallFailure::TimedOut);
     EXPECT_LE(now, kNotificationDeadline - 100 * kMs);
   }
 }
@@ -99,8 +99,8 @@
   std::vector<Micros> first, second;
   for (unsigned i = 0; i < 300; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 300), 0);
-    first.push_back(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway));
-    second.push_back(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway));
+    first.push_back(schedule.nextCallAfterFailure(0, CallFailure::Rejected));
+    second.push_back(schedule.nextCallAfterFailure(0, CallFailure::Rejected));
   }
   for (const auto& times : {first, second}) {
     EXPECT_GT(*std::max_element(times.begin(), times.end()), 1400 * kMs);
@@ -115,7 +115,7 @@
 TEST(BackoffAfterFailure, OfASmallFleetIsShortAfterARejection) {
   for (unsigned i = 0; i < 10; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 10), 0);
-    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway), 250 * kMs);
+    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::Rejected), 250 * kMs);
   }
 }
 
@@ -123,7 +123,7 @@
   std::vector<Micros> times;
   for (unsigned i = 0; i < 300; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 300), 0);
-    times.push_back(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway, kS));
+    times.push_back(schedule.nextCallAfterFailure(0, CallFailure::Rejected, kS));
   }
   EXPECT_GE(*std::min_element(times.begin(), times.end()), kS);
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 1500 * kMs);
@@ -135,7 +135,7 @@
   std::vector<Micros> times;
   for (unsigned i = 0; i < 100; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 300), 0);
-    times.push_back(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway, 3600 * kS));
+    times.push_back(schedule.nextCallAfterFailure(0, CallFailure::Rejected, 3600 * kS));
   }
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 1500 * kMs);
   EXPECT_LE(mostWithin(times, 50 * kMs), 35U) << "and they come back apart";
@@ -147,12 +147,12 @@
   std::vector<Micros> third, fourth;
   for (unsigned i = 0; i < 300; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 300), 0);
-    for (int before = 0; before < 2; ++before) schedule.nextCallAfterFailure(0, CallFailure::TurnedAway);
-    third.push_back(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway));
-    fourth.push_back(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway));
-    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway), kNotificationDeadline);
+    for (int before = 0; before < 2; ++before) schedule.nextCallAfterFailure(0, CallFailure::Rejected);
+    third.push_back(schedule.nextCallAfterFailure(0, CallFailure::Rejected));
+    fourth.push_back(schedule.nextCallAfterFailure(0, CallFailure::Rejected));
+    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::Rejected), kNotificationDeadline);
     schedule.watchSucceeded();
-    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::TurnedAway), 1500 * kMs)
+    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::Rejected), 1500 * kMs)
         << "a list resets the backoff";
   }
   EXPECT_GT(*std::max_element(third.begin(), third.end()), 2800 * kMs);
@@ -166,16 +166,16 @@
 // out in time for its answer. The test above covers further rejections.
 TEST(BackoffAfterFailure, LeavesTimeForAnAnswerAfterAnyTwoFailures) {
   using Kind = CallFailure;
-  const std::vector<Kind> kinds = {Kind::TurnedAway, Kind::Broken, Kind::Silent, Kind::Unreachable,
-                                   Kind::Unreadable};
+  const std::vector<Kind> kinds = {Kind::Rejected, Kind::ConnectionReset, Kind::TimedOut, Kind::Unreachable,
+                                   Kind::Malformed};
   for (const Kind one : kinds) {
     for (const Kind two : kinds) {
       for (unsigned i = 0; i < 50; ++i) {
         DiscoverySchedule schedule(settingsOf(i, 350, 20 * kMs), 0);
         schedule.watchSucceeded();
-        for (int before = 0; before < 8 && one != Kind::TurnedAway; ++before)
+        for (int before = 0; before < 8 && one != Kind::Rejected; ++before)
           schedule.nextCallAfterFailure(0, one);
-        const auto duration = [](Kind kind) { return kind == Kind::Silent ? kCallTimeout : kS; };
+        const auto duration = [](Kind kind) { return kind == Kind::TimedOut ? kCallTimeout : kS; };
         const Micros next = schedule.nextCallAfterFailure(duration(one), one, 10 * kS);
         const Micros last = schedule.nextCallAfterFailure(next + duration(two), two, 10 * kS);
         EXPECT_LE(last, kNotificationDeadline - kS) << static_cast<int>(one) << ' ' << static_cast<int>(two);
@@ -186,14 +186,14 @@
 
 TEST(BackoffAfterFailure, GrowsWithBrokenCallsWithinTheDeadline) {
   DiscoverySchedule schedule(settingsOf(0, 1), 0);
-  EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::Broken), 500 * kMs);
+  EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::ConnectionReset), 500 * kMs);
   for (int i = 0; i < 20; ++i) {
-    const Micros next = schedule.nextCallAfterFailure(0, CallFailure::Broken);
+    const Micros next = schedule.nextCallAfterFailure(0, CallFailure::ConnectionReset);
     EXPECT_GE(next, 250 * kMs);
     EXPECT_LE(next, 1500 * kMs);
   }
   schedule.watchSucceeded();
-  EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::Broken), 500 * kMs);
+  EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::ConnectionReset), 500 * kMs);
 }
 
 // Hundreds of watches that time out together are renewed soon, because changes they miss count, and spread.
@@ -202,9 +202,9 @@
   for (unsigned i = 0; i < 300; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 300), 0);
     schedule.watchSucceeded();
-    times.push_back(schedule.nextCallAfterFailure(0, CallFailure::Silent));
+    times.push_back(schedule.nextCallAfterFailure(0, CallFailure::TimedOut));
     // The second in a row as well.
-    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::Silent), 250 * kMs);
+    EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::TimedOut), 250 * kMs);
   }
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 250 * kMs);
   EXPECT_LE(mostWithin(times, 25 * kMs), 60U);
@@ -214,8 +214,8 @@
   auto settings = settingsOf(0, 1);
   settings.dedicatedService = true;
   DiscoverySchedule schedule(settings, 0);
-  for (const CallFailure how :
-       {CallFailure::Broken, CallFailure::Silent, CallFailure::Unreachable, CallFailure::Unreadable}) {
+  for (const CallFailure how : {CallFailure::ConnectionReset, CallFailure::TimedOut, CallFailure::Unreachable,
+                                CallFailure::Malformed}) {
     for (int i = 0; i < 5; ++i) EXPECT_LE(schedule.nextCallAfterFailure(0, how), 250 * kMs);
     schedule.watchSucceeded();
   }
--- a/tests/program_process.h
+++ b/tests/program_process.h
@@ -14,7 +14,7 @@
   explicit Process(const std::string& config, std::vector<std::string> arguments = {},
                    emulator::Environment environment = {})
       : ChildProcess(HEATHFLOW_PROGRAM, config, std::move(arguments), std::move(environment)) {}
-  // Once it has said where it serves.
+  // Valid once the program has logged its address.
   transport::SocketAddress socketAddress() {
     return ChildProcess::socketAddress().value_or(transport::SocketAddress{});
   }
--- a/tests/sparing_test.cpp
+++ b/tests/sparing_test.cpp
@@ -1,4 +1,4 @@
-// What a router, and a fleet of them, asks of the endpoints: counts, single routers, and 60 to 300 of them
+// What a router, and a fleet of them, asks of the endpoints: single routers, and 60 to 300 of them
 // with modelled endpoints under a virtual clock.
 #include <gtest/gtest.h>
 
@@ -6,7 +6,6 @@
 
 #include "fleet/fleet.h"
 #include "policy_harness.h"
-#include "stats/upstream_stats.h"
 
 namespace heathflow::test {
 namespace {
@@ -16,56 +15,6 @@
 using fleet::Result;
 using Endpoints = std::vector<EndpointId>;
 
-// ---- Counts ----
-
-TEST(UpstreamStats, AHealthCheckIsUsedWhenARequestGoesThereBeforeTheNextHealthCheck) {
-  stats::UpstreamStats upstreamStats;
-  upstreamStats.healthChecked(1, HealthCheckReason::ReadWaiting);
-  upstreamStats.sent(1);  // it has told nothing yet
-  upstreamStats.healthCheckEnded(1, true);
-  upstreamStats.sent(2);
-  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 0U);
-  upstreamStats.sent(1);
-  upstreamStats.sent(1);
-  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 1U);
-  upstreamStats.healthChecked(1, HealthCheckReason::PrimaryUnknown);
-  upstreamStats.healthCheckEnded(1, false);
-  upstreamStats.sent(1);
-  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).made, 1U);
-  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).answered, 0U);
-  EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).used, 0U);
-  EXPECT_EQ(upstreamStats.mostHealthChecked(), 2U);
-}
-
-TEST(UpstreamStats, AConnectionIsUnusedUntilARequestWentOverIt) {
-  stats::UpstreamStats upstreamStats;
-  stats::Carried healthChecksOnly = upstreamStats.opened(stats::Purpose::HealthCheck);
-  upstreamStats.reused(healthChecksOnly, stats::Purpose::HealthCheck);
-  stats::Carried once = upstreamStats.opened(stats::Purpose::HealthCheck);
-  upstreamStats.reused(once, stats::Purpose::Request);
-  const stats::Carried first = upstreamStats.opened(stats::Purpose::Request);
-  stats::Carried often = first;
-  upstreamStats.reused(often, stats::Purpose::Request);
-  for (const stats::Carried& carried : {healthChecksOnly, once, often}) upstreamStats.closed(carried);
-  EXPECT_EQ(upstreamStats.connections().closed, 3U);
-  EXPECT_EQ(upstreamStats.connections().closedUnused, 1U);
-  EXPECT_EQ(upstreamStats.connections().closedOnce, 1U);
-}
-
-TEST(UpstreamStats, ForgetsEndpointsAndNamesEveryCount) {
-  stats::UpstreamStats upstreamStats;
-  upstreamStats.healthChecked(1, HealthCheckReason::Unresponsive);
-  upstreamStats.givenUp(RejectReason::SlowStart);
-  EXPECT_EQ(upstreamStats.endpointsHealthChecked(), 1U);
-  upstreamStats.forget(1);
-  upstreamStats.healthCheckEnded(1, true);
-  EXPECT_EQ(upstreamStats.endpointsHealthChecked(), 0U);
-  const std::string text = describe(upstreamStats);
-  for (const char* name : {"silent=1", "silent_used=0", "members=0", "cold=1", "closed_unused=0"}) {
-    EXPECT_NE(text.find(name), std::string::npos) << name;
-  }
-}
-
 // ---- One router ----
 
 // Its primary has more than its part of the work, so that reads look for a replica.
