--- a/src/emulator/arrivals.h
+++ b/src/emulator/arrivals.h
@@ -1,4 +1,4 @@
-// When the clients of one gateway ask, and what: an open loop, whose next request does not wait for the last
+// The arrivals of requests at one gateway: an open loop, whose next request does not wait for the last
 // answer. Decisions only; equal seeds give equal loads.
 #pragma once
 
@@ -24,10 +24,10 @@
 
 class Arrivals {
  public:
-  // 'perSecond': in the mean, from 'from' on; 0: none.
+  // @param perSecond  in the mean, from 'from' on; 0: none.
   Arrivals(double perSecond, const Mix& mix, unsigned groups, std::uint64_t seed, Micros from);
 
-  // When the next one is due; nothing is skipped, however late it is asked for.
+  // When the next request is due. None is skipped, however late take() is called.
   Micros next() const { return next_; }
   struct Arrival {
     Micros at = 0;  // the intended time, from which latency counts
--- a/src/emulator/burst_counter.h
+++ b/src/emulator/burst_counter.h
@@ -1,4 +1,4 @@
-// How many of something came within a span at the most, of the newest that are kept.
+// The largest number of events within a time span, of the newest events.
 #pragma once
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 
 class BurstCounter {
  public:
-  explicit BurstCounter(std::size_t kept) : kept_(kept) {}
+  explicit BurstCounter(std::size_t capacity) : capacity_(capacity) {}
 
   void add(transport::Micros at) {
     times_.push_back(at);
-    if (times_.size() > kept_) times_.pop_front();
+    if (times_.size() > capacity_) times_.pop_front();
   }
   std::size_t mostWithin(transport::Micros span) const {
     std::size_t most = 0;
@@ -27,7 +27,7 @@
   }
 
  private:
-  std::size_t kept_;
+  std::size_t capacity_;
   std::deque<transport::Micros> times_;
 };
 
--- a/src/emulator/child_process.cpp
+++ b/src/emulator/child_process.cpp
@@ -93,9 +93,9 @@
   start();
 }
 
-void ChildProcess::setLogUnread(bool deaf) {
-  logUnread_ = deaf;
-  if (deaf) ::fcntl(output_.get(), F_SETPIPE_SZ, 4096);
+void ChildProcess::setLogUnread(bool unread) {
+  logUnread_ = unread;
+  if (unread) ::fcntl(output_.get(), F_SETPIPE_SZ, 4096);
 }
 
 void ChildProcess::readLog() {
--- a/src/emulator/child_process.h
+++ b/src/emulator/child_process.h
@@ -1,5 +1,5 @@
-// The built program as a child process: started, told, paused, killed, started again; its log as events with
-// times. Nothing of it stays behind: the kernel ends it with the process that started it, however that ends.
+// A program as a child process, with its log as events with times. The kernel kills it when the process that
+// started it ends.
 #pragma once
 
 #include <sys/types.h>
@@ -25,52 +25,53 @@
   std::string text;
 };
 
-// Variables of a child beside those of the emulator.
+// Variables that a child has in addition to those of the emulator.
 using Environment = std::map<std::string, std::string>;
 
-// So that a program's system calls fail by a plan (faultshim/fault_plan.h): what it needs in its environment.
-// 'library': the file of heathflow_faults.
+// The environment of a program whose system calls fail by a plan (faultshim/fault_plan.h).
+// @param library  the file of heathflow_faults.
 Environment withFaults(const std::string& library, const std::string& plan);
 
 class ChildProcess {
  public:
-  // Starts a program with this configuration; its folder is the child's own and ends with it.
+  // Starts a program with this configuration, in a folder that is removed with the object.
   ChildProcess(std::string program, const std::string& config, std::vector<std::string> arguments = {},
                Environment environment = {});
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
 
-  // What the configuration's file holds from now on; it is read at a start and at SIGHUP.
+  // Writes the configuration file, which is read at a start and at SIGHUP.
   void configure(const std::string& config);
   void removeConfiguration();
   void signal(int number);
-  // Stops it where it stands, and lets it go on.
+  // SIGSTOP and SIGCONT.
   void pause();
   void resume();
-  // Ends it without a word, and waits until it has gone.
+  // SIGKILL; waits for the exit.
   void kill();
-  // What its environment holds beside the emulator's from the next start on.
+  // Takes effect at the next start.
   void setEnvironment(Environment environment) { environment_ = std::move(environment); }
-  // Starts it again with the file as it is; its log goes on behind what was there.
+  // Kills it where it runs, and starts it with the configuration file as it is. Its log goes on.
   void restart();
 
-  // Everything that it has logged so far, of all its lives. Bounded: of a longer log the newest part.
+  // The log of all incarnations, of a long one the newest part.
   const std::string& log();
   bool says(const std::string& what) { return log().find(what) != std::string::npos; }
-  // For as long as it is deaf nothing of the log is read, and the pipe holds as little as the system allows.
-  void setLogUnread(bool deaf);
-  // Its lines, each with the time at which it was read here.
+  // While its log is unread the pipe holds as little as the system allows.
+  void setLogUnread(bool unread);
+  // The lines of the log.
   const std::vector<LogEvent>& events();
-  // The newest life's lines and those before it that hold this text.
+  // The lines of all incarnations that contain a text.
   std::vector<LogEvent> linesContaining(const std::string& text);
-  // The newest word of each counter, by "group.name".
+  // The newest value of each counter of the newest incarnation, by "group.name".
   std::map<std::string, std::uint64_t> counters();
-  // Where its newest life serves; nothing before it says so.
+  // Where the newest incarnation serves; nothing before it logs that.
   std::optional<transport::SocketAddress> socketAddress();
 
+  // Whether it has exited.
   bool over();
-  // The exit status once it is over; below 0: of the signal that ended it.
+  // The exit status, or the negative number of the signal that ended it.
   int status() const;
   pid_t pid() const { return pid_; }
   unsigned incarnations() const { return incarnations_; }
@@ -89,7 +90,7 @@
   std::string text_;
   std::string partial_;  // a line that has no end yet
   std::vector<LogEvent> events_;
-  std::size_t incarnationBegin_ = 0;  // the first event of the newest life
+  std::size_t incarnationBegin_ = 0;  // the first event of the newest incarnation
   unsigned incarnations_ = 0;
   bool exited_ = false;
   bool logUnread_ = false;
--- a/src/emulator/load.cpp
+++ b/src/emulator/client_load.cpp
@@ -1,4 +1,4 @@
-#include "emulator/load.h"
+#include "emulator/client_load.h"
 
 #include <algorithm>
 #include <utility>
@@ -10,38 +10,38 @@
 namespace {
 
 constexpr transport::Stream::Limits kLimits = {1 << 20, 1 << 20};
-// A client opens no more beside those it has; what finds none is not asked.
-constexpr std::size_t kConnectionsMost = 64;
+// A request that finds all connections busy is not sent.
+constexpr std::size_t kMaxConnections = 64;
 constexpr Micros kMicrosPerMilli = 1000;
-// A client looks so long beyond its time before it closes the connection.
-constexpr Micros kBeyondPatience = 600 * kMicrosPerMilli;
-// The close of a gateway that ends may cross a request that it has not read; its client asks once more
-// elsewhere.
-constexpr Micros kCrossing = 50 * kMicrosPerMilli;
-// Within which a client that leaves does so.
-constexpr std::uint64_t kLeavesWithin = 400 * kMicrosPerMilli;
+// How long a client waits beyond its deadline before it closes the connection.
+constexpr Micros kCloseAfterDeadline = 600 * kMicrosPerMilli;
+// A connection that a gateway closes within this time of a request may have crossed it: the request was not
+// read, and its client would retry at another gateway.
+constexpr Micros kCrossingWindow = 50 * kMicrosPerMilli;
+// A client that disconnects does so within this time.
+constexpr std::uint64_t kDisconnectsWithin = 400 * kMicrosPerMilli;
 
 }  // namespace
 
-struct Load::Connection final : transport::StreamOwner {
-  explicit Connection(Load& owner)
+struct ClientLoad::Connection final : transport::StreamOwner {
+  explicit Connection(ClientLoad& owner)
       : load(owner),
         stream(owner.loop_, *this, kLimits),
         limit(owner.loop_, [this] { load.remove(*this); }),
-        leave(owner.loop_, [this] {
+        disconnect(owner.loop_, [this] {
           load.judge_.clientDisconnected(id, load.loop_.now());
           load.remove(*this);
         }) {}
 
   void onOpen() override {
     up = true;
-    if (busy) wrote();
+    if (busy) onWritten();
     stream.flush();
   }
 
-  // The request counts from the time at which it goes out.
-  void wrote() {
-    if (!told) {
+  // A request counts from the time at which it is written.
+  void onWritten() {
+    if (!reported) {
       Judge::ClientRequest request;
       request.id = id;
       request.gateway = load.gateway_;
@@ -50,18 +50,18 @@
       request.repeatable = request.rejectable = answer.kind != RequestKind::Save;
       if (answer.kind == RequestKind::View) request.bound = load.bound_;
       load.judge_.requestSent(request);
-      ++load.asked_;
-      told = true;
+      ++load.requests_;
+      reported = true;
     }
-    askedAt = load.loop_.now();
-    limit.arm(askedAt + load.patience_ + kBeyondPatience);
-    if (load.leaving_ > 0 && uniformUnit(load.random_()) < load.leaving_)
-      leave.arm(askedAt + static_cast<Micros>(load.random_() % kLeavesWithin));
+    sentAt = load.loop_.now();
+    limit.arm(sentAt + load.patience_ + kCloseAfterDeadline);
+    if (load.disconnectShare_ > 0 && uniformUnit(load.random_()) < load.disconnectShare_)
+      disconnect.arm(sentAt + static_cast<Micros>(load.random_() % kDisconnectsWithin));
   }
 
   void send(const Arrivals::Arrival& arrival) {
     busy = true;
-    told = false;
+    reported = false;
     answered = false;
     id = load.gateway_ + "-" + std::to_string(++load.sequence_);
     answer = {arrival.at, 0, arrival.kind, arrival.group, RequestResult::Served};
@@ -73,7 +73,7 @@
                                            ",d=" + std::to_string(load.patience_ / kMicrosPerMilli) +
                                            ",cluster=" + std::to_string(arrival.group) + " */"));
     if (!up) return;
-    wrote();
+    onWritten();
     stream.flush();
   }
 
@@ -81,8 +81,8 @@
     bytes += stream.input().view();
     stream.input().consume(stream.input().size());
     for (const test::pg::Message& message : test::pg::cut(bytes)) {
-      if (message.type == 'Z' && !welcomed) {
-        welcomed = true;
+      if (message.type == 'Z' && !greeted) {
+        greeted = true;
       } else if (message.type == 'D') {
         answered = true;
         answer.how = RequestResult::Served;
@@ -90,7 +90,7 @@
         const std::string code = test::pg::field(message.body, 'C');
         answered = true;
         answer.how = code == "53300" || code == "57P03" ? RequestResult::Rejected : RequestResult::Failed;
-        if (!welcomed) return finish();  // rejected right after the connect
+        if (!greeted) return finish();  // rejected right after the connect
       } else if (message.type == 'Z' && answered) {
         finish();
       }
@@ -98,9 +98,9 @@
   }
 
   void finish() {
-    if (!busy || !told) return;
+    if (!busy || !reported) return;
     limit.disarm();
-    leave.disarm();
+    disconnect.disarm();
     busy = false;
     answer.at = load.loop_.now();
     load.judge_.requestAnswered(id, answer.at, answer.how);
@@ -109,12 +109,12 @@
 
   void onEnd(transport::StreamEnd how) override {
     if (busy && answered) finish();
-    const bool crossed =
-        load.mayCross_ && how == transport::StreamEnd::Closed && load.loop_.now() - askedAt < kCrossing;
-    if (busy && told && crossed) {
+    const bool crossed = load.closeExpected_ && how == transport::StreamEnd::Closed &&
+                         load.loop_.now() - sentAt < kCrossingWindow;
+    if (busy && reported && crossed) {
       load.judge_.clientDisconnected(id, load.loop_.now());
-    } else if (busy && told) {
-      // Its gateway is dead, which the emulator tells the judge, or has broken its word.
+    } else if (busy && reported) {
+      // The gateway was killed, which the emulator reports to the judge, or is at fault.
       answer.at = load.loop_.now();
       if (load.socketAddress_) load.judge_.requestAnswered(id, answer.at, RequestResult::Broken);
     } else if (busy) {
@@ -123,23 +123,24 @@
     load.remove(*this);
   }
 
-  Load& load;
+  ClientLoad& load;
   transport::Stream stream;
   transport::Timer limit;
-  transport::Timer leave;
-  Micros askedAt = 0;
+  transport::Timer disconnect;
+  Micros sentAt = 0;
   std::string bytes;
   std::string id;
   Answer answer;
   bool up = false;
-  bool welcomed = false;
+  bool greeted = false;
   bool busy = false;
-  bool told = false;      // the judge knows of the request
+  bool reported = false;  // the judge knows of the request
   bool answered = false;  // its answer has come, but for its end
 };
 
-Load::Load(transport::EventLoop& loop, std::string gateway, Arrivals arrivals, Micros patience, Micros bound,
-           Judge& judge, OnAnswer onAnswer, double leaving, std::uint64_t seed)
+ClientLoad::ClientLoad(transport::EventLoop& loop, std::string gateway, Arrivals arrivals, Micros patience,
+                       Micros bound, Judge& judge, OnAnswer onAnswer, double disconnectShare,
+                       std::uint64_t seed)
     : loop_(loop),
       gateway_(std::move(gateway)),
       arrivals_(std::move(arrivals)),
@@ -147,45 +148,45 @@
       bound_(bound),
       judge_(judge),
       onAnswer_(std::move(onAnswer)),
-      next_(loop, [this] { turn(); }),
-      leaving_(leaving),
+      next_(loop, [this] { sendDue(); }),
+      disconnectShare_(disconnectShare),
       random_(seed) {
   next_.arm(arrivals_.next());
 }
 
-Load::~Load() = default;
+ClientLoad::~ClientLoad() = default;
 
-void Load::connectTo(std::optional<transport::SocketAddress> socketAddress) {
+void ClientLoad::connectTo(std::optional<transport::SocketAddress> socketAddress) {
   if (socketAddress == socketAddress_) return;
   socketAddress_ = socketAddress;
-  resting_ = keeping_ = mayCross_ = false;
+  paused_ = opensNone_ = closeExpected_ = false;
   while (!connections_.empty()) remove(*connections_.front());
 }
 
-void Load::stop() {
+void ClientLoad::stop() {
   stopped_ = true;
   next_.disarm();
 }
 
-std::size_t Load::open() const {
+std::size_t ClientLoad::openRequests() const {
   return static_cast<std::size_t>(std::count_if(connections_.begin(), connections_.end(),
-                                                [](const auto& one) { return one->busy && one->told; }));
+                                                [](const auto& one) { return one->busy && one->reported; }));
 }
 
-void Load::turn() {
-  while (!stopped_ && arrivals_.next() <= loop_.now()) ask(arrivals_.take());
+void ClientLoad::sendDue() {
+  while (!stopped_ && arrivals_.next() <= loop_.now()) send(arrivals_.take());
   if (!stopped_) next_.arm(arrivals_.next());
 }
 
-void Load::ask(const Arrivals::Arrival& arrival) {
-  if (!socketAddress_ || resting_) {
+void ClientLoad::send(const Arrivals::Arrival& arrival) {
+  if (!socketAddress_ || paused_) {
     ++unreached_;
     return;
   }
   for (const auto& connection : connections_) {
     if (!connection->busy && connection->up && connection->stream.quiet()) return connection->send(arrival);
   }
-  if (keeping_ || connections_.size() >= kConnectionsMost) {
+  if (opensNone_ || connections_.size() >= kMaxConnections) {
     ++unreached_;
     return;
   }
@@ -200,11 +201,11 @@
   connection.send(arrival);
 }
 
-void Load::remove(Connection& connection) {
+void ClientLoad::remove(Connection& connection) {
   for (auto entry = connections_.begin(); entry != connections_.end(); ++entry) {
     if (entry->get() != &connection) continue;
     connection.limit.disarm();
-    connection.leave.disarm();
+    connection.disconnect.disarm();
     connection.stream.close();
     loop_.retire(std::move(*entry));
     connections_.erase(entry);
--- a/src/emulator/delayed_actions.h
+++ b/src/emulator/delayed_actions.h
@@ -1,4 +1,4 @@
-// What is to be done later on a loop, each once.
+// Actions that a loop runs later, each once.
 #pragma once
 
 #include <functional>
@@ -15,17 +15,17 @@
  public:
   explicit DelayedActions(transport::EventLoop& loop) : loop_(loop) {}
 
-  void at(transport::Micros when, std::function<void()> what) {
+  void at(transport::Micros when, std::function<void()> action) {
     due_.push_back(nullptr);
     const auto entry = std::prev(due_.end());
-    *entry = std::make_unique<transport::Timer>(loop_, [this, entry, what = std::move(what)] {
+    *entry = std::make_unique<transport::Timer>(loop_, [this, entry, action = std::move(action)] {
       loop_.retire(std::move(*entry));  // it lasts until the end of this turn
       due_.erase(entry);
-      what();
+      action();
     });
     (*entry)->arm(when);
   }
-  // None of it is to be done any more.
+  // Cancels all actions.
   void clear() {
     for (auto& timer : due_) {
       timer->disarm();
--- a/src/emulator/deployment.cpp
+++ b/src/emulator/deployment.cpp
@@ -71,7 +71,7 @@
   startAllGateways();
   for (const FaultEvent& event : scenario_.faultEvents)
     schedule(event.at, [this, event] { applyFault(event); });
-  runUntil(recorder_.startedAt() + scenario_.length, onRow);
+  runUntil(recorder_.startedAt() + scenario_.duration, onRow);
   awaitOpenRequests();
   return finish();
 }
@@ -106,7 +106,7 @@
   const Micros end = loop_.now() + scenario_.patience + kMicrosPerSecond;
   const auto anyOpen = [&] {
     return std::any_of(gateways_.begin(), gateways_.end(),
-                       [](const auto& gateway) { return gateway->load->open() > 0; });
+                       [](const auto& gateway) { return gateway->load->openRequests() > 0; });
   };
   while (loop_.now() < end && anyOpen()) loop_.turn(kTick);
 }
@@ -169,7 +169,7 @@
   results.breaches = judge_.breaches();
   for (Breach& breach : results.breaches) breach.at -= recorder_.startedAt();
   for (const auto& gateway : gateways_) {
-    results.requests += gateway->load->asked();
+    results.requests += gateway->load->requests();
     results.unreached += gateway->load->unreached();
   }
   for (ListService* service : listServices()) {
--- a/src/emulator/deployment_faults.cpp
+++ b/src/emulator/deployment_faults.cpp
@@ -23,8 +23,8 @@
 Fault linkFaultOf(FaultEvent::Kind kind) {
   using FaultKind = FaultEvent::Kind;
   Fault out;
-  out.cutForth = kind == FaultKind::CutEndpoints || kind == FaultKind::CutList;
-  out.cutBack = out.cutForth || kind == FaultKind::HangEndpoints;
+  out.cutToServer = kind == FaultKind::CutEndpoints || kind == FaultKind::CutList;
+  out.cutToClient = out.cutToServer || kind == FaultKind::HangEndpoints;
   out.resets = kind == FaultKind::ResetEndpoints;
   if (kind == FaultKind::SlowEndpoints) out.delay = out.jitter = kSlowLinkDelay;
   return out;
@@ -104,7 +104,7 @@
   const std::size_t count = countOfShare(event.share, gateways_.size());
   for (std::size_t i = 0; i < count; ++i) {
     GatewayProcess& gateway = *gateways_[i];
-    gateway.load->rest();
+    gateway.load->pause();
     gateway.misbehavingClients->connectTo({});
     judge_.gatewayKilled(gateway.name, loop_.now());  // requests that it has are not its fault
     gateway.child->pause();
@@ -170,7 +170,7 @@
   schedule(stopAfter, [this, chosen, primaries] {
     for (EmulatedEndpoint* endpoint : chosen) {
       if (endpoint->model().primary()) primaries->push_back(endpoint);
-      endpoint->die();
+      endpoint->stop();
       endpoints_.setListed(*endpoint, ListedState::Gone);
     }
     publishEndpoints();
@@ -180,7 +180,7 @@
       endpoint->start();
       endpoints_.setListed(*endpoint, ListedState::Ready);
     }
-    for (EmulatedEndpoint* endpoint : *primaries) endpoint->model().lead();
+    for (EmulatedEndpoint* endpoint : *primaries) endpoint->model().becomePrimary();
     publishEndpoints();
     note("members are back, cold");
   });
@@ -218,7 +218,7 @@
   for (const auto& gateway : gateways_) {
     gateway->movedListener = movedService_->addListener();
     gateway->child->configure(configurationOf(*gateway));
-    judge_.notifications().moved(gateway->name, std::max(loop_.now(), signalsAllowedFrom(*gateway)));
+    judge_.notifications().serviceMoved(gateway->name, std::max(loop_.now(), signalsAllowedFrom(*gateway)));
     reloadGateway(*gateway);
   }
   schedule(event.duration, [this] { listServiceDown(service_); });
--- a/src/emulator/deployment_gateways.cpp
+++ b/src/emulator/deployment_gateways.cpp
@@ -36,7 +36,7 @@
     gateway->number = i;
     gateway->listener = service_.addListener();
     writeStartFiles(*gateway, scenario_, folder_.path(), programs_.traces);
-    if (needsPaths(scenario_)) {
+    if (needsLinks(scenario_)) {
       listLinks_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort,
                                                         service_.listenerAddress(gateway->listener),
                                                         LinkConditions({}, scenario_.seed + i)));
@@ -47,15 +47,15 @@
 
 void Deployment::createClients(GatewayProcess& gateway) {
   const std::size_t busy = countOfShare(scenario_.busyShare, gateways_.size());
-  const double rate = scenario_.perGateway * (gateway.number < busy ? scenario_.busyTimes : 1);
-  gateway.load = std::make_unique<Load>(
+  const double rate = scenario_.requestsPerGateway * (gateway.number < busy ? scenario_.busyFactor : 1);
+  gateway.load = std::make_unique<ClientLoad>(
       loop_, gateway.name,
       Arrivals(rate, scenario_.mix, scenario_.groups, scenario_.seed * kArrivalsSeedFactor + gateway.number,
                recorder_.startedAt()),
       scenario_.patience, scenario_.bound, judge_, [this](const Answer& answer) { recordAnswer(answer); },
-      scenario_.leaving, scenario_.seed * kDisconnectsSeedFactor + gateway.number);
+      scenario_.disconnectShare, scenario_.seed * kDisconnectsSeedFactor + gateway.number);
   gateway.misbehavingClients = std::make_unique<MisbehavingClients>(
-      loop_, gateway.name, scenario_.rough, scenario_.groups, scenario_.patience,
+      loop_, gateway.name, scenario_.misbehavingClientsPerSecond, scenario_.groups, scenario_.patience,
       scenario_.seed * kMisbehaviorSeedFactor + gateway.number, judge_);
 }
 
@@ -67,7 +67,7 @@
 void Deployment::startGateway(GatewayProcess& gateway) {
   gateway.serving = gateway.exitExpected = false;
   gateway.startedAt = loop_.now();
-  judge_.notifications().started(gateway.name, loop_.now());
+  judge_.notifications().gatewayStarted(gateway.name, loop_.now());
   Environment environment = environmentOf(gateway, scenario_, programs_.faults);
   if (gateway.child) {
     gateway.child->setEnvironment(std::move(environment));
@@ -129,10 +129,10 @@
   gateway.exitExpected = true;
   gateway.misbehavingClients->connectTo({});
   if (!scenario_.hardStops) {
-    gateway.load->rest();
+    gateway.load->pause();
   } else {
-    gateway.load->mayCross();
-    schedule(kNewConnectionsAfterTerm, [&gateway] { gateway.load->keepOnly(); });
+    gateway.load->expectClose();
+    schedule(kNewConnectionsAfterTerm, [&gateway] { gateway.load->openNoConnections(); });
   }
   sendTerminationSignals(gateway);
 }
--- a/src/emulator/deployment_list.cpp
+++ b/src/emulator/deployment_list.cpp
@@ -68,7 +68,7 @@
     judge_.notifications().answerWrittenIntoCutPath(gateway.name, loop_.now(),
                                                     {cut.from, cut.until, answer.waitEnds});
   } else {
-    judge_.notifications().written(gateway.name, loop_.now());
+    judge_.notifications().answerWritten(gateway.name, loop_.now());
   }
 }
 
--- a/src/emulator/emulated_endpoint.cpp
+++ b/src/emulator/emulated_endpoint.cpp
@@ -10,7 +10,7 @@
 
 constexpr Micros kMicrosPerMilli = 1000;
 
-// Seconds with three decimals, as a report tells a position.
+// Seconds with three decimals, as load reports have positions.
 std::string secondsOf(Micros at) {
   const std::string millis = std::to_string(1000 + at / kMicrosPerMilli % 1000).substr(1);
   return std::to_string(at / 1'000'000) + "." + millis;
@@ -28,68 +28,69 @@
       server_(loop),
       delayedActions_(loop) {
   server_.keepsStatements = false;
-  server_.door = [this](test::Line& line) { welcome(line); };
-  server_.answer = [this](test::Line& line, const std::string& statement) { asked(line, statement); };
-  server_.healthCheck = [this](test::Line& line, const std::string&) { healthChecked(line); };
+  server_.door = [this](test::Line& line) { onConnect(line); };
+  server_.answer = [this](test::Line& line, const std::string& statement) { onStatement(line, statement); };
+  server_.healthCheck = [this](test::Line& line, const std::string&) { onHealthCheck(line); };
 }
 
-void EmulatedEndpoint::die() {
-  model_.die(loop_.now());
+void EmulatedEndpoint::stop() {
+  model_.stop(loop_.now());
   server_.shut();
-  shut_ = true;
+  stopped_ = true;
   delayedActions_.clear();
 }
 
 void EmulatedEndpoint::start() {
   draining_ = false;
   model_.start(loop_.now());
-  model_.goOn();
+  model_.resumeReplication();
   startedAt_ = loop_.now();
-  if (std::exchange(shut_, false)) server_.reopen();
+  if (std::exchange(stopped_, false)) server_.reopen();
 }
 
-void EmulatedEndpoint::sayAt(Micros at, test::Line& line, std::function<std::string()> what, bool thenClose) {
+void EmulatedEndpoint::sendAt(Micros at, test::Line& line, std::function<std::string()> what,
+                              bool thenClose) {
   delayedActions_.at(at, [&line, what = std::move(what), thenClose] {
-    const std::string words = what();
-    if (!line.ended && !line.stream.closed()) line.say(words);
+    const std::string bytes = what();
+    if (!line.ended && !line.stream.closed()) line.say(bytes);
     if (thenClose) line.hangUp();
   });
 }
 
-void EmulatedEndpoint::welcome(test::Line& line) {
-  const EndpointModel::Welcome verdict = model_.connect(loop_.now());
+void EmulatedEndpoint::onConnect(test::Line& line) {
+  const EndpointModel::ConnectResult verdict = model_.connect(loop_.now());
   if (!verdict.taken)
-    return sayAt(
+    return sendAt(
         verdict.at, line, [] { return test::pg::error("53300", "FATAL"); }, true);
   line.onGone = [this] { model_.disconnected(); };
-  sayAt(verdict.at, line, [] { return test::pg::welcome(); });
+  sendAt(verdict.at, line, [] { return test::pg::welcome(); });
 }
 
-void EmulatedEndpoint::asked(test::Line& line, const std::string& statement) {
+void EmulatedEndpoint::onStatement(test::Line& line, const std::string& statement) {
   const auto comment = protocol::parseRequestComment(statement);
   if (!comment) return line.say(test::pg::error("08P01") + test::pg::ready());
   const std::string id(comment->id);
   const Micros now = loop_.now();
-  const EndpointModel::Verdict verdict = model_.ask(now, comment->write);
+  const EndpointModel::RequestOutcome verdict = model_.request(now, comment->write);
   switch (verdict.kind) {
-    case EndpointModel::Verdict::Kind::Full:
+    case EndpointModel::RequestOutcome::Kind::Full:
       return line.say(test::pg::error("53300") + test::pg::ready());
-    case EndpointModel::Verdict::Kind::NotPrimary:
+    case EndpointModel::RequestOutcome::Kind::NotPrimary:
       return line.say(test::pg::error("25006") + test::EndpointStandIn::news(false) + test::pg::ready());
-    case EndpointModel::Verdict::Kind::Served:
+    case EndpointModel::RequestOutcome::Kind::Served:
       break;
   }
-  std::optional<Micros> told;
-  if (comment->timeoutMs) told = *comment->timeoutMs * kMicrosPerMilli;
-  judge_.attemptReceived(id, name_, now, verdict.position, told);
-  sayAt(verdict.at, line, [this, id, position = verdict.position] {
+  std::optional<Micros> forwardedDeadline;
+  if (comment->timeoutMs) forwardedDeadline = *comment->timeoutMs * kMicrosPerMilli;
+  judge_.attemptReceived(id, name_, now, verdict.position, forwardedDeadline);
+  sendAt(verdict.at, line, [this, id, position = verdict.position] {
     judge_.requestExecuted(id, name_, loop_.now());
     return test::pg::row(id) + test::EndpointStandIn::news(model_.primary(), position / kMicrosPerMilli) +
            test::pg::ready();
   });
 }
 
-void EmulatedEndpoint::healthChecked(test::Line& line) {
+void EmulatedEndpoint::onHealthCheck(test::Line& line) {
   if (draining_) return line.say(test::pg::error("57P03") + test::pg::ready());
   const std::string role = model_.primary() ? "1" : "0";
   line.say(test::pg::row("x0=" + secondsOf(model_.position(loop_.now())) + ",x1=" + role) +
--- a/src/emulator/emulated_endpoint.h
+++ b/src/emulator/emulated_endpoint.h
@@ -1,5 +1,5 @@
-// An emulated endpoint on loopback: PostgreSQL's protocol around a MemberModel, in its own time. It tells the
-// judge what it saw.
+// An emulated endpoint on loopback: the PostgreSQL protocol around an EndpointModel. It reports the attempts
+// that it receives to the judge.
 #pragma once
 
 #include <functional>
@@ -27,20 +27,19 @@
   std::int64_t startedAt() const { return startedAt_; }  // 0: long ago
   std::uint64_t healthChecks() const { return server_.healthChecks; }
 
-  // Its process ends: connections break, new ones are rejected.
-  void die();
-  // It starts, cold; one that is up starts anew where it stands.
+  // Stops its process: connections break, new ones are reset.
+  void stop();
+  // Starts it, in slow start, also where it is up.
   void start();
-  // Whether it turns health checks away, as one does that was told to drain; it goes on serving what it is
-  // sent.
+  // While it drains it rejects health checks and still serves requests.
   void setDraining(bool draining) { draining_ = draining; }
 
  private:
-  void welcome(test::Line& line);
-  void asked(test::Line& line, const std::string& statement);
-  void healthChecked(test::Line& line);
-  // Says something later, if its life and the connection last as long.
-  void sayAt(Micros at, test::Line& line, std::function<std::string()> what, bool thenClose = false);
+  void onConnect(test::Line& line);
+  void onStatement(test::Line& line, const std::string& statement);
+  void onHealthCheck(test::Line& line);
+  // Sends bytes later, unless it is stopped or the connection ends before.
+  void sendAt(Micros at, test::Line& line, std::function<std::string()> what, bool thenClose = false);
 
   transport::EventLoop& loop_;
   std::string name_;
@@ -50,7 +49,7 @@
   test::EndpointStandIn server_;
   DelayedActions delayedActions_;
   std::int64_t startedAt_ = 0;
-  bool shut_ = false;
+  bool stopped_ = false;
   bool draining_ = false;
 };
 
--- a/src/emulator/endpoint_model.cpp
+++ b/src/emulator/endpoint_model.cpp
@@ -9,27 +9,27 @@
 
 constexpr Micros kMicrosPerSecond = 1'000'000;
 // The cost of a request lies evenly between these shares of the mean.
-constexpr double kCostLeast = 0.5, kCostSpan = 1.0;
+constexpr double kMinCostShare = 0.5, kCostShareRange = 1.0;
 
 }  // namespace
 
 void EndpointModel::start(Micros now) {
   alive_ = true;
   startedAt_ = now;
-  acceptsAt_ = now;
+  nextAcceptAt_ = now;
   connections_ = 0;
-  std::fill(free_.begin(), free_.end(), now);
-  waiting_.clear();
+  std::fill(slotFreeAt_.begin(), slotFreeAt_.end(), now);
+  queuedUntil_.clear();
 }
 
-void EndpointModel::die(Micros now) {
+void EndpointModel::stop(Micros now) {
   alive_ = false;
-  stalledAt_ = position(now);
+  replicationStoppedAt_ = position(now);
   primary_ = false;
   connections_ = 0;
 }
 
-double EndpointModel::warmth(Micros now) const {
+double EndpointModel::speedShare(Micros now) const {
   if (startedAt_ == 0 || costs_.slowStartDuration <= 0) return 1;
   const double age = static_cast<double>(std::max<Micros>(0, now - startedAt_));
   const double share = std::min(1.0, age / static_cast<double>(costs_.slowStartDuration));
@@ -37,36 +37,37 @@
 }
 
 double EndpointModel::capacity(Micros now) const {
-  return warmth(now) * costs_.slots * static_cast<double>(kMicrosPerSecond) /
+  return speedShare(now) * costs_.slots * static_cast<double>(kMicrosPerSecond) /
          static_cast<double>(std::max<Micros>(1, costs_.service));
 }
 
-EndpointModel::Welcome EndpointModel::connect(Micros now) {
+EndpointModel::ConnectResult EndpointModel::connect(Micros now) {
   connects_.add(now);
-  acceptsAt_ = std::max(acceptsAt_, now) + costs_.accept;
+  nextAcceptAt_ = std::max(nextAcceptAt_, now) + costs_.accept;
   const bool taken = connections_ < costs_.connections;
   taken ? ++taken_ : ++turnedAway_;
   if (taken) ++connections_;
-  return {taken, acceptsAt_};
+  return {taken, nextAcceptAt_};
 }
 
 void EndpointModel::disconnected() { connections_ -= connections_ > 0 ? 1 : 0; }
 
-EndpointModel::Verdict EndpointModel::ask(Micros now, bool write) {
-  Verdict out;
+EndpointModel::RequestOutcome EndpointModel::request(Micros now, bool write) {
+  RequestOutcome out;
   out.at = now;
   out.position = position(now);
-  while (!waiting_.empty() && waiting_.front() <= now) waiting_.pop_front();
+  while (!queuedUntil_.empty() && queuedUntil_.front() <= now) queuedUntil_.pop_front();
   if (write && !primary_) {
-    out.kind = Verdict::Kind::NotPrimary;
-  } else if (waiting_.size() >= costs_.queue) {
-    out.kind = Verdict::Kind::Full;
+    out.kind = RequestOutcome::Kind::NotPrimary;
+  } else if (queuedUntil_.size() >= costs_.queue) {
+    out.kind = RequestOutcome::Kind::Full;
   } else {
-    const auto slot = std::min_element(free_.begin(), free_.end());
+    const auto slot = std::min_element(slotFreeAt_.begin(), slotFreeAt_.end());
     const Micros begin = std::max(now, *slot);
-    const double luck = uniformUnit(random_());
-    const double cost = (kCostLeast + kCostSpan * luck) * static_cast<double>(costs_.service) / warmth(begin);
-    if (begin > now) waiting_.push_back(begin);
+    const double draw = uniformUnit(random_());
+    const double cost =
+        (kMinCostShare + kCostShareRange * draw) * static_cast<double>(costs_.service) / speedShare(begin);
+    if (begin > now) queuedUntil_.push_back(begin);
     *slot = begin + static_cast<Micros>(cost);
     out.at = *slot;
   }
@@ -74,20 +75,20 @@
 }
 
 bool EndpointModel::hasCapacity(Micros now) const {
-  return alive_ && *std::min_element(free_.begin(), free_.end()) <= now;
+  return alive_ && *std::min_element(slotFreeAt_.begin(), slotFreeAt_.end()) <= now;
 }
 
-void EndpointModel::lead() {
+void EndpointModel::becomePrimary() {
   primary_ = true;
-  stalledAt_ = 0;
+  replicationStoppedAt_ = 0;
 }
-void EndpointModel::stall(Micros now) {
-  if (stalledAt_ == 0) stalledAt_ = position(now);
+void EndpointModel::stopReplication(Micros now) {
+  if (replicationStoppedAt_ == 0) replicationStoppedAt_ = position(now);
 }
-void EndpointModel::goOn() { stalledAt_ = 0; }
+void EndpointModel::resumeReplication() { replicationStoppedAt_ = 0; }
 
 Micros EndpointModel::position(Micros now) const {
-  if (stalledAt_ != 0) return stalledAt_;
+  if (replicationStoppedAt_ != 0) return replicationStoppedAt_;
   return primary_ ? now : now - costs_.lag;
 }
 
--- a/src/emulator/endpoint_set.cpp
+++ b/src/emulator/endpoint_set.cpp
@@ -25,15 +25,15 @@
   const std::size_t number = endpoints_.size();
   // The last replicas of each group are slow, a group after the other.
   const std::size_t fromEnd = (scenario_.replicas - indexInGroup) * scenario_.groups + group;
-  if (indexInGroup > 0 && fromEnd < scenario_.bad)
-    costs.service = static_cast<Micros>(scenario_.badBy * static_cast<double>(costs.service));
+  if (indexInGroup > 0 && fromEnd < scenario_.slowReplicas)
+    costs.service = static_cast<Micros>(scenario_.slowReplicaFactor * static_cast<double>(costs.service));
   endpoints_.push_back(std::make_unique<EmulatedEndpoint>(
       loop_, "m" + std::to_string(number), group, costs, indexInGroup == 0, scenario_.seed + number, judge_));
-  if (!needsPaths(scenario_)) return;
+  if (!needsLinks(scenario_)) return;
   const auto to = transport::parseSocketAddress(endpoints_.back()->address());
   links_.push_back(std::make_unique<StreamLink>(loop_, kAnyPort, to.value_or(kAnyPort),
                                                 LinkConditions({}, scenario_.seed + number)));
-  links_.back()->onForth = [this, number](std::string_view bytes) { reportAttempts(number, bytes); };
+  links_.back()->onBytesToServer = [this, number](std::string_view bytes) { reportAttempts(number, bytes); };
 }
 
 std::string EndpointSet::addressOf(std::size_t endpoint) const {
@@ -85,13 +85,13 @@
 
 void EndpointSet::reportStates() {
   for (const auto& endpoint : endpoints_)
-    judge_.notifications().changed(endpoint->name(), stateOf(*endpoint), loop_.now());
+    judge_.notifications().endpointChanged(endpoint->name(), stateOf(*endpoint), loop_.now());
 }
 
 void EndpointSet::reportSlowStart() {
   for (const auto& endpoint : endpoints_) {
     const EndpointModel& model = endpoint->model();
-    if (!model.alive() || model.warmth(loop_.now()) >= 1) {
+    if (!model.alive() || model.speedShare(loop_.now()) >= 1) {
       judge_.endpointWarm(endpoint->name());
     } else {
       judge_.endpointWarmingUp(endpoint->name(), loop_.now(), model.capacity(loop_.now()));
@@ -103,7 +103,7 @@
   for (const auto& endpoint : endpoints_) {
     const bool wasPrimary = endpoint->model().primary();
     endpoint->start();
-    if (wasPrimary) endpoint->model().lead();
+    if (wasPrimary) endpoint->model().becomePrimary();
   }
 }
 
@@ -126,8 +126,8 @@
   for (const auto& endpoint : endpoints_) {
     if (endpoint->model().primary() && endpoint->model().alive()) out.push_back(endpoint.get());
   }
-  for (EmulatedEndpoint* endpoint : out) endpoint->die();
-  for (const auto& endpoint : endpoints_) endpoint->model().stall(loop_.now());
+  for (EmulatedEndpoint* endpoint : out) endpoint->stop();
+  for (const auto& endpoint : endpoints_) endpoint->model().stopReplication(loop_.now());
   return out;
 }
 
@@ -139,10 +139,10 @@
       if (best == nullptr || endpoint->model().position(loop_.now()) > best->model().position(loop_.now()))
         best = endpoint.get();
     }
-    if (best != nullptr) best->model().lead();
+    if (best != nullptr) best->model().becomePrimary();
   }
   for (const auto& endpoint : endpoints_) {
-    if (endpoint->model().alive()) endpoint->model().goOn();
+    if (endpoint->model().alive()) endpoint->model().resumeReplication();
   }
 }
 
--- a/src/emulator/endpoint_set.h
+++ b/src/emulator/endpoint_set.h
@@ -9,12 +9,12 @@
 #include <string_view>
 #include <vector>
 
+#include "emulator/client_load.h"
 #include "emulator/deployment_results.h"
 #include "emulator/emulated_endpoint.h"
 #include "emulator/judge.h"
 #include "emulator/link.h"
 #include "emulator/list_model.h"
-#include "emulator/load.h"
 #include "emulator/scenario.h"
 
 namespace heathflow::emulator {
--- a/src/emulator/gateway_fleet.cpp
+++ b/src/emulator/gateway_fleet.cpp
@@ -24,8 +24,8 @@
 
 LinkConditions silent() {
   Fault fault;
-  fault.cutForth = true;
-  fault.cutBack = true;
+  fault.cutToServer = true;
+  fault.cutToClient = true;
   return LinkConditions({fault}, kLinkSeed);
 }
 
@@ -52,7 +52,7 @@
   }
   for (unsigned i = 0; i < plan.hollow; ++i) {
     const auto& discovery = i < cuttable_ ? link_->socketAddress() : feed_.socketAddress();
-    hollow_.push_back(std::make_unique<HollowGateway>(loop, configOf(i, discovery)));
+    hollow_.push_back(std::make_unique<ProtocolOnlyGateway>(loop, configOf(i, discovery)));
   }
 }
 
--- a/src/emulator/gateway_fleet.h
+++ b/src/emulator/gateway_fleet.h
@@ -7,9 +7,9 @@
 #include <vector>
 
 #include "emulator/child_process.h"
-#include "emulator/hollow.h"
 #include "emulator/link.h"
 #include "emulator/list_feed.h"
+#include "emulator/protocol_only_gateway.h"
 #include "emulator/usage.h"
 
 namespace heathflow::emulator {
@@ -48,7 +48,7 @@
   // Gateways that watch and hold the list as it is now.
   std::size_t upToDate() const { return feed_.watching(feed_.revision()); }
   std::vector<std::unique_ptr<ChildProcess>>& real() { return real_; }
-  const std::vector<std::unique_ptr<HollowGateway>>& hollow() const { return hollow_; }
+  const std::vector<std::unique_ptr<ProtocolOnlyGateway>>& hollow() const { return hollow_; }
 
  private:
   std::string configOf(std::size_t number, const transport::SocketAddress& discovery) const;
@@ -57,7 +57,7 @@
   ListFeed feed_;
   std::unique_ptr<StreamLink> link_;
   std::size_t cuttable_ = 0;
-  std::vector<std::unique_ptr<HollowGateway>> hollow_;
+  std::vector<std::unique_ptr<ProtocolOnlyGateway>> hollow_;
   std::vector<std::unique_ptr<ChildProcess>> real_;
 };
 
--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -27,7 +27,7 @@
 // The gateway's own settings file; empty where it needs none.
 std::string settingsOf(const GatewayProcess& gateway, const Scenario& scenario, const std::string& folder,
                        const std::string& traces) {
-  const bool keepsSnapshot = scenario.snapshot || scenario.learned > 0 || scenario.initialLatency > 0;
+  const bool keepsSnapshot = scenario.snapshot || scenario.learnedCallCost > 0 || scenario.initialLatency > 0;
   if (!keepsSnapshot && traces.empty()) return "";
   std::string out = "<heathflow xmlns=\"urn:heathflow:settings:1\" version=\"1\">";
   if (!traces.empty()) out += "<log form=\"text\" level=\"trace\"/>";
@@ -58,10 +58,10 @@
     gateway.settingsFile = folder + "/" + gateway.name + ".xml";
     std::ofstream(gateway.settingsFile) << settings;
   }
-  if (scenario.learned <= 0 && scenario.initialLatency <= 0) return;
+  if (scenario.learnedCallCost <= 0 && scenario.initialLatency <= 0) return;
   snapshot::Snapshot earlier;
   earlier.name = gateway.name;
-  if (scenario.learned > 0) earlier.callCost = scenario.learned;
+  if (scenario.learnedCallCost > 0) earlier.callCost = scenario.learnedCallCost;
   earlier.initialLatency = scenario.initialLatency;
   std::string problem;
   if (!snapshot::save(snapshotFileOf(gateway, folder), earlier, files::Durable::No, problem))
@@ -94,9 +94,9 @@
   std::ostringstream seed;
   seed << std::hex << (scenario.seed * 0x9E3779B97F4A7C15U + gateway.number * 0xD1B54A32D192ED03U);
   options.seed = seed.str();
-  if (scenario.known == KnownList::Current) options.knownRevision = revision;
+  if (scenario.knownList == KnownList::Current) options.knownRevision = revision;
   return test::configText(options, toText(discovery),
-                          textOf(knownEntries(scenario.known, std::move(listed))));
+                          textOf(knownEntries(scenario.knownList, std::move(listed))));
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/gateway_process.h
+++ b/src/emulator/gateway_process.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "emulator/child_process.h"
+#include "emulator/client_load.h"
 #include "emulator/idle_connections.h"
 #include "emulator/list_model.h"
-#include "emulator/load.h"
 #include "emulator/misbehaving_clients.h"
 #include "emulator/scenario.h"
 
@@ -30,7 +30,7 @@
   std::size_t movedListener = 0;  // its listener at the list service that has moved
   std::string settingsFile;       // empty: none
   std::unique_ptr<ChildProcess> child;
-  std::unique_ptr<Load> load;
+  std::unique_ptr<ClientLoad> load;
   std::unique_ptr<MisbehavingClients> misbehavingClients;
   std::unique_ptr<IdleConnections> idleConnections;  // to the newest incarnation
   Micros startedAt = 0;
--- a/src/emulator/idle_connections.cpp
+++ b/src/emulator/idle_connections.cpp
@@ -14,7 +14,7 @@
 }  // namespace
 
 struct IdleConnections::Client final : transport::StreamOwner {
-  explicit Client(IdleConnections& all) : crowd(all), stream(all.loop_, *this, kLimits) {}
+  explicit Client(IdleConnections& owner) : all(owner), stream(owner.loop_, *this, kLimits) {}
 
   void onOpen() override { say(test::pg::startup()); }
   void onInput() override {
@@ -24,29 +24,29 @@
   }
   void onEnd(transport::StreamEnd) override { ended = true; }
   void take(const test::pg::Message& message) {
-    if (message.type == 'E' && asking) ++crowd.failed_;
+    if (message.type == 'E' && waiting) ++all.failed_;
     if (message.type != 'Z') return;
     if (!greeted) {
       greeted = true;
-      return crowd.ask(*this);
+      return all.send(*this);
     }
-    known = true;
-    if (!asking) return;
-    ++crowd.answered_;
-    asking = false;
-    crowd.askNext(*this);
+    settled = true;
+    if (!waiting) return;
+    ++all.answered_;
+    waiting = false;
+    all.sendNext(*this);
   }
   void say(std::string_view bytes) {
     stream.output().append(bytes);
     stream.flush();
   }
 
-  IdleConnections& crowd;
+  IdleConnections& all;
   transport::Stream stream;
   std::string got;
   bool greeted = false;
-  bool known = false;  // it has asked once: a gateway closes those that never do
-  bool asking = false;
+  bool settled = false;  // it has sent a request: a gateway closes connections that never do
+  bool waiting = false;
   bool ended = false;
 };
 
@@ -65,33 +65,34 @@
 
 std::size_t IdleConnections::settled() const {
   return static_cast<std::size_t>(std::count_if(
-      clients_.begin(), clients_.end(), [](const auto& client) { return client->known || client->ended; }));
+      clients_.begin(), clients_.end(), [](const auto& client) { return client->settled || client->ended; }));
 }
 
-std::size_t IdleConnections::held() const {
-  return static_cast<std::size_t>(std::count_if(
-      clients_.begin(), clients_.end(), [](const auto& client) { return client->known && !client->ended; }));
+std::size_t IdleConnections::openCount() const {
+  return static_cast<std::size_t>(std::count_if(clients_.begin(), clients_.end(), [](const auto& client) {
+    return client->settled && !client->ended;
+  }));
 }
 
-void IdleConnections::ask(std::size_t asking, std::size_t statements) {
-  left_ = statements;
+void IdleConnections::send(std::size_t senders, std::size_t statements) {
+  remaining_ = statements;
   for (const auto& client : clients_) {
-    if (asking == 0) return;
-    if (!client->known || client->ended) continue;
-    --asking;
-    askNext(*client);
+    if (senders == 0) return;
+    if (!client->settled || client->ended) continue;
+    --senders;
+    sendNext(*client);
   }
 }
 
-void IdleConnections::askNext(Client& client) {
-  if (left_ == 0) return;
-  --left_;
-  client.asking = true;
-  ask(client);
+void IdleConnections::sendNext(Client& client) {
+  if (remaining_ == 0) return;
+  --remaining_;
+  client.waiting = true;
+  send(client);
 }
 
-void IdleConnections::ask(Client& client) {
-  client.say(test::pg::query(test::request(kClass, "r" + std::to_string(++asked_))));
+void IdleConnections::send(Client& client) {
+  client.say(test::pg::query(test::request(kClass, "r" + std::to_string(++sent_))));
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/idle_connections.h
+++ b/src/emulator/idle_connections.h
@@ -1,4 +1,4 @@
-// Clients of one gateway that hold connections and, where they are told to, ask one request after the other.
+// Clients of one gateway that keep idle connections, and can send requests over some of them.
 #pragma once
 
 #include <cstddef>
@@ -17,28 +17,28 @@
   IdleConnections(transport::EventLoop& loop, const transport::SocketAddress& gateway);
   ~IdleConnections();
 
-  // Opens connections until there were so many; each asks once.
+  // Opens connections up to a number; each sends one request.
   void grow(std::size_t to);
-  // Those that have their first answer, were turned away, or have been let go since.
+  // Connections that have their first answer, or have ended.
   std::size_t settled() const;
-  // Those that have their first answer and still stand.
-  std::size_t held() const;
-  // So many of those that stand ask, until there were so many statements in all.
-  void ask(std::size_t asking, std::size_t statements);
+  // Connections that have their first answer and are open.
+  std::size_t openCount() const;
+  // Sends a number of statements over so many of the open connections, each one after its last answer.
+  void send(std::size_t senders, std::size_t statements);
   // Of these statements.
   std::size_t answered() const { return answered_; }
   std::size_t failed() const { return failed_; }  // with an error
 
  private:
   struct Client;
-  void askNext(Client& client);
-  void ask(Client& client);
+  void sendNext(Client& client);
+  void send(Client& client);
 
   transport::EventLoop& loop_;
   transport::SocketAddress gateway_;
   std::list<std::unique_ptr<Client>> clients_;
-  std::size_t left_ = 0;  // statements that are still to be asked
-  std::size_t asked_ = 0;
+  std::size_t remaining_ = 0;  // statements that are still to be sent
+  std::size_t sent_ = 0;
   std::size_t answered_ = 0;
   std::size_t failed_ = 0;
 };
--- a/src/emulator/judge.h
+++ b/src/emulator/judge.h
@@ -1,5 +1,5 @@
-// The five rules, judged from outside: by what clients asked and got, and by what endpoints and the list
-// service saw. No I/O; times are of one clock, that of the emulator.
+// Judges whether gateways keep the rules, from outside: by what clients sent and received, and by what
+// endpoints and the list service saw. No I/O; all times are of the emulator's clock.
 #pragma once
 
 #include <array>
@@ -16,8 +16,8 @@
 
 using transport::Micros;
 
-// The five rules, and what the operators' terms add: nothing is begun for a client that has gone, an endpoint
-// is told no more time than its client has, and no invariant of a gateway's own guard is broken.
+// The rules of the operators' pages; and: no attempt begins for a client that has disconnected, an endpoint
+// gets no longer deadline than its client has left, and the gateways' own invariant checkers find nothing.
 enum class Rule {
   OneAnswer,
   NoSecondEffect,
@@ -34,12 +34,12 @@
 enum class RequestResult { Served, Rejected, Failed, Broken };  // Broken: the connection ended without one
 
 struct JudgeLimits {
-  Micros slack = 70'000;        // an answer may come so long after the client's time (with the bench's 50 ms)
-  Micros drainGrace = 300'000;  // sends to an endpoint that was told to drain (with the same)
-  Micros overloadWindow = 2'000'000;  // a cold endpoint's work is summed over this
-  double overloadMultiple = 2.5;      // and may be so many times what it can do, and chance beyond it
-  Micros afterDisconnect = 150'000;  // an attempt may begin so long after its client has gone (with the same)
-  Micros deadlineSlack = 200'000;    // beyond what its client has left (with the same)
+  Micros slack = 70'000;              // an answer may come so long after the client's deadline
+  Micros drainGrace = 300'000;        // attempts to an endpoint after the gateway was notified that it drains
+  Micros overloadWindow = 2'000'000;  // attempts to an endpoint in slow start are summed over this time
+  double overloadMultiple = 2.5;      // and may be this multiple of what it can serve, and chance beyond it
+  Micros afterDisconnect = 150'000;   // an attempt may begin so long after its client has disconnected
+  Micros deadlineSlack = 200'000;     // of a forwarded deadline, beyond what the client has left
 };
 
 struct Breach {
@@ -53,7 +53,7 @@
  public:
   explicit Judge(JudgeLimits limits = {}) : limits_(limits) {}
 
-  // ---- What clients saw ----
+  // ---- Seen by clients ----
   struct ClientRequest {
     std::string id;
     std::string gateway;
@@ -61,42 +61,41 @@
     Micros patience = 0;          // how long the client waits from then on
     bool repeatable = true;       // any number of effects does no harm
     bool rejectable = true;       // a rejection is allowed although it may have run
-    std::optional<Micros> bound;  // a read: how old its data may be when it is sent
+    std::optional<Micros> bound;  // of a read: how old its data may be when it is sent
   };
   void requestSent(const ClientRequest& request);
   void requestAnswered(const std::string& id, Micros at, RequestResult how);
-  // Its client went away by itself: nothing is owed any more.
+  // The client disconnected by itself: nothing is owed any more.
   void clientDisconnected(const std::string& id, Micros at);
-  // A gateway was ended by the emulator: what it held is not its fault.
+  // The emulator killed or paused a gateway: the requests that it had are not its fault.
   void gatewayKilled(const std::string& gateway, Micros at);
+  // A gateway was killed no earlier than a platform may: the requests that it had are its fault.
+  void gatewayEndedWithOpenRequests(const std::string& gateway, Micros at);
 
-  // ---- What endpoints saw ----
-  // A gateway has written an attempt, where the path to the endpoint is looked at; without that it counts as
-  // sent when it reached the endpoint.
+  // ---- Seen by endpoints ----
+  // A gateway has written an attempt. Only links report this; without them an attempt counts as sent when it
+  // is received.
   void attemptSent(const std::string& id, const std::string& endpoint, Micros at);
-  // 'at': when its last byte came. 'position': up to when the endpoint had applied all commits. 'told': for
-  // how long its gateway will wait, where it says.
-  void attemptReceived(const std::string& id, const std::string& endpoint, Micros at, Micros position,
-                       std::optional<Micros> told = {});
-  // It ended there with its effect, or without.
+  // @param receivedAt         when the last byte of the attempt came.
+  // @param position           up to when the endpoint had applied all commits.
+  // @param forwardedDeadline  how long the gateway will wait, where it says so.
+  void attemptReceived(const std::string& id, const std::string& endpoint, Micros receivedAt, Micros position,
+                       std::optional<Micros> forwardedDeadline = {});
+  // The request has had its effect.
   void requestExecuted(const std::string& id, const std::string& endpoint, Micros at);
-  // An endpoint is cold from a time on: how many requests it can do in a second at its age.
   void endpointWarmingUp(const std::string& endpoint, Micros at, double requestsPerSecond);
   void endpointWarm(const std::string& endpoint);
 
-  // ---- What the list service told ----
-  // What counts as told to whom; whoever plays the service and the gateways feeds it.
+  // ---- Seen by the list service ----
+  // Whoever plays the list service and the gateways feeds it.
   Notifications& notifications() { return notifications_; }
 
-  // A gateway's own guard, or the emulator, has seen something broken.
+  // A breach that a gateway's invariant checker or the emulator has found.
   void reportBreach(Rule rule, Micros at, const std::string& gateway, const std::string& what) {
     breach(rule, at, gateway, what);
   }
-  // A gateway's end came while it owed answers, as late as a platform allows: what it held is lost by its
-  // fault.
-  void gatewayEndedWithOpenRequests(const std::string& gateway, Micros at);
 
-  // What is still open when all is over, and all breaches in the order in which they were seen.
+  // Adds the requests that never had an answer. Returns all breaches, in the order in which they were found.
   const std::vector<Breach>& finish(Micros at);
   const std::vector<Breach>& breaches() const { return breaches_; }
   std::size_t count(Rule rule) const;
@@ -109,26 +108,29 @@
   struct Known {
     ClientRequest request;
     unsigned answers = 0;
-    bool over = false;  // left, or lost with its gateway
+    bool closed = false;  // no answer is owed any more, or its lack has been reported
     bool mayHaveRun = false;
-    bool exempt = false;  // its gateway was killed or stood still by the emulator's doing
+    bool exempt = false;  // its gateway was killed or paused by the emulator
     bool rejected = false;
     std::optional<Micros> disconnectedAt;
-    std::map<std::string, Micros> sent;  // by endpoint, the newest
+    std::map<std::string, Micros> sent;  // the newest attempt, by endpoint
     unsigned effects = 0;
     Micros lastPosition = 0;
   };
-  struct Cold {
-    double perSecond = 0;
+  struct SlowStart {
+    double requestsPerSecond = 0;
     std::vector<Micros> sent;
   };
   void breach(Rule rule, Micros at, const std::string& who, const std::string& what);
-
-  void checkSending(const Known& known, const std::string& id, Micros sentAt, std::optional<Micros> told);
+  void checkAttempt(const Known& known, const std::string& id, Micros sentAt,
+                    std::optional<Micros> forwardedDeadline);
+  void checkNotified(const std::string& gateway, const std::string& id, const std::string& endpoint,
+                     Micros sentAt);
+  void checkSlowStart(const std::string& gateway, const std::string& endpoint, Micros sentAt);
 
   JudgeLimits limits_;
   std::map<std::string, Known> known_;
-  std::map<std::string, Cold> cold_;
+  std::map<std::string, SlowStart> slowStarts_;
   Notifications notifications_;
   std::vector<Breach> breaches_;
   std::array<std::size_t, kRules> counts_{};
--- a/src/emulator/slope.cpp
+++ b/src/emulator/linear_fit.cpp
@@ -1,11 +1,11 @@
-#include "emulator/slope.h"
+#include "emulator/linear_fit.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace heathflow::emulator {
 
-Slope fit(const std::vector<Point>& points) {
+LinearFit fit(const std::vector<Point>& points) {
   double weights = 0, sizes = 0, values = 0, squares = 0, products = 0;
   for (const Point& point : points) {
     if (point.value <= 0) continue;
@@ -16,7 +16,7 @@
     squares += weight * point.size * point.size;
     products += weight * point.size * point.value;
   }
-  Slope out;
+  LinearFit out;
   if (weights <= 0) return out;
   const double spread = weights * squares - sizes * sizes;
   if (spread > 1e-9 * weights * squares) out.each = (weights * products - sizes * values) / spread;
--- a/src/emulator/slope.h
+++ b/src/emulator/linear_fit.h
@@ -10,7 +10,7 @@
   double value = 0;
 };
 
-struct Slope {
+struct LinearFit {
   double base = 0;      // at size 0
   double each = 0;      // more with each further one
   double residual = 0;  // the farthest point's distance from the line, as a share of that point's value
@@ -19,6 +19,6 @@
 // The line with the least sum of squares of relative distances, so that small sizes count as much as large
 // ones and a bend shows in the residual. Points without a value above 0 don't count; of less than two sizes
 // there is a base alone.
-Slope fit(const std::vector<Point>& points);
+LinearFit fit(const std::vector<Point>& points);
 
 }  // namespace heathflow::emulator
--- a/src/emulator/link.cpp
+++ b/src/emulator/link.cpp
@@ -13,9 +13,9 @@
 
 constexpr transport::Stream::Limits kLimits = {1 << 20, 8 << 20};
 constexpr std::size_t kMaxDatagramBytes = 65'536;
-// What flies at once; beyond it datagrams are dropped, as a full path does.
+// Beyond this datagrams are dropped, as by a full queue.
 constexpr std::size_t kMaxDatagramsInFlight = 10'000;
-// Held bytes are looked at again so often while a way is cut.
+// How often delayed bytes are checked while a direction is cut.
 constexpr Micros kRecheckInterval = 5'000;
 
 sockaddr_in socketNameOf(const transport::SocketAddress& socketAddress) {
@@ -42,27 +42,27 @@
 
 }  // namespace
 
-// One end of a connection that passes through; what it reads goes to its twin.
-struct StreamLink::Half final : transport::StreamOwner {
-  Half(StreamLink& owner, Pair& both, Way outOfHere)
-      : link(owner), pair(both), way(outOfHere), stream(owner.loop_, *this, kLimits) {}
+// One side of a forwarded connection; what it reads goes to the other side.
+struct StreamLink::Side final : transport::StreamOwner {
+  Side(StreamLink& owner, Pair& both, Direction outgoing)
+      : link(owner), pair(both), direction(outgoing), stream(owner.loop_, *this, kLimits) {}
 
   void onOpen() override { stream.flush(); }
   void onInput() override;
   void onEnd(transport::StreamEnd how) override;
 
-  void moveBack(Micros by) {
+  void shiftTimes(Micros by) {
     last = std::max<Micros>(0, last - by);
-    for (auto& [when, bytes] : held) {
+    for (auto& [when, bytes] : delayed) {
       if (when != 0) when = std::max<Micros>(1, when - by);
     }
   }
 
   StreamLink& link;
   Pair& pair;
-  Way way;  // in which its bytes go
+  Direction direction;  // in which its bytes go
   transport::Stream stream;
-  std::deque<std::pair<Micros, std::string>> held;  // by when they arrive; 0: a cut holds them
+  std::deque<std::pair<Micros, std::string>> delayed;  // by when they arrive; 0: held back by a cut
   Micros last = 0;
   bool ended = false;
 };
@@ -70,36 +70,36 @@
 struct StreamLink::Pair {
   Pair(StreamLink& owner)
       : link(owner),
-        client(owner, *this, Way::Forth),
-        server(owner, *this, Way::Back),
-        due(owner.loop_, [this] { pump(); }) {}
+        client(owner, *this, Direction::ToServer),
+        server(owner, *this, Direction::ToClient),
+        due(owner.loop_, [this] { forwardDue(); }) {}
 
-  Half& twinOf(const Half& half) { return &half == &client ? server : client; }
+  Side& otherSide(const Side& side) { return &side == &client ? server : client; }
 
-  void pump() {
+  void forwardDue() {
     const Micros time = link.now();
     Micros wake = 0;
-    for (Half* half : {&client, &server}) {
-      while (!half->held.empty()) {
-        auto& [when, bytes] = half->held.front();
+    for (Side* side : {&client, &server}) {
+      while (!side->delayed.empty()) {
+        auto& [when, bytes] = side->delayed.front();
         const bool cut = when == 0;
         if (cut) {
-          const auto arrival = link.conditions_.streamArrival(time, half->way, half->last);
-          if (arrival) when = half->last = std::max<Micros>(1, *arrival);
+          const auto arrival = link.conditions_.streamArrival(time, side->direction, side->last);
+          if (arrival) when = side->last = std::max<Micros>(1, *arrival);
         }
         if (when == 0 || when > time) {
           const Micros again = when == 0 ? time + kRecheckInterval : when;
           wake = wake == 0 ? again : std::min(wake, again);
           break;
         }
-        transport::Stream& to = twinOf(*half).stream;
+        transport::Stream& to = otherSide(*side).stream;
         to.output().append(bytes);
         if (to.open()) to.flush();
-        half->held.pop_front();
+        side->delayed.pop_front();
       }
       // An end arrives behind all that was sent before it, and not through a cut.
-      if (half->ended && half->held.empty()) {
-        if (link.conditions_.streamArrival(time, half->way, 0)) return link.remove(*this);
+      if (side->ended && side->delayed.empty()) {
+        if (link.conditions_.streamArrival(time, side->direction, 0)) return link.remove(*this);
         wake = wake == 0 ? time + kRecheckInterval : std::min(wake, time + kRecheckInterval);
       }
     }
@@ -107,26 +107,26 @@
   }
 
   StreamLink& link;
-  Half client;
-  Half server;
+  Side client;
+  Side server;
   transport::Timer due;
 };
 
-void StreamLink::Half::onInput() {
-  if (way == Way::Forth && link.onForth) link.onForth(stream.input().view());
-  const auto arrival = link.conditions_.streamArrival(link.now(), way, last);
-  // Bytes behind held ones wait with them, so that their order stays.
-  const bool behind = !held.empty() && held.back().first == 0;
+void StreamLink::Side::onInput() {
+  if (direction == Direction::ToServer && link.onBytesToServer) link.onBytesToServer(stream.input().view());
+  const auto arrival = link.conditions_.streamArrival(link.now(), direction, last);
+  // Bytes behind held-back ones wait with them, so that their order stays.
+  const bool behind = !delayed.empty() && delayed.back().first == 0;
   Micros when = 0;
   if (arrival && !behind) when = last = std::max<Micros>(1, *arrival);
-  held.emplace_back(when, std::string(stream.input().view()));
+  delayed.emplace_back(when, std::string(stream.input().view()));
   stream.input().consume(stream.input().size());
-  pair.pump();
+  pair.forwardDue();
 }
 
-void StreamLink::Half::onEnd(transport::StreamEnd) {
+void StreamLink::Side::onEnd(transport::StreamEnd) {
   ended = true;
-  pair.pump();
+  pair.forwardDue();
 }
 
 StreamLink::StreamLink(transport::EventLoop& loop, const transport::SocketAddress& at,
@@ -148,8 +148,8 @@
 void StreamLink::change(LinkConditions conditions) {
   const Micros before = now();
   for (const auto& pair : pairs_) {
-    pair->client.moveBack(before);
-    pair->server.moveBack(before);
+    pair->client.shiftTimes(before);
+    pair->server.shiftTimes(before);
   }
   conditions_ = std::move(conditions);
   start_ = loop_.now();
@@ -175,7 +175,7 @@
       ++rejected_;
       continue;
     }
-    ++taken_;
+    ++accepted_;
     pairs_.push_back(std::make_unique<Pair>(*this));
     Pair& pair = *pairs_.back();
     int error = 0;
@@ -203,33 +203,33 @@
       to_(to),
       conditions_(std::move(conditions)),
       start_(loop.now()),
-      front_(datagramSocket(at)),
-      rear_(datagramSocket({at.address, 0})),
+      clientSide_(datagramSocket(at)),
+      serverSide_(datagramSocket({at.address, 0})),
       deliveryTimer_(loop, [this] { deliverDue(); }) {
-  socketAddress_ = transport::boundTo(front_.get()).value_or(at);
-  loop_.watch(front_.get(), *this);
-  loop_.watch(rear_.get(), *this);
+  socketAddress_ = transport::boundTo(clientSide_.get()).value_or(at);
+  loop_.watch(clientSide_.get(), *this);
+  loop_.watch(serverSide_.get(), *this);
 }
 
 DatagramLink::~DatagramLink() {
-  loop_.unwatch(front_.get(), *this);
-  loop_.unwatch(rear_.get(), *this);
+  loop_.unwatch(clientSide_.get(), *this);
+  loop_.unwatch(serverSide_.get(), *this);
 }
 
 void DatagramLink::change(LinkConditions conditions) {
   const Micros before = now();
-  for (auto& [when, flown] : std::exchange(inFlight_, {}))
-    inFlight_.emplace(std::max<Micros>(0, when - before), std::move(flown));
+  for (auto& [when, datagram] : std::exchange(inFlight_, {}))
+    inFlight_.emplace(std::max<Micros>(0, when - before), std::move(datagram));
   conditions_ = std::move(conditions);
   start_ = loop_.now();
 }
 
 void DatagramLink::onReady(std::uint32_t) {
-  take(front_.get(), Way::Forth);
-  take(rear_.get(), Way::Back);
+  take(clientSide_.get(), Direction::ToServer);
+  take(serverSide_.get(), Direction::ToClient);
 }
 
-void DatagramLink::take(int fd, Way way) {
+void DatagramLink::take(int fd, Direction direction) {
   std::string bytes(kMaxDatagramBytes, '\0');
   for (;;) {
     sockaddr_in from{};
@@ -237,15 +237,15 @@
     const ssize_t got =
         ::recvfrom(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (got < 0) break;
-    if (way == Way::Forth) peer_ = {ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)};
-    const auto arrivals = conditions_.arrivals(now(), way);
+    if (direction == Direction::ToServer) peer_ = {ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)};
+    const auto arrivals = conditions_.arrivals(now(), direction);
     if (arrivals.empty()) ++dropped_;
     for (const Micros when : arrivals) {
       if (inFlight_.size() >= kMaxDatagramsInFlight) {
         ++dropped_;
         continue;
       }
-      inFlight_.emplace(when, DatagramInFlight{way, bytes.substr(0, static_cast<std::size_t>(got))});
+      inFlight_.emplace(when, DatagramInFlight{direction, bytes.substr(0, static_cast<std::size_t>(got))});
     }
   }
   deliverDue();
@@ -253,13 +253,13 @@
 
 void DatagramLink::deliverDue() {
   while (!inFlight_.empty() && inFlight_.begin()->first <= now()) {
-    const DatagramInFlight flown = std::move(inFlight_.begin()->second);
+    const DatagramInFlight datagram = std::move(inFlight_.begin()->second);
     inFlight_.erase(inFlight_.begin());
-    const auto target = flown.way == Way::Forth ? std::optional(to_) : peer_;
+    const auto target = datagram.direction == Direction::ToServer ? std::optional(to_) : peer_;
     if (!target) continue;
     const sockaddr_in address = socketNameOf(*target);
-    const int fd = flown.way == Way::Forth ? rear_.get() : front_.get();
-    ::sendto(fd, flown.bytes.data(), flown.bytes.size(), 0, reinterpret_cast<const sockaddr*>(&address),
+    const int fd = datagram.direction == Direction::ToServer ? serverSide_.get() : clientSide_.get();
+    ::sendto(fd, datagram.bytes.data(), datagram.bytes.size(), 0, reinterpret_cast<const sockaddr*>(&address),
              sizeof address);
     ++delivered_;
   }
--- a/src/emulator/link.h
+++ b/src/emulator/link.h
@@ -1,5 +1,4 @@
-// Paths between processes on loopback that carry out a schedule of faults: one for streams, one for
-// datagrams.
+// Links between processes on loopback that play a schedule of faults: one for streams, one for datagrams.
 #pragma once
 
 #include <deque>
@@ -16,28 +15,28 @@
 
 namespace heathflow::emulator {
 
-// Listens at an address of its own and passes on to another: delays, holds back what crosses a cut until it
-// heals, resets, rejects. A cut is silent: connections stay open and nothing comes.
+// Listens at an address of its own and forwards to another, with delays, cuts, resets and rejections. A cut
+// is silent: connections stay open, and bytes are held back until it ends.
 class StreamLink final : private transport::IoHandler {
  public:
-  // At 'at' (port 0: any free one) for 'to'; the schedule's times count from now.
+  // @param at  where to listen (port 0: any free one). The schedule's times count from now.
   StreamLink(transport::EventLoop& loop, const transport::SocketAddress& at,
              const transport::SocketAddress& to, LinkConditions conditions);
   ~StreamLink() override;
 
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
-  // Hears of the bytes that come from who opened a connection, as they come.
-  std::function<void(std::string_view bytes)> onForth;
-  // Where new connections are passed on to from now on.
+  // Called with the bytes from clients as they come.
+  std::function<void(std::string_view bytes)> onBytesToServer;
+  // Where new connections are forwarded to from now on.
   void connectTo(const transport::SocketAddress& to) { to_ = to; }
   // A new schedule, from now on.
   void change(LinkConditions conditions);
-  std::size_t passing() const { return pairs_.size(); }
-  std::uint64_t taken() const { return taken_; }
+  std::size_t connections() const { return pairs_.size(); }
+  std::uint64_t accepted() const { return accepted_; }
   std::uint64_t rejected() const { return rejected_; }
 
  private:
-  struct Half;
+  struct Side;
   struct Pair;
 
   void onReady(std::uint32_t events) override;
@@ -54,15 +53,14 @@
   transport::SocketAddress socketAddress_;
   std::list<std::unique_ptr<Pair>> pairs_;
   transport::Timer next_;
-  std::uint64_t taken_ = 0;
+  std::uint64_t accepted_ = 0;
   std::uint64_t rejected_ = 0;
 };
 
-// The same for datagrams: what comes to one of its addresses leaves from the other. Loss, doubles and
-// overtaking too.
+// The same for datagrams, with loss, duplicates and reordering.
 class DatagramLink final : private transport::IoHandler {
  public:
-  // Datagrams that come to endpoint() go to 'to', and what 'to' answers goes back to who sent last.
+  // Datagrams that come to socketAddress() go to 'to'; answers go back to the newest sender.
   DatagramLink(transport::EventLoop& loop, const transport::SocketAddress& at,
                const transport::SocketAddress& to, LinkConditions conditions);
   ~DatagramLink() override;
@@ -74,11 +72,11 @@
 
  private:
   struct DatagramInFlight {
-    Way way;
+    Direction direction;
     std::string bytes;
   };
   void onReady(std::uint32_t events) override;
-  void take(int fd, Way way);
+  void take(int fd, Direction direction);
   void deliverDue();
   Micros now() const { return loop_.now() - start_; }
 
@@ -86,8 +84,8 @@
   transport::SocketAddress to_;
   LinkConditions conditions_;
   Micros start_ = 0;
-  transport::UniqueFd front_;
-  transport::UniqueFd rear_;
+  transport::UniqueFd clientSide_;
+  transport::UniqueFd serverSide_;
   transport::SocketAddress socketAddress_;
   std::optional<transport::SocketAddress> peer_;
   std::multimap<Micros, DatagramInFlight> inFlight_;  // by when it arrives
--- a/src/emulator/link_conditions.cpp
+++ b/src/emulator/link_conditions.cpp
@@ -6,9 +6,11 @@
 namespace heathflow::emulator {
 namespace {
 
-const Fault kNone;
+const Fault kNoFault;
 
-bool cut(const Fault& fault, Way way) { return way == Way::Forth ? fault.cutForth : fault.cutBack; }
+bool cut(const Fault& fault, Direction direction) {
+  return direction == Direction::ToServer ? fault.cutToServer : fault.cutToClient;
+}
 
 }  // namespace
 
@@ -21,7 +23,7 @@
 const Fault& LinkConditions::at(Micros now) const {
   const auto next = std::upper_bound(schedule_.begin(), schedule_.end(), now,
                                      [](Micros when, const Fault& fault) { return when < fault.from; });
-  return next == schedule_.begin() ? kNone : *std::prev(next);
+  return next == schedule_.begin() ? kNoFault : *std::prev(next);
 }
 
 std::optional<Micros> LinkConditions::nextChangeAfter(Micros now) const {
@@ -31,26 +33,26 @@
   return next->from;
 }
 
-Micros LinkConditions::lateness(const Fault& fault) {
+Micros LinkConditions::drawDelay(const Fault& fault) {
   return fault.delay + static_cast<Micros>(random() * static_cast<double>(fault.jitter));
 }
 
-std::vector<Micros> LinkConditions::arrivals(Micros now, Way way) {
+std::vector<Micros> LinkConditions::arrivals(Micros now, Direction direction) {
   const Fault& fault = at(now);
-  // Drawn also where they do not count, so that one fault's luck does not hang on another.
+  // Always drawn, so that the draws of one fault do not depend on another.
   const bool lost = random() < fault.loss;
-  const bool doubled = random() < fault.twice;
-  const Micros first = now + lateness(fault);
-  const Micros second = now + lateness(fault);
-  if (cut(fault, way) || lost) return {};
+  const bool doubled = random() < fault.duplicates;
+  const Micros first = now + drawDelay(fault);
+  const Micros second = now + drawDelay(fault);
+  if (cut(fault, direction) || lost) return {};
   if (!doubled) return {first};
   return {first, second};
 }
 
-std::optional<Micros> LinkConditions::streamArrival(Micros now, Way way, Micros notBefore) {
+std::optional<Micros> LinkConditions::streamArrival(Micros now, Direction direction, Micros notBefore) {
   const Fault& fault = at(now);
-  if (cut(fault, way)) return {};
-  return std::max(notBefore, now + lateness(fault));
+  if (cut(fault, direction)) return {};
+  return std::max(notBefore, now + drawDelay(fault));
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/list_model.cpp
+++ b/src/emulator/list_model.cpp
@@ -34,9 +34,9 @@
     const bool stays =
         std::any_of(entries.begin(), entries.end(), [&](const auto& e) { return e.id == old.id; });
     if (stays) continue;
-    ListedEntry gone = old;
-    gone.phase = "Gone";
-    changes_[old.id] = {revision_, gone};
+    ListedEntry removed = old;
+    removed.phase = "Gone";
+    changes_[old.id] = {revision_, removed};
   }
   for (const ListedEntry& entry : entries) {
     const auto known = changes_.find(entry.id);
@@ -47,24 +47,24 @@
 }
 
 std::size_t ListModel::write(std::int64_t since, Answer& answer) const {
-  // A caller that holds something newer than what is here gets all.
-  const bool whole = since < 0 || since > revision_;
+  // A caller with a newer revision than the service's gets the complete list.
+  const bool complete = since < 0 || since > revision_;
   std::string endpoints;
   std::size_t lines = 0;
   const auto add = [&](const ListedEntry& entry) {
     endpoints += (lines++ == 0 ? "" : ",") + lineOf(entry, entry.phase);
   };
-  if (whole) {
+  if (complete) {
     for (const ListedEntry& entry : entries_) {
-      if (!partial_ || lines < *partial_) add(entry);
+      if (!entryLimit_ || lines < *entryLimit_) add(entry);
     }
   } else {
     for (const auto& [id, change] : changes_) {
       if (change.first > since) add(change.second);
     }
   }
-  answer.body = "{\"revision\":" + std::to_string(revision_) + ",\"complete\":" + (whole ? "true" : "false") +
-                ",\"members\":[" + endpoints + "]}";
+  answer.body = "{\"revision\":" + std::to_string(revision_) +
+                ",\"complete\":" + (complete ? "true" : "false") + ",\"members\":[" + endpoints + "]}";
   return lines;
 }
 
@@ -83,23 +83,23 @@
   Answer broken;
   broken.kind = Answer::Kind::Reset;
   broken.at = now;
-  if (const bool reset = drawn(resetShare_); down_ || reset) {
+  if (const bool reset = draw(resetShare_); down_ || reset) {
     ++resets_;
     return broken;
   }
-  if (drawn(rejectShare_)) return turnedAway(now);
+  if (draw(rejectShare_)) return reject(now);
   if (mayWait && !newerThan(since)) return {};
-  if (busyUntil_ - now > costs_.patience) return turnedAway(now);
+  if (busyUntil_ - now > costs_.patience) return reject(now);
   return serve(now, since);
 }
 
-ListModel::Answer ListModel::news(Micros now, std::int64_t since) {
-  return drawn(rejectShare_) ? turnedAway(now) : serve(now, since);
+ListModel::Answer ListModel::answerWatch(Micros now, std::int64_t since) {
+  return draw(rejectShare_) ? reject(now) : serve(now, since);
 }
 
-bool ListModel::drawn(double share) { return share > 0 && uniformUnit(random_()) < share; }
+bool ListModel::draw(double share) { return share > 0 && uniformUnit(random_()) < share; }
 
-ListModel::Answer ListModel::turnedAway(Micros now) {
+ListModel::Answer ListModel::reject(Micros now) {
   ++turnedAway_;
   Answer out;
   out.kind = Answer::Kind::TurnedAway;
--- a/src/emulator/list_model.h
+++ b/src/emulator/list_model.h
@@ -1,5 +1,5 @@
-// An emulated list service, without I/O: one call at a time, each with its cost, and what it does with
-// callers that would wait too long. Times are of any one clock.
+// A model of a list service, without I/O: it serves one call at a time, each at its cost, and rejects calls
+// that would wait too long. Times are of any one clock.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +20,8 @@
 struct ListCosts {
   Micros call = 0;                            // of every call that is answered
   Micros line = 0;                            // of every line of an answer
-  Micros patience = 1'000'000;                // a call that would wait longer is turned away at once
-  std::optional<unsigned> retryAfterSeconds;  // said to those turned away
+  Micros patience = 1'000'000;                // a call that would wait longer is rejected at once
+  std::optional<unsigned> retryAfterSeconds;  // of rejections
 };
 
 struct ListedEntry {
@@ -42,34 +42,34 @@
     enum class Kind { Served, TurnedAway, Reset } kind = Kind::Served;
     Micros at = 0;  // when it goes out
     std::string body;
-    std::optional<Micros> waitEnds;  // of one that waited: when that would have been over
+    std::optional<Micros> waitEnds;  // of a long poll: the end of its wait
   };
 
   explicit ListModel(ListCosts costs) : costs_(costs) {}
 
-  // What the service holds from now on; its revision grows by one. An entry that was there before and is not
-  // any more is told as Gone to those who watch.
+  // Sets the list; its revision grows by one. Watches get a removed entry as Gone.
   void set(std::vector<ListedEntry> entries);
   // The service comes back with an older state of itself.
   void goBackTo(std::int64_t revision) { revision_ = revision; }
-  // While it is down every call breaks, and nobody's watch stands.
+  // While it is down every call is reset.
   void setDown(bool down) { down_ = down; }
-  // This share of calls is reset, drawn by a seed: by their count alone, callers that come again until they
-  // are served would leave each reset to the same one.
+  // This share of calls is reset. Drawn by a seed, for with every n-th call the resets would hit the same
+  // caller again and again.
   void setResetShare(double share, std::uint64_t seed) {
     resetShare_ = share;
     random_.seed(seed);
   }
-  // It has too many callers: this share of calls, and of watches that would be told news, is turned away.
+  // It is overloaded: this share of calls, and of answers to watches, is rejected.
   void setRejectShare(double share) { rejectShare_ = share; }
-  // So many entries only are told, as if that were the whole list; nothing: all.
-  void limitEntries(std::optional<std::size_t> entries) { partial_ = entries; }
+  // Complete lists have only so many entries; nothing: all.
+  void limitEntries(std::optional<std::size_t> entries) { entryLimit_ = entries; }
 
-  // A call that has come in at a time: its answer, and when it goes out. 'since': the revision that the
-  // caller holds; below 0: it asks for the whole list. Nothing: it waits for news, see news().
+  // A call has come in.
+  // @param since  the revision that the caller has; below 0: it wants the complete list.
+  // @return       the answer, or nothing where the call waits for a change, see answerWatch().
   std::optional<Answer> call(Micros now, std::int64_t since, bool mayWait);
-  // The answer to one that waited, at a time when there is something new or its time is up.
-  Answer news(Micros now, std::int64_t since);
+  // The answer to a call that waited, after a change or at the end of its wait.
+  Answer answerWatch(Micros now, std::int64_t since);
   bool newerThan(std::int64_t since) const { return since != revision_; }
 
   const std::vector<ListedEntry>& entries() const { return entries_; }
@@ -79,14 +79,14 @@
   std::uint64_t resets() const { return resets_; }
   std::uint64_t completeLists() const { return completeLists_; }
   const ListCosts& costs() const { return costs_; }
-  // When they came in.
+  // When calls came in.
   const BurstCounter& arrivals() const { return arrivals_; }
 
  private:
   Answer serve(Micros now, std::int64_t since);
-  bool drawn(double share);
-  Answer turnedAway(Micros now);
-  // Fills in the body; how many lines it has.
+  bool draw(double share);
+  Answer reject(Micros now);
+  // Fills in the body and returns how many lines it has.
   std::size_t write(std::int64_t since, Answer& answer) const;
 
   ListCosts costs_;
@@ -98,7 +98,7 @@
   double resetShare_ = 0;
   double rejectShare_ = 0;
   std::mt19937_64 random_;
-  std::optional<std::size_t> partial_;
+  std::optional<std::size_t> entryLimit_;
   Micros busyUntil_ = 0;
   std::uint64_t calls_ = 0;
   std::uint64_t turnedAway_ = 0;
--- a/src/emulator/list_service.cpp
+++ b/src/emulator/list_service.cpp
@@ -8,7 +8,7 @@
 
 constexpr Micros kMicrosPerMilli = 1000;
 
-// The number behind a name in the call's path; 'otherwise' where there is none.
+// A number in the query of a call; 'otherwise' where there is none.
 std::int64_t numberOf(const std::string& call, const std::string& name, std::int64_t otherwise) {
   const std::size_t at = call.find(name + "=");
   return at == std::string::npos ? otherwise : std::strtoll(call.c_str() + at + name.size() + 1, nullptr, 10);
@@ -35,17 +35,17 @@
   return number == 0 ? socketAddress() : listeners_.at(number - 1)->socketAddress();
 }
 
-void ListService::heard(test::Line& line, std::size_t listener) {
+void ListService::onInputFrom(test::Line& line, std::size_t listener) {
   for (;;) {
     const std::size_t end = line.got.find("\r\n\r\n");
     if (end == std::string::npos) return;
     const std::string call = line.got.substr(0, line.got.find("\r\n"));
     line.got.erase(0, end + 4);
-    called(line, call, listener);
+    onCall(line, call, listener);
   }
 }
 
-void ListService::called(test::Line& line, const std::string& call, std::size_t listener) {
+void ListService::onCall(test::Line& line, const std::string& call, std::size_t listener) {
   const std::int64_t since = numberOf(call, "since", -1);
   const Micros wait = numberOf(call, "timeout_ms", 0) * kMicrosPerMilli;
   const auto now = model_.call(loop_.now(), since, wait > kMicrosPerMilli);
@@ -53,10 +53,10 @@
   waiting_.push_back({&line, since, listener, loop_.now() + wait, nullptr});
   const auto entry = std::prev(waiting_.end());
   entry->limit = std::make_unique<transport::Timer>(loop_, [this, entry] {
-    Waiting over = std::move(*entry);
+    Waiting done = std::move(*entry);
     waiting_.erase(entry);
-    tell(over);
-    loop_.retire(std::move(over.limit));
+    answerWaiting(done);
+    loop_.retire(std::move(done.limit));
   });
   entry->limit->arm(loop_.now() + wait);
 }
@@ -74,19 +74,19 @@
   });
 }
 
-// A caller that has gone meanwhile costs nothing.
-void ListService::tell(Waiting& waiting) {
+// A caller that has disconnected costs nothing.
+void ListService::answerWaiting(Waiting& waiting) {
   if (waiting.line->ended || waiting.line->stream.closed()) return;
-  ListModel::Answer news = model_.news(loop_.now(), waiting.since);
-  news.waitEnds = waiting.waitEnds;
-  answer(*waiting.line, news, waiting.listener);
+  ListModel::Answer out = model_.answerWatch(loop_.now(), waiting.since);
+  out.waitEnds = waiting.waitEnds;
+  answer(*waiting.line, out, waiting.listener);
 }
 
 void ListService::set(std::vector<ListedEntry> entries) {
   model_.set(std::move(entries));
   for (Waiting& waiting : std::exchange(waiting_, {})) {
     waiting.limit->disarm();
-    tell(waiting);
+    answerWaiting(waiting);
   }
 }
 
--- a/src/emulator/list_service.h
+++ b/src/emulator/list_service.h
@@ -1,4 +1,4 @@
-// The emulated list service on loopback: HTTP around a ListModel, in its own time.
+// The emulated list service on loopback: HTTP around a ListModel.
 #pragma once
 
 #include <list>
@@ -16,18 +16,18 @@
  public:
   ListService(transport::EventLoop& loop, ListCosts costs, std::uint32_t address = test::kLoopback);
 
-  // A further address of the same service, so that it can be told who calls; they are counted from 1, and 0
-  // is the service's own.
+  // Adds a further address, so that callers can be told apart. Returns its number, from 1 on; 0 is the
+  // service's own.
   std::size_t addListener();
   const transport::SocketAddress& listenerAddress(std::size_t number) const;
-  // Hears of every call that is over: at which listener, and with which answer.
+  // Called at the end of each call, with the listener at which it came in.
   std::function<void(std::size_t listener, const ListModel::Answer& answer)> onAnswer;
 
   ListModel& model() { return model_; }
   const ListModel& model() const { return model_; }
-  // What it holds from now on; watches that wait hear of it.
+  // Sets the list and answers the calls that wait for a change.
   void set(std::vector<ListedEntry> entries);
-  // Down: connections break and new ones are reset, until it is up again.
+  // While it is down connections break and new ones are reset.
   void goDown();
   void comeUp();
 
@@ -45,15 +45,15 @@
         : Listening(loop), service_(service), number_(number) {}
 
    private:
-    void onLineInput(test::Line& line) override { service_.heard(line, number_); }
+    void onLineInput(test::Line& line) override { service_.onInputFrom(line, number_); }
     ListService& service_;
     std::size_t number_;
   };
-  void onLineInput(test::Line& line) override { heard(line, 0); }
-  void heard(test::Line& line, std::size_t listener);
-  void called(test::Line& line, const std::string& request, std::size_t listener);
+  void onLineInput(test::Line& line) override { onInputFrom(line, 0); }
+  void onInputFrom(test::Line& line, std::size_t listener);
+  void onCall(test::Line& line, const std::string& request, std::size_t listener);
   void answer(test::Line& line, const ListModel::Answer& answer, std::size_t listener);
-  void tell(Waiting& waiting);
+  void answerWaiting(Waiting& waiting);
 
   ListModel model_;
   std::vector<std::unique_ptr<Listener>> listeners_;
--- a/src/emulator/misbehaving_clients.cpp
+++ b/src/emulator/misbehaving_clients.cpp
@@ -12,16 +12,16 @@
 
 constexpr Micros kMicrosPerMilli = 1000;
 constexpr Micros kMicrosPerSecond = 1'000'000;
-// LATER, Bad clients: who sends nothing that can be read, or does not go on, is owed an error or a close
-// within 3 s; with a little for this machine.
-constexpr Micros kOwedWithin = 3'300'000;
-constexpr std::size_t kClientsMost = 24;
-constexpr std::size_t kGarbage = 300;
-constexpr int kInBurst = 6;
+// A client that sends nothing readable, or stops, is owed an error or a close within 3 s, by the operators'
+// terms; with some slack.
+constexpr Micros kErrorWithin = 3'300'000;
+constexpr std::size_t kMaxClients = 24;
+constexpr std::size_t kGarbageBytes = 300;
+constexpr int kBurstRequests = 6;
 constexpr int kPieces = 10;
 constexpr Micros kBetweenPieces = 30'000;
-// Of those that wait for an answer: so long beyond their time they look.
-constexpr Micros kBeyond = 600'000;
+// How long clients that wait for an answer do so beyond their deadline.
+constexpr Micros kCloseAfterDeadline = 600'000;
 
 }  // namespace
 
@@ -29,24 +29,24 @@
   Client(MisbehavingClients& owner, Kind what)
       : all(owner),
         kind(what),
-        line(owner.loop_, [this](test::Line&) { heard(); }),
+        line(owner.loop_, [this](test::Line&) { onInput(); }),
         due(owner.loop_, [this] { overdue(); }),
-        step(owner.loop_, [this] { goOn(); }) {
-    line.onGone = [this] { gone(); };
+        step(owner.loop_, [this] { nextStep(); }) {
+    line.onGone = [this] { onClosed(); };
   }
 
-  // What was asked of the judge's knowledge, in the order of the answers.
-  void ask(const std::string& id, Micros patience) {
-    Judge::ClientRequest asked;
-    asked.id = id;
-    asked.gateway = all.gateway_;
-    asked.at = all.loop_.now();
-    asked.patience = patience;
-    all.judge_.requestSent(asked);
+  // Answers come in the order of the requests.
+  void reportSent(const std::string& id, Micros patience) {
+    Judge::ClientRequest sent;
+    sent.id = id;
+    sent.gateway = all.gateway_;
+    sent.at = all.loop_.now();
+    sent.patience = patience;
+    all.judge_.requestSent(sent);
     open.push_back(id);
-    askedSome = true;
+    hasSentRequest = true;
   }
-  void heard() {
+  void onInput() {
     for (const test::pg::Message& message : test::pg::cut(line.got)) {
       if (message.type != 'D' && message.type != 'E') continue;
       const std::string code = message.type == 'E' ? test::pg::field(message.body, 'C') : "";
@@ -54,42 +54,42 @@
                                 : code == "53300" || code == "57P03" ? RequestResult::Rejected
                                                                      : RequestResult::Failed;
       if (open.empty()) {
-        owedNothing = true;  // its error
+        nothingOwed = true;  // it has its error
         continue;
       }
       all.judge_.requestAnswered(open.front(), all.loop_.now(), how);
       open.pop_front();
     }
-    if (awaitsAnswers && askedSome && open.empty()) all.remove(*this);
+    if (awaitsAnswers && hasSentRequest && open.empty()) all.remove(*this);
   }
-  void gone() {
+  void onClosed() {
     for (const std::string& id : open) all.judge_.requestAnswered(id, all.loop_.now(), RequestResult::Broken);
     all.remove(*this);
   }
   void overdue() {
-    if (!awaitsAnswers && !owedNothing)
+    if (!awaitsAnswers && !nothingOwed)
       all.judge_.reportBreach(Rule::OneAnswer, all.loop_.now(), all.gateway_,
                               "a client that stopped (" + std::to_string(static_cast<int>(kind)) +
                                   ") got neither an error nor a close");
     all.remove(*this);
   }
-  void goOn() {
-    if (kind == Kind::HitAndRun || kind == Kind::HalfClose) {
+  void nextStep() {
+    if (kind == Kind::Disconnects || kind == Kind::ClosesSending) {
       for (const std::string& id : open) all.judge_.clientDisconnected(id, all.loop_.now());
       open.clear();
-      if (kind == Kind::HitAndRun) return all.remove(*this);
+      if (kind == Kind::Disconnects) return all.remove(*this);
       line.stream.endSending();
       due.arm(all.loop_.now() + kMicrosPerSecond);
-      owedNothing = true;
+      nothingOwed = true;
       return;
     }
-    // One that writes slowly.
-    const std::size_t size = std::min(rest.size(), std::max<std::size_t>(1, whole / kPieces));
+    // A slow writer sends its next piece.
+    const std::size_t size = std::min(rest.size(), std::max<std::size_t>(1, totalBytes / kPieces));
     line.say(rest.substr(0, size));
     rest.erase(0, size);
     if (!rest.empty()) return step.arm(all.loop_.now() + kBetweenPieces);
-    ask(slowId, all.patience_);
-    due.arm(all.loop_.now() + all.patience_ + kBeyond);
+    reportSent(slowId, all.patience_);
+    due.arm(all.loop_.now() + all.patience_ + kCloseAfterDeadline);
   }
 
   MisbehavingClients& all;
@@ -100,11 +100,11 @@
   std::list<std::string> open;
   std::string rest;
   std::string slowId;
-  std::size_t whole = 0;
+  std::size_t totalBytes = 0;
   bool awaitsAnswers = false;
-  bool owedNothing = false;
+  bool nothingOwed = false;
   bool removed = false;
-  bool askedSome = false;
+  bool hasSentRequest = false;
 };
 
 MisbehavingClients::MisbehavingClients(transport::EventLoop& loop, std::string gateway, double perSecond,
@@ -116,13 +116,13 @@
       patience_(patience),
       random_(seed),
       judge_(judge),
-      next_(loop, [this] { turn(); }) {
-  if (perSecond_ > 0) next_.arm(loop_.now() + pause());
+      next_(loop, [this] { startDue(); }) {
+  if (perSecond_ > 0) next_.arm(loop_.now() + drawPause());
 }
 
 MisbehavingClients::~MisbehavingClients() = default;
 
-Micros MisbehavingClients::pause() {
+Micros MisbehavingClients::drawPause() {
   return static_cast<Micros>(-std::log(1 - uniformUnit(random_())) / perSecond_ *
                              static_cast<double>(kMicrosPerSecond));
 }
@@ -150,9 +150,9 @@
   connectTo({});
 }
 
-void MisbehavingClients::turn() {
-  next_.arm(loop_.now() + pause());
-  if (socketAddress_ && clients_.size() < kClientsMost) begin(static_cast<Kind>(random_() % kKinds));
+void MisbehavingClients::startDue() {
+  next_.arm(loop_.now() + drawPause());
+  if (socketAddress_ && clients_.size() < kMaxClients) begin(static_cast<Kind>(random_() % kKinds));
 }
 
 void MisbehavingClients::begin(Kind kind) {
@@ -160,47 +160,47 @@
   Client& client = *clients_.back();
   int error = 0;
   if (!client.line.stream.connect(*socketAddress_, error)) return remove(client);
-  client.due.arm(loop_.now() + kOwedWithin);
+  client.due.arm(loop_.now() + kErrorWithin);
   const std::string opening = test::pg::startup();
   const std::string id = nextId();
-  const std::string asking = request(id);
-  const auto cutShort = [this](const std::string& bytes) {
+  const std::string statement = request(id);
+  const auto truncated = [this](const std::string& bytes) {
     return bytes.substr(0, 1 + random_() % (bytes.size() - 1));
   };
   switch (kind) {
     case Kind::Silent:
       return;
     case Kind::HalfStartup:
-      return client.line.say(cutShort(opening));
+      return client.line.say(truncated(opening));
     case Kind::HalfRequest:
-      return client.line.say(opening + cutShort(asking));
+      return client.line.say(opening + truncated(statement));
     case Kind::Garbage: {
       std::string bytes;
-      for (std::size_t i = 0; i < kGarbage; ++i) bytes += static_cast<char>(random_());
+      for (std::size_t i = 0; i < kGarbageBytes; ++i) bytes += static_cast<char>(random_());
       return client.line.say(random_() % 2 == 0 ? bytes : opening + bytes);
     }
-    case Kind::HitAndRun:
-    case Kind::HalfClose:
-      client.line.say(opening + asking);
-      client.ask(id, patience_);
+    case Kind::Disconnects:
+    case Kind::ClosesSending:
+      client.line.say(opening + statement);
+      client.reportSent(id, patience_);
       return client.step.arm(loop_.now() + static_cast<Micros>(random_() % 200'000));
     case Kind::SlowWriter:
       client.awaitsAnswers = true;
-      client.rest = opening + asking;
-      client.whole = client.rest.size();
+      client.rest = opening + statement;
+      client.totalBytes = client.rest.size();
       client.slowId = id;
       return client.step.arm(loop_.now() + kBetweenPieces);
     case Kind::Burst: {
       client.awaitsAnswers = true;
-      std::string all = opening + asking;
+      std::string all = opening + statement;
       // The wait for the answers before one does not count against it.
-      client.ask(id, patience_);
-      for (int i = 1; i < kInBurst; ++i) {
+      client.reportSent(id, patience_);
+      for (int i = 1; i < kBurstRequests; ++i) {
         const std::string next = nextId();
         all += request(next);
-        client.ask(next, (i + 1) * patience_);
+        client.reportSent(next, (i + 1) * patience_);
       }
-      client.due.arm(loop_.now() + kInBurst * patience_ + kBeyond);
+      client.due.arm(loop_.now() + kBurstRequests * patience_ + kCloseAfterDeadline);
       return client.line.say(all);
     }
   }
--- a/src/emulator/misbehaving_clients.h
+++ b/src/emulator/misbehaving_clients.h
@@ -1,5 +1,5 @@
-// Clients of one gateway that do not behave: they stop in the middle, send garbage, write slowly, ask much at
-// once, or leave. What each is owed all the same is checked, and told to the judge.
+// Clients of one gateway that misbehave: they stop in the middle, send garbage, write slowly, send bursts, or
+// disconnect. Breaches of what each is owed nevertheless are reported to the judge.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +17,35 @@
 
 class MisbehavingClients {
  public:
-  // 'perSecond': so many begin; 'groups': they ask for these.
+  // @param perSecond  how many connect, in the mean. @param groups  how many groups they send requests to.
   MisbehavingClients(transport::EventLoop& loop, std::string gateway, double perSecond, unsigned groups,
                      Micros patience, std::uint64_t seed, Judge& judge);
   ~MisbehavingClients();
 
-  // Where the gateway serves; nothing: nowhere at present. Those that are there go without a word.
+  // Sets the gateway's address and closes all connections; nothing: it is down.
   void connectTo(std::optional<transport::SocketAddress> socketAddress);
-  // No further ones, and nothing more is checked of those that are there.
+  // Closes all connections and opens no more.
   void stop();
 
  private:
-  enum class Kind { Silent, HalfStartup, HalfRequest, Garbage, HitAndRun, HalfClose, SlowWriter, Burst };
+  enum class Kind {
+    Silent,
+    HalfStartup,
+    HalfRequest,
+    Garbage,
+    Disconnects,
+    ClosesSending,
+    SlowWriter,
+    Burst
+  };
   static constexpr int kKinds = 8;
   struct Client;
-  void turn();
+  void startDue();
   void begin(Kind kind);
   void remove(Client& client);
   std::string nextId();
   std::string request(const std::string& id);
-  Micros pause();
+  Micros drawPause();
 
   transport::EventLoop& loop_;
   std::string gateway_;
--- a/src/emulator/notifications.cpp
+++ b/src/emulator/notifications.cpp
@@ -5,7 +5,7 @@
 
 namespace heathflow::emulator {
 
-void Notifications::changed(const std::string& endpoint, ListedState state, Micros at) {
+void Notifications::endpointChanged(const std::string& endpoint, ListedState state, Micros at) {
   std::vector<Change>& known = changes_[endpoint];
   const ListedState before = known.empty() ? ListedState::Ready : known.back().state;
   if (state != before) known.push_back({at, state});
@@ -19,31 +19,31 @@
   if (!outages_.empty() && !outages_.back().until) outages_.back().until = at;
 }
 
-void Notifications::started(const std::string& gateway, Micros at) {
-  lives_[gateway] = Life{};
-  lives_[gateway].startedAt = at;
+void Notifications::gatewayStarted(const std::string& gateway, Micros at) {
+  incarnations_[gateway] = Incarnation{};
+  incarnations_[gateway].startedAt = at;
 }
 
-void Notifications::written(const std::string& gateway, Micros at) {
-  lives_[gateway].words.push_back({at, at, at});
+void Notifications::answerWritten(const std::string& gateway, Micros at) {
+  incarnations_[gateway].notices.push_back({at, at, at});
 }
 
-void Notifications::answerWrittenIntoCutPath(const std::string& gateway, Micros at, const Silence& silence) {
-  Micros counts = std::max(at, silence.since + terms_.atTheLatest);
-  if (silence.waitEnds) counts = std::max(counts, *silence.waitEnds + terms_.afterWait);
-  lives_[gateway].words.push_back({at, counts, std::min(counts, std::max(at, silence.until)), true});
+void Notifications::answerWrittenIntoCutPath(const std::string& gateway, Micros at, const CutPath& cutPath) {
+  Micros counts = std::max(at, cutPath.since + terms_.latestAfterChange);
+  if (cutPath.waitEnds) counts = std::max(counts, *cutPath.waitEnds + terms_.afterLongPoll);
+  incarnations_[gateway].notices.push_back({at, counts, std::min(counts, std::max(at, cutPath.until)), true});
 }
 
 void Notifications::callFailed(const std::string& gateway, Micros at) {
-  Life& life = lives_[gateway];
-  if (!life.firstFailure) life.firstFailure = at;
+  Incarnation& incarnation = incarnations_[gateway];
+  if (!incarnation.firstFailure) incarnation.firstFailure = at;
 }
 
-void Notifications::moved(const std::string& gateway, Micros at) {
-  lives_[gateway].words.push_back({at, at + terms_.afterMove, at + terms_.afterMove});
+void Notifications::serviceMoved(const std::string& gateway, Micros at) {
+  incarnations_[gateway].notices.push_back({at, at + terms_.afterMove, at + terms_.afterMove});
 }
 
-// The first time from then on at which the service was up; far ahead while it is down.
+// The first time from then on at which the service was up; far in the future while it is down.
 Micros Notifications::reachableFrom(Micros at) const {
   constexpr Micros kNotYet = std::numeric_limits<Micros>::max() / 2;
   for (const Span& outage : outages_) {
@@ -52,25 +52,25 @@
   return at;
 }
 
-// When a change counts as told in a life: the earliest of what the terms give.
-Micros Notifications::countsAt(const Life& life, const Change& change) const {
+// When a change counts as known to an incarnation: the earliest time that the terms give.
+Micros Notifications::countsFrom(const Incarnation& incarnation, const Change& change) const {
   const Micros changedAt = change.at;
   const Micros reachable = reachableFrom(changedAt);
-  if (terms_.pushed) return std::max(reachable, life.startedAt);
-  Micros counts = reachable + terms_.atTheLatest;
-  // The list that a process is given at its start may be old: it is held to it until a call of its own fails,
-  // and as long at the most as to any other.
-  if (changedAt < life.startedAt) {
-    const Micros grace = life.startedAt + terms_.atTheLatest;
-    counts = std::max(counts, std::min(grace, life.firstFailure.value_or(grace)));
+  if (terms_.pushed) return std::max(reachable, incarnation.startedAt);
+  Micros counts = reachable + terms_.latestAfterChange;
+  // The list that a process starts with may be old, and may be used until one of its calls fails, but no
+  // longer than any other list.
+  if (changedAt < incarnation.startedAt) {
+    const Micros grace = incarnation.startedAt + terms_.latestAfterChange;
+    counts = std::max(counts, std::min(grace, incarnation.firstFailure.value_or(grace)));
   }
-  // A watch that stands silent has a time of its own, also where that is later.
-  for (const Word& word : life.words) {
-    if (word.silent && word.upTo >= changedAt) counts = std::max(counts, word.at);
+  // A watch whose path is cut has a time of its own, even where that is later.
+  for (const Notice& notice : incarnation.notices) {
+    if (notice.intoCutPath && notice.upTo >= changedAt) counts = std::max(counts, notice.at);
   }
-  for (const Word& word : life.words) {
-    if (word.upTo < changedAt) continue;
-    counts = std::min(counts, change.state == ListedState::Ready ? word.ofReturnsAt : word.at);
+  for (const Notice& notice : incarnation.notices) {
+    if (notice.upTo < changedAt) continue;
+    counts = std::min(counts, change.state == ListedState::Ready ? notice.returnsFrom : notice.at);
   }
   return counts;
 }
@@ -78,14 +78,14 @@
 std::optional<Micros> Notifications::notifiedNotReadySince(const std::string& gateway,
                                                            const std::string& endpoint, Micros at) const {
   const auto known = changes_.find(endpoint);
-  const auto life = lives_.find(gateway);
-  if (known == changes_.end() || life == lives_.end()) return std::nullopt;
+  const auto incarnation = incarnations_.find(gateway);
+  if (known == changes_.end() || incarnation == incarnations_.end()) return std::nullopt;
   const std::vector<Change>& changes = known->second;
-  // From the newest back: the first that is told binds, and since the oldest of those before it that bind
-  // too.
+  // From the newest change back: the newest one that the gateway knows decides, and it counts since the
+  // oldest of those before it without a return between them.
   std::optional<Micros> since;
   for (auto change = changes.rbegin(); change != changes.rend(); ++change) {
-    const Micros counts = countsAt(life->second, *change);
+    const Micros counts = countsFrom(incarnation->second, *change);
     if (counts > at) continue;
     if (change->state == ListedState::Ready) return since;
     since = since ? std::min(*since, counts) : counts;
--- a/src/emulator/notifications.h
+++ b/src/emulator/notifications.h
@@ -1,6 +1,6 @@
-// When a change of the list counts as told to a gateway, by the operators' pages: the one model by which the
-// judge holds gateways to drains, removals and returns. It shares no constant and no code with the gateway.
-// No I/O; times are of one clock, that of the emulator.
+// From when on a change of the endpoint list counts as known to a gateway, by the operators' terms. The judge
+// holds gateways to drains and removals by this model alone, which shares no constant and no code with the
+// gateway. No I/O; all times are of the emulator's clock.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 using transport::Micros;
 
-// The pages' spans. A test of the model may shorten them; the judge never does.
+// The times of the operators' terms.
 struct NotificationTerms {
-  // STANDING: whatever else is allowed after a failed, rejected or given-up call, a change counts so long
-  // after discovery had it and could be reached; a silent watch so long after it fell silent.
-  Micros atTheLatest = 6'000'000;
-  // STANDING: of a long poll that fell silent, so long after its wait is over, if that is later.
-  Micros afterWait = 2'000'000;
-  // STANDING: what a new place has counts so long after the SIGHUP that named it.
+  // Whatever becomes of calls, a change counts so long after the list service had it and could be reached;
+  // over a watch whose path was cut, so long after the cut.
+  Micros latestAfterChange = 6'000'000;
+  // Over a long poll whose path was cut, so long after the end of its wait, if that is later.
+  Micros afterLongPoll = 2'000'000;
+  // What the list service has at a new address counts so long after the SIGHUP that named the address.
   Micros afterMove = 4'000'000;
-  // Lists are pushed: what the agent has counts at once, from a process's first moment.
+  // Lists are pushed: a change counts at once, from the start of a process on.
   bool pushed = false;
 };
 
@@ -34,35 +34,33 @@
  public:
   explicit Notifications(NotificationTerms terms = {}) : terms_(terms) {}
 
-  // ---- The service ----
-  // It has a new state of an endpoint. An endpoint that was never named is ready.
-  void changed(const std::string& endpoint, ListedState state, Micros at);
-  // Nobody can reach it, from now on or no more.
+  // ---- The list service ----
+  // It has a new state of an endpoint. Endpoints are ready at first.
+  void endpointChanged(const std::string& endpoint, ListedState state, Micros at);
   void serviceDown(Micros at);
   void serviceUp(Micros at);
 
   // ---- A gateway ----
-  // A new process: it was told nothing in this life. What changed before counts from its first call that
-  // fails, or from the latest time that the terms give.
-  void started(const std::string& gateway, Micros at);
-  // The service has written an answer to it, which tells all changes up to then.
-  void written(const std::string& gateway, Micros at);
-  // The same, into a path that has been cut since a time: a watch that fell silent then. What the path held
-  // may arrive once it is whole again, and tells of returns from then on: a gateway that knows of one is not
-  // held to the removal before it. 'waitEnds': of a long poll, when its wait would have been over.
-  struct Silence {
+  // A new incarnation, which has had no answer yet. Earlier changes count from its first call that fails, or
+  // from the latest time that the terms give.
+  void gatewayStarted(const std::string& gateway, Micros at);
+  // The list service has written an answer to it, which has all changes up to then.
+  void answerWritten(const std::string& gateway, Micros at);
+  // The same, over a path that is cut. The answer may arrive once the path is restored, and its returns of
+  // endpoints count from then on: a gateway that knows of a return is not held to the removal before it.
+  struct CutPath {
     Micros since = 0;
     Micros until = 0;
-    std::optional<Micros> waitEnds;
+    std::optional<Micros> waitEnds;  // of a long poll: the end of its wait
   };
-  void answerWrittenIntoCutPath(const std::string& gateway, Micros at, const Silence& silence);
+  void answerWrittenIntoCutPath(const std::string& gateway, Micros at, const CutPath& cutPath);
   // A call of it failed, was rejected, or was given up.
   void callFailed(const std::string& gateway, Micros at);
-  // It was told by a signal that the service is elsewhere.
-  void moved(const std::string& gateway, Micros at);
+  // It got a signal that the list service has a new address.
+  void serviceMoved(const std::string& gateway, Micros at);
 
-  // Since when it has been told, as of a time, that an endpoint drains or is gone; nothing where its newest
-  // word is that the endpoint is ready.
+  // @return  since when the gateway counts as notified, at a time, that an endpoint drains or is removed;
+  //          nothing where the newest state that it counts as notified of is ready.
   std::optional<Micros> notifiedNotReadySince(const std::string& gateway, const std::string& endpoint,
                                               Micros at) const;
 
@@ -75,25 +73,25 @@
     Micros from = 0;
     std::optional<Micros> until;
   };
-  // What tells all changes up to 'upTo' counts at 'at', of returns at 'ofReturnsAt'.
-  struct Word {
+  // Changes up to 'upTo' count from 'at' on, returns of endpoints from 'returnsFrom' on.
+  struct Notice {
     Micros upTo = 0;
     Micros at = 0;
-    Micros ofReturnsAt = 0;
-    bool silent = false;  // it was written into silence
+    Micros returnsFrom = 0;
+    bool intoCutPath = false;
   };
-  struct Life {
+  struct Incarnation {
     Micros startedAt = 0;
     std::optional<Micros> firstFailure;
-    std::vector<Word> words;
+    std::vector<Notice> notices;
   };
   Micros reachableFrom(Micros at) const;
-  Micros countsAt(const Life& life, const Change& change) const;
+  Micros countsFrom(const Incarnation& incarnation, const Change& change) const;
 
   NotificationTerms terms_;
   std::map<std::string, std::vector<Change>> changes_;  // by endpoint, in the order of their times
   std::vector<Span> outages_;
-  std::map<std::string, Life> lives_;  // by gateway, the newest
+  std::map<std::string, Incarnation> incarnations_;  // by gateway, the newest
 };
 
 }  // namespace heathflow::emulator
--- a/src/emulator/hollow.cpp
+++ b/src/emulator/protocol_only_gateway.cpp
@@ -1,4 +1,4 @@
-#include "emulator/hollow.h"
+#include "emulator/protocol_only_gateway.h"
 
 #include <stdexcept>
 
@@ -10,13 +10,14 @@
 
 }  // namespace
 
-HollowGateway::HollowGateway(transport::EventLoop& loop, const std::string& configuration) : loop_(loop) {
+ProtocolOnlyGateway::ProtocolOnlyGateway(transport::EventLoop& loop, const std::string& configuration)
+    : loop_(loop) {
   std::string problem;
   if (!program::parseConfig(configuration, config_, problem)) throw std::runtime_error(problem);
   config_.memory = kMemoryOfAll;
 }
 
-void HollowGateway::start() {
+void ProtocolOnlyGateway::start() {
   end();
   observer_ = std::make_unique<Silent>();
   gateway_ = std::make_unique<program::Gateway>(loop_, config_, *observer_);
--- a/src/emulator/hollow.h
+++ b/src/emulator/protocol_only_gateway.h
@@ -13,10 +13,10 @@
 
 namespace heathflow::emulator {
 
-class HollowGateway {
+class ProtocolOnlyGateway {
  public:
   // 'configuration': the text that the program would read at its start.
-  HollowGateway(transport::EventLoop& loop, const std::string& configuration);
+  ProtocolOnlyGateway(transport::EventLoop& loop, const std::string& configuration);
 
   // Begins a life; throws where the configuration or the listener can't be used.
   void start();
--- a/src/emulator/random_scenario.cpp
+++ b/src/emulator/random_scenario.cpp
@@ -19,14 +19,14 @@
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
-// All are up before the first trouble, and the last one has its end within the play.
-constexpr Micros kQuietAtFirst = 3 * kS;
-constexpr Micros kQuietAtLast = 4 * kS;
-// Troubles of one moment begin within this.
-constexpr Micros kMoment = 1500 * kMs;
-// Endpoints that come and go do so one event after the other.
-constexpr Micros kBetweenEndpoints = 6 * kS;
-constexpr Micros kListTroubleMost = 12 * kS;
+// All gateways are up before the first fault, and the last fault ends within the play.
+constexpr Micros kNoFaultsAtStart = 3 * kS;
+constexpr Micros kNoFaultsAtEnd = 4 * kS;
+// Most faults begin within this time of a common moment.
+constexpr Micros kMomentWidth = 1500 * kMs;
+// From one fault of endpoints to the next.
+constexpr Micros kEndpointFaultInterval = 6 * kS;
+constexpr Micros kMaxListFault = 12 * kS;
 
 class ScenarioGenerator {
  public:
@@ -34,20 +34,21 @@
       : options_(options), random_(seed * 0x9E3779B97F4A7C15U + 1) {
     out_.name = "soak-" + std::to_string(seed);
     out_.seed = seed;
-    out_.length = options.seconds * kS;
+    out_.duration = options.seconds * kS;
   }
 
   Scenario draw() {
-    installation();
+    deployment();
     load();
-    moment_ = between(kQuietAtFirst, std::max(kQuietAtFirst + kMs, out_.length - kQuietAtLast - 3 * kS));
-    gatewayTrouble();
-    endpointTrouble();
-    if (chance(0.7)) listTrouble();
+    moment_ =
+        between(kNoFaultsAtStart, std::max(kNoFaultsAtStart + kMs, out_.duration - kNoFaultsAtEnd - 3 * kS));
+    gatewayFaults();
+    endpointFaults();
+    if (chance(0.7)) listFault();
     for (int i = 0; i < 2; ++i) {
-      if (chance(0.6)) pathTrouble();
+      if (chance(0.6)) linkFault();
     }
-    if (options_.failingCalls) out_.faults = callTrouble().text();
+    if (options_.failingCalls) out_.faults = systemCallFaults().text();
     std::stable_sort(out_.faultEvents.begin(), out_.faultEvents.end(),
                      [](const FaultEvent& a, const FaultEvent& b) { return a.at < b.at; });
     return std::move(out_);
@@ -63,23 +64,24 @@
   T oneOf(const std::array<T, kCount>& values) {
     return values[random_() % kCount];
   }
-  // About the moment of most troubles, or anywhere.
+  // Near the common moment, or anywhere.
   Micros when() {
-    return chance(0.7) ? moment_ + between<Micros>(0, kMoment)
-                       : between(kQuietAtFirst, std::max(kQuietAtFirst + kMs, out_.length - kQuietAtLast));
+    return chance(0.7)
+               ? moment_ + between<Micros>(0, kMomentWidth)
+               : between(kNoFaultsAtStart, std::max(kNoFaultsAtStart + kMs, out_.duration - kNoFaultsAtEnd));
   }
   void add(Is kind, Micros at, double share, Micros duration) {
     out_.faultEvents.push_back({kind, at, share, duration});
   }
 
-  void installation() {
+  void deployment() {
     out_.gateways = between(options_.gatewaysLeast, options_.gatewaysMost + 1);
     out_.groups = between(2U, 5U);
     out_.replicas = between(2U, 4U);
     out_.endpoint.slowStartDuration = between(2 * kS, 6 * kS);
     out_.endpoint.lag = between(20 * kMs, 800 * kMs);
     out_.snapshot = chance(0.5);
-    out_.known = chance(0.1) ? KnownList::None : chance(0.5) ? KnownList::Old : KnownList::Current;
+    out_.knownList = chance(0.1) ? KnownList::None : chance(0.5) ? KnownList::Old : KnownList::Current;
     out_.cold = chance(0.1);
     out_.list.call = 500;
     out_.list.line = between<Micros>(0, 1000);
@@ -87,19 +89,19 @@
   }
 
   void load() {
-    out_.perGateway = between(6.0, 20.0);
+    out_.requestsPerGateway = between(6.0, 20.0);
     out_.busyShare = 0.1;
-    out_.busyTimes = between(1.0, 6.0);
+    out_.busyFactor = between(1.0, 6.0);
     out_.patience = between(700 * kMs, 1900 * kMs);
     out_.bound = between(1200 * kMs, 3000 * kMs);
-    out_.leaving = chance(0.7) ? between(0.0, 0.15) : 0;
-    out_.rough = chance(0.7) ? between(0.0, 1.0) : 0;
+    out_.disconnectShare = chance(0.7) ? between(0.0, 0.15) : 0;
+    out_.misbehavingClientsPerSecond = chance(0.7) ? between(0.0, 1.0) : 0;
     out_.deadline = chance(0.5) ? out_.patience : between(out_.patience, 2900 * kMs);
     out_.signalSeries = chance(0.5);
     out_.hardStops = true;
   }
 
-  void gatewayTrouble() {
+  void gatewayFaults() {
     if (chance(0.6)) {
       add(Is::RollGateways, when(), between(0.3, 1.0), between(kS, 8 * kS));
     } else {
@@ -112,29 +114,29 @@
     }
   }
 
-  void endpointTrouble() {
+  void endpointFaults() {
     constexpr std::array kKinds = {Is::DrainEndpoints, Is::RestartEndpoints, Is::KillPrimary};
-    Micros at = moment_ + between<Micros>(0, kMoment);
+    Micros at = moment_ + between<Micros>(0, kMomentWidth);
     add(oneOf(kKinds), at, between(0.2, 0.6), between(300 * kMs, 4 * kS));
-    at += kBetweenEndpoints;
-    if (at < out_.length - kQuietAtLast)
+    at += kEndpointFaultInterval;
+    if (at < out_.duration - kNoFaultsAtEnd)
       add(oneOf(kKinds), at, between(0.2, 0.6), between(300 * kMs, 2 * kS));
   }
 
-  void listTrouble() {
+  void listFault() {
     constexpr std::array kKinds = {Is::ListDown, Is::ListOlder, Is::ListMoves, Is::CutList, Is::ListCrowded};
-    // Half of them within the term on changes, half beyond it, and about the time at which endpoints go.
-    const Micros duration = chance(0.5) ? between(300 * kMs, 4 * kS) : between(6 * kS, kListTroubleMost);
+    // Half of them are shorter than the time within which changes have to be known, half are longer.
+    const Micros duration = chance(0.5) ? between(300 * kMs, 4 * kS) : between(6 * kS, kMaxListFault);
     add(oneOf(kKinds), when(), between(0.5, 1.0), duration);
   }
 
-  void pathTrouble() {
+  void linkFault() {
     constexpr std::array kKinds = {Is::CutEndpoints, Is::HangEndpoints, Is::SlowEndpoints,
                                    Is::ResetEndpoints};
     add(oneOf(kKinds), when(), between(0.1, 0.4), between(300 * kMs, 3 * kS));
   }
 
-  FaultPlan callTrouble() {
+  FaultPlan systemCallFaults() {
     FaultPlan plan;
     const auto share = [&](double wanted, Shim fault, double least, double most, Micros until = 0) {
       if (!chance(wanted)) return;
@@ -163,11 +165,10 @@
     share(0.3, Shim::FileRename, 0.1, 0.6);
     constexpr std::array<Micros, 8> kSteps = {900 * kMs,  kS,  10 * kS,  3600 * kS,
                                               -900 * kMs, -kS, -10 * kS, -3600 * kS};
-    // By a life's own time: also of one that starts in the midst of troubles, or behind a clock that is
-    // wrong.
+    // Times count from the start of each incarnation.
     if (chance(0.4)) plan.steps.push_back(ClockStep{0, oneOf(kSteps)});
     for (int i = 0; i < 2; ++i) {
-      if (chance(0.5)) plan.steps.push_back(ClockStep{between<Micros>(kS, out_.length), oneOf(kSteps)});
+      if (chance(0.5)) plan.steps.push_back(ClockStep{between<Micros>(kS, out_.duration), oneOf(kSteps)});
     }
     return plan;
   }
--- a/src/emulator/random_scenario.h
+++ b/src/emulator/random_scenario.h
@@ -1,5 +1,5 @@
-// Scenarios at random: several troubles of gateways, endpoints, list service, paths, clients and system calls
-// that overlap in time. Equal seeds give equal scenarios; what breaks can be written down and played again.
+// Random scenarios: several faults of gateways, endpoints, list service, links, clients and system calls that
+// overlap in time. Equal seeds give equal scenarios.
 #pragma once
 
 #include <cstdint>
--- a/src/emulator/results_recorder.h
+++ b/src/emulator/results_recorder.h
@@ -5,9 +5,9 @@
 #include <cstdint>
 #include <string>
 
+#include "emulator/client_load.h"
 #include "emulator/deployment_results.h"
 #include "emulator/latency_histogram.h"
-#include "emulator/load.h"
 
 namespace heathflow::emulator {
 
--- a/src/emulator/scale.cpp
+++ b/src/emulator/scale.cpp
@@ -262,24 +262,25 @@
   if (!startFleet(fleet)) return;
   ChildProcess& gateway = *fleet.real().front();
   if (!wait("a driver serves", [&] { return gateway.socketAddress().has_value(); })) return;
-  IdleConnections crowd(loop_, *gateway.socketAddress());
+  IdleConnections clients(loop_, *gateway.socketAddress());
   auto& results = outcome_.results;
   for (const unsigned size : part.sizes) {
-    crowd.grow(size);
-    if (!wait("clients have an answer or are turned away", [&] { return crowd.settled() >= size; })) return;
+    clients.grow(size);
+    if (!wait("clients have an answer or are turned away", [&] { return clients.settled() >= size; })) return;
     if (!pass(kRest)) return;
     const double resident = static_cast<double>(usageOf(gateway.pid()).resident);
-    results.add("clients", "held", size, real(crowd.held()));
+    results.add("clients", "held", size, real(clients.openCount()));
     // Of connections that all stand: behind those that were let go a gateway keeps some memory.
-    if (crowd.held() == size) results.add("clients", "resident_kb", size, resident / kBytesPerKilobyte);
+    if (clients.openCount() == size)
+      results.add("clients", "resident_kb", size, resident / kBytesPerKilobyte);
   }
   begin("statements through one real driver");
   const Moment before = momentOf(fleet);
-  crowd.ask(part.asking, part.statements);
-  if (!wait("all statements are answered", [&] { return crowd.answered() >= part.statements; })) return;
+  clients.send(part.asking, part.statements);
+  if (!wait("all statements are answered", [&] { return clients.answered() >= part.statements; })) return;
   const Moment after = momentOf(fleet);
-  results.fact("statements", "count", real(crowd.answered()));
-  results.fact("statements", "failed", real(crowd.failed()));
+  results.fact("statements", "count", real(clients.answered()));
+  results.fact("statements", "failed", real(clients.failed()));
   results.fact("statements", "cpu_us",
                static_cast<double>(after.realProcessor - before.realProcessor) / part.statements);
   results.fact("load", "statements", machineLoad());
--- a/src/emulator/scale_results.cpp
+++ b/src/emulator/scale_results.cpp
@@ -62,7 +62,7 @@
   for (const Series& series : series_) {
     for (const Point& point : series.points)
       out.emplace_back(series.part + "." + toText(point.size) + "." + series.name, point.value);
-    const Slope slope = fit(series.points);
+    const LinearFit slope = fit(series.points);
     out.emplace_back(series.key() + ".base", slope.base);
     out.emplace_back(series.key() + ".each", slope.each);
     out.emplace_back(series.key() + ".residual", slope.residual);
@@ -98,7 +98,7 @@
       if (series.part != part) continue;
       out << "| `" << series.name << "` |";
       for (const double size : sizes) out << " " << valueAt(series, size) << " |";
-      const Slope slope = fit(series.points);
+      const LinearFit slope = fit(series.points);
       out << " " << toText(slope.base) << " | " << toText(slope.each) << " | " << toText(slope.residual)
           << " |\n";
     }
--- a/src/emulator/scale_results.h
+++ b/src/emulator/scale_results.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-#include "emulator/slope.h"
+#include "emulator/linear_fit.h"
 
 namespace heathflow::emulator {
 
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -39,8 +39,8 @@
   number(node, "groups", out.groups);
   number(node, "replicas", out.replicas);
   out.cold = isTrue(attribute(node, "cold"));
-  number(node, "bad", out.bad);
-  number(node, "bad-by", out.badBy);
+  number(node, "bad", out.slowReplicas);
+  number(node, "bad-by", out.slowReplicaFactor);
   duration(node, "warm-up-ms", kMicrosPerMilli, out.endpoint.slowStartDuration);
   number(node, "connections", out.endpoint.connections);
   duration(node, "accept-us", 1, out.endpoint.accept);
@@ -52,7 +52,7 @@
 void readGateways(const Node* node, Scenario& out) {
   number(node, "count", out.gateways);
   out.snapshot = isTrue(attribute(node, "snapshot"));
-  duration(node, "learned-us", 1, out.learned);
+  duration(node, "learned-us", 1, out.learnedCallCost);
   duration(node, "usual-us", 1, out.initialLatency);
   out.faults = attribute(node, "faults");
   number(node, "faults-share", out.faultsShare);
@@ -61,7 +61,7 @@
   duration(node, "deadline-ms", kMicrosPerMilli, out.deadline);
   const std::string known = attribute(node, "known");
   const auto found = std::find(kKnown.begin(), kKnown.end(), known);
-  if (found != kKnown.end()) out.known = static_cast<KnownList>(found - kKnown.begin());
+  if (found != kKnown.end()) out.knownList = static_cast<KnownList>(found - kKnown.begin());
 }
 
 void readList(const Node* node, Scenario& out) {
@@ -75,13 +75,13 @@
 }
 
 void readLoad(const Node* node, Scenario& out) {
-  number(node, "per-driver", out.perGateway);
+  number(node, "per-driver", out.requestsPerGateway);
   number(node, "busy-share", out.busyShare);
-  number(node, "busy-times", out.busyTimes);
+  number(node, "busy-times", out.busyFactor);
   duration(node, "patience-ms", kMicrosPerMilli, out.patience);
   duration(node, "bound-ms", kMicrosPerMilli, out.bound);
-  number(node, "leaving", out.leaving);
-  number(node, "rough", out.rough);
+  number(node, "leaving", out.disconnectShare);
+  number(node, "rough", out.misbehavingClientsPerSecond);
   number(node, "idle-clients", out.idleClients);
   number(node, "view", out.mix.view);
   number(node, "any", out.mix.any);
@@ -109,7 +109,7 @@
              "there are no members, or more than 1,000: a size that one machine can play is expected");
   if (all.endpoint.slots == 0 || all.endpoint.service == 0)
     complain("members", "nothing is ever served: 'slots' and 'service-us' above 0 are expected");
-  if (all.bad > all.groups * all.replicas)
+  if (all.slowReplicas > all.groups * all.replicas)
     complain("members", "more are bad than there are replicas: no more than " +
                             std::to_string(all.groups * all.replicas) + " are expected");
   if (all.mix.view + all.mix.any + all.mix.status + all.mix.save <= 0)
@@ -120,10 +120,10 @@
   std::string problem;
   if (!faultshim::parsePlan(all.faults, problem)) complain("drivers", problem);
   for (const FaultEvent& faultEvent : all.faultEvents) {
-    if (faultEvent.at >= all.length)
+    if (faultEvent.at >= all.duration)
       complain("fault", std::string("'") + nameOf(faultEvent.kind) +
                             "' begins when all is over: a time before " +
-                            std::to_string(all.length / kMicrosPerMilli) + " ms is expected");
+                            std::to_string(all.duration / kMicrosPerMilli) + " ms is expected");
   }
 }
 
@@ -131,7 +131,7 @@
 
 const char* nameOf(FaultEvent::Kind kind) { return kKinds.at(static_cast<std::size_t>(kind)); }
 
-bool needsPaths(const Scenario& scenario) {
+bool needsLinks(const Scenario& scenario) {
   return std::any_of(
       scenario.faultEvents.begin(), scenario.faultEvents.end(),
       [](const FaultEvent& faultEvent) { return faultEvent.kind >= FaultEvent::Kind::CutEndpoints; });
@@ -141,21 +141,21 @@
   const auto millis = [](Micros span) { return std::to_string(span / kMicrosPerMilli); };
   std::ostringstream out;
   out << "<scenario xmlns=\"" << kSpace << "\" name=\"" << all.name << "\" seconds=\""
-      << all.length / kMicrosPerSecond << "\" seed=\"" << all.seed << "\">\n  <drivers count=\""
-      << all.gateways << "\" known=\"" << kKnown.at(static_cast<std::size_t>(all.known)) << "\" snapshot=\""
-      << (all.snapshot ? "true" : "false") << "\" hard-stops=\"" << (all.hardStops ? "true" : "false")
-      << "\" signal-series=\"" << (all.signalSeries ? "true" : "false") << "\" deadline-ms=\""
-      << millis(all.deadline) << "\" faults=\"" << all.faults << "\" faults-share=\"" << all.faultsShare
-      << "\"/>\n  <members groups=\"" << all.groups << "\" replicas=\"" << all.replicas << "\" cold=\""
-      << (all.cold ? "true" : "false") << "\" bad=\"" << all.bad << "\" warm-up-ms=\""
-      << millis(all.endpoint.slowStartDuration) << "\" lag-ms=\"" << millis(all.endpoint.lag)
-      << "\"/>\n  <list call-us=\"" << all.list.call << "\" line-us=\"" << all.list.line
-      << "\" reset-share=\"" << all.resetShare << "\"/>\n  <load per-driver=\"" << all.perGateway
-      << "\" busy-share=\"" << all.busyShare << "\" busy-times=\"" << all.busyTimes << "\" patience-ms=\""
-      << millis(all.patience) << "\" bound-ms=\"" << millis(all.bound) << "\" leaving=\"" << all.leaving
-      << "\" rough=\"" << all.rough << "\" idle-clients=\"" << all.idleClients << "\" view=\"" << all.mix.view
-      << "\" any=\"" << all.mix.any << "\" status=\"" << all.mix.status << "\" save=\"" << all.mix.save
-      << "\"/>\n";
+      << all.duration / kMicrosPerSecond << "\" seed=\"" << all.seed << "\">\n  <drivers count=\""
+      << all.gateways << "\" known=\"" << kKnown.at(static_cast<std::size_t>(all.knownList))
+      << "\" snapshot=\"" << (all.snapshot ? "true" : "false") << "\" hard-stops=\""
+      << (all.hardStops ? "true" : "false") << "\" signal-series=\"" << (all.signalSeries ? "true" : "false")
+      << "\" deadline-ms=\"" << millis(all.deadline) << "\" faults=\"" << all.faults << "\" faults-share=\""
+      << all.faultsShare << "\"/>\n  <members groups=\"" << all.groups << "\" replicas=\"" << all.replicas
+      << "\" cold=\"" << (all.cold ? "true" : "false") << "\" bad=\"" << all.slowReplicas
+      << "\" warm-up-ms=\"" << millis(all.endpoint.slowStartDuration) << "\" lag-ms=\""
+      << millis(all.endpoint.lag) << "\"/>\n  <list call-us=\"" << all.list.call << "\" line-us=\""
+      << all.list.line << "\" reset-share=\"" << all.resetShare << "\"/>\n  <load per-driver=\""
+      << all.requestsPerGateway << "\" busy-share=\"" << all.busyShare << "\" busy-times=\"" << all.busyFactor
+      << "\" patience-ms=\"" << millis(all.patience) << "\" bound-ms=\"" << millis(all.bound)
+      << "\" leaving=\"" << all.disconnectShare << "\" rough=\"" << all.misbehavingClientsPerSecond
+      << "\" idle-clients=\"" << all.idleClients << "\" view=\"" << all.mix.view << "\" any=\"" << all.mix.any
+      << "\" status=\"" << all.mix.status << "\" save=\"" << all.mix.save << "\"/>\n";
   for (const FaultEvent& faultEvent : all.faultEvents) {
     out << "  <fault at-ms=\"" << millis(faultEvent.at) << "\" kind=\"" << nameOf(faultEvent.kind)
         << "\" share=\"" << faultEvent.share << "\" for-ms=\"" << millis(faultEvent.duration) << "\"/>\n";
@@ -172,7 +172,7 @@
   Scenario out;
   out.name = attribute(root, "name");
   number(root, "seed", out.seed);
-  duration(root, "seconds", kMicrosPerSecond, out.length);
+  duration(root, "seconds", kMicrosPerSecond, out.duration);
   for (const Node* part : children(root)) {
     const std::string_view name = nameOf(part);
     if (name == "drivers") readGateways(part, out);
--- a/tests/deployment_play.h
+++ b/tests/deployment_play.h
@@ -1,4 +1,4 @@
-// What tests that play whole installations with the built program share.
+// Shared by the tests that play deployments with the built program.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,10 +26,10 @@
 inline Scenario quiet() {
   Scenario out;
   out.name = "quiet";
-  out.length = 5 * kS;
+  out.duration = 5 * kS;
   out.gateways = 4;
   out.groups = 2;
-  out.perGateway = 20;
+  out.requestsPerGateway = 20;
   out.patience = 2 * kS;
   out.endpoint.slowStartDuration = 2 * kS;
   out.hardStops = true;
--- a/tests/deployment_test.cpp
+++ b/tests/deployment_test.cpp
@@ -1,5 +1,5 @@
-// The emulator's emulated parts, its scenarios, and whole installations of real gateways through the hard
-// cases of a cold start.
+// The emulator's models, its scenarios, and deployments of real gateways through the hard cases of a cold
+// start.
 #include "emulator/deployment.h"
 
 #include <gtest/gtest.h>
@@ -21,29 +21,29 @@
 
 // ---- Models ----
 
-TEST(EmulatedEndpoint, IsSlowWhileItIsColdAndTurnsAwayWhatItHasNoRoomFor) {
+TEST(EmulatedEndpoint, IsSlowInSlowStartAndRejectsRequestsBeyondItsQueue) {
   EndpointCosts costs;
   costs.slots = 1;
   costs.queue = 2;
   costs.service = 10 * kMs;
   EndpointModel model(costs, false, 1);
-  EXPECT_EQ(model.warmth(kS), 1);
+  EXPECT_EQ(model.speedShare(kS), 1);
   model.start(kS);
-  EXPECT_DOUBLE_EQ(model.warmth(kS), 0.2);
+  EXPECT_DOUBLE_EQ(model.speedShare(kS), 0.2);
   EXPECT_DOUBLE_EQ(model.capacity(kS), 20);
-  EXPECT_DOUBLE_EQ(model.warmth(6 * kS), 0.6);
-  const auto first = model.ask(kS, false);
+  EXPECT_DOUBLE_EQ(model.speedShare(6 * kS), 0.6);
+  const auto first = model.request(kS, false);
   EXPECT_GE(first.at, kS + 25 * kMs);  // half of the mean at a fifth of the speed
   EXPECT_LE(first.at, kS + 75 * kMs);
   EXPECT_FALSE(model.hasCapacity(kS));
-  EXPECT_GT(model.ask(kS, false).at, first.at);
-  EXPECT_EQ(model.ask(kS, false).kind, EndpointModel::Verdict::Kind::Served);
-  EXPECT_EQ(model.ask(kS, false).kind, EndpointModel::Verdict::Kind::Full);
-  EXPECT_EQ(model.ask(kS, true).kind, EndpointModel::Verdict::Kind::NotPrimary);
+  EXPECT_GT(model.request(kS, false).at, first.at);
+  EXPECT_EQ(model.request(kS, false).kind, EndpointModel::RequestOutcome::Kind::Served);
+  EXPECT_EQ(model.request(kS, false).kind, EndpointModel::RequestOutcome::Kind::Full);
+  EXPECT_EQ(model.request(kS, true).kind, EndpointModel::RequestOutcome::Kind::NotPrimary);
   EXPECT_TRUE(model.hasCapacity(20 * kS));
 }
 
-TEST(EmulatedEndpoint, GivesSoManyConnectionsOneAfterTheOther) {
+TEST(EmulatedEndpoint, AcceptsConnectionsOneAfterTheOtherUpToItsLimit) {
   EndpointCosts costs;
   costs.connections = 2;
   costs.accept = kMs;
@@ -57,20 +57,20 @@
   EXPECT_EQ(model.connectionsTurnedAway(), 1U);
 }
 
-TEST(EmulatedEndpoint, KeepsItsLogThroughAFailover) {
+TEST(EmulatedEndpoint, KeepsItsLogPositionThroughAFailover) {
   EndpointModel replica({}, false, 1);
   EXPECT_EQ(replica.position(kS), kS - 100 * kMs);
-  replica.stall(kS);
+  replica.stopReplication(kS);
   EXPECT_EQ(replica.position(5 * kS), kS - 100 * kMs);
-  replica.lead();
+  replica.becomePrimary();
   EXPECT_TRUE(replica.primary());
   EXPECT_EQ(replica.position(6 * kS), 6 * kS);
-  replica.die(7 * kS);
+  replica.stop(7 * kS);
   EXPECT_FALSE(replica.primary());
   EXPECT_FALSE(replica.hasCapacity(8 * kS));
 }
 
-TEST(OpenLoop, AsksAtItsRateWhateverBecomesOfTheAnswers) {
+TEST(OpenLoop, SendsAtItsRateWhateverBecomesOfTheAnswers) {
   Arrivals arrivals(50, {}, 3, 7, 0);
   Arrivals same(50, {}, 3, 7, 0);
   std::map<RequestKind, int> kinds;
@@ -98,7 +98,7 @@
 
 // ---- Scenarios ----
 
-TEST(Scenarios, OfThisRepositoryAreGood) {
+TEST(Scenarios, OfThisRepositoryAreValid) {
   std::size_t count = 0;
   for (const auto& file : std::filesystem::directory_iterator(HEATHFLOW_SOURCE "/scenarios")) {
     if (file.path().extension() != ".xml") continue;
@@ -125,7 +125,7 @@
   return out;
 }
 
-TEST(Scenarios, ThatCanNotBePlayedSayWhy) {
+TEST(Scenarios, ReportWhyTheyCanNotBePlayed) {
   EXPECT_EQ(problemsOf("count=\"3\"", "", "per-driver=\"1\""), "");
   EXPECT_NE(problemsOf("", "", "per-driver=\"1\"").find("'count'"), std::string::npos);
   EXPECT_NE(problemsOf("count=\"3\" known=\"maybe\"", "", "per-driver=\"1\"").find("maybe"),
@@ -142,16 +142,15 @@
             std::string::npos);
 }
 
-// ---- Whole installations ----
-// Nothing is concluded from how fast this machine is: what is asked is that the rules hold, that nobody
-// crashes, and that all are served again in the end.
+// ---- Deployments ----
+// No test depends on the speed of the machine: the rules hold, no gateway crashes, and requests are served.
 
 Scenario small() {
   Scenario out;
   out.name = "small";
-  out.length = 4 * kS;
+  out.duration = 4 * kS;
   out.gateways = 6;
-  out.perGateway = 10;
+  out.requestsPerGateway = 10;
   out.patience = 4 * kS;
   out.endpoint.slowStartDuration = 3 * kS;
   out.list.line = kMs;
@@ -168,7 +167,7 @@
   return out;
 }
 
-TEST(ColdSites, AllColdAtOnceWithASlowListServiceAreServed) {
+TEST(ColdStart, ServesWhereAllAreColdAndTheListServiceIsSlow) {
   Scenario scenario = small();
   scenario.cold = true;
   scenario.list.line = 30 * kMs;
@@ -177,79 +176,77 @@
   EXPECT_GE(out.callsUntilListed, 6U);
 }
 
-TEST(ColdSites, AListOfEndpointsThatAreAllGoneIsReplaced) {
+TEST(ColdStart, ReplacesAListOfEndpointsThatAreAllGone) {
   Scenario scenario = small();
-  scenario.known = KnownList::Gone;
+  scenario.knownList = KnownList::Gone;
   EXPECT_TRUE(played(scenario).lastList);
 }
 
-TEST(ColdSites, EndpointsWithFewConnectionsAndABadOne) {
+TEST(ColdStart, KeepsTheRulesWithFewConnectionsAndASlowEndpoint) {
   Scenario scenario = small();
   scenario.cold = true;
   scenario.replicas = 3;
-  scenario.bad = 1;
+  scenario.slowReplicas = 1;
   scenario.endpoint.connections = 8;
   played(scenario);
 }
 
-TEST(ColdSites, ThePrimaryFailsOverDuringTheStart) {
+TEST(ColdStart, KeepsTheRulesThroughAFailover) {
   Scenario scenario = small();
   scenario.listUpAt = 500 * kMs;
   scenario.faultEvents = {{FaultEvent::Kind::KillPrimary, 300 * kMs, 1, kS}};
   played(scenario);
 }
 
-TEST(ColdSites, SevenInTenAreKilledUnderUnequalLoadAndComeBackWithTheirSnapshots) {
+TEST(ColdStart, KeepsTheRulesWhereSevenInTenRestartFromTheirSnapshots) {
   Scenario scenario = small();
   scenario.snapshot = true;
   scenario.busyShare = 0.2;
-  scenario.busyTimes = 10;
+  scenario.busyFactor = 10;
   scenario.faultEvents = {{FaultEvent::Kind::KillGateways, 1500 * kMs, 0.7, 500 * kMs}};
   played(scenario);
 }
 
-TEST(ColdSites, ARollOneAfterTheOtherLosesNothing) {
+TEST(ColdStart, LosesNothingInARollingRestart) {
   Scenario scenario = small();
-  scenario.length = 6 * kS;
+  scenario.duration = 6 * kS;
   scenario.faultEvents = {{FaultEvent::Kind::RollGateways, kS, 0.5, 2 * kS}};
   EXPECT_EQ(played(scenario).failed, 0U);
 }
 
-TEST(ColdSites, TheListServiceMovesWhileAllStart) {
+TEST(ColdStart, FindsAListServiceThatMovesMeanwhile) {
   Scenario scenario = small();
   scenario.list.line = 20 * kMs;
   scenario.faultEvents = {{FaultEvent::Kind::ListMoves, 200 * kMs, 1, kS}};
   EXPECT_TRUE(played(scenario).lastList);
 }
 
-// What a service tells counts, and not what its caller was told elsewhere: a gateway that starts between the
-// move and the drain learns of both at the new place.
-TEST(ColdSites, ADrainBehindAMoveIsToldAtTheNewPlace) {
+// A gateway that starts between the move and the drain learns of both at the new address.
+TEST(ColdStart, RespectsADrainAfterAMoveOfTheListService) {
   Scenario scenario = small();
-  scenario.length = 6 * kS;
+  scenario.duration = 6 * kS;
   scenario.groups = 2;
   scenario.replicas = 3;
-  scenario.perGateway = 40;
+  scenario.requestsPerGateway = 40;
   scenario.faultEvents = {{FaultEvent::Kind::ListMoves, 2000 * kMs, 1, 1500 * kMs},
                           {FaultEvent::Kind::KillGateways, 2100 * kMs, 0.5, 400 * kMs},
                           {FaultEvent::Kind::DrainEndpoints, 2200 * kMs, 0.4, kS}};
   played(scenario);
 }
 
-TEST(ColdSites, APauseOfHalfOfThemIsOver) {
+TEST(ColdStart, KeepsTheRulesAfterAPauseOfHalfOfTheGateways) {
   Scenario scenario = small();
   scenario.faultEvents = {{FaultEvent::Kind::PauseGateways, kS, 0.5, kS}};
   played(scenario);
 }
 
-TEST(ColdSites, TheListServiceComesBackWithAnOlderState) {
+TEST(ColdStart, KeepsTheRulesWhereTheListServiceHasAnOlderState) {
   Scenario scenario = small();
   scenario.faultEvents = {{FaultEvent::Kind::ListOlder, kS, 1, 500 * kMs}};
   played(scenario);
 }
 
-// A file that was cut, another gateway's or a later version's costs one log line and nothing else.
-TEST(ColdSites, GatewaysStartWithoutASnapshotThatCanNotBeUsed) {
+TEST(ColdStart, IgnoresAnUnusableSnapshot) {
   transport::EventLoop loop;
   Scenario scenario = small();
   scenario.gateways = 2;
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -1,5 +1,4 @@
-// The emulator: conditions on paths, the emulated list service, the judge, children, and several real
-// gateways between them.
+// The emulator's parts: link conditions, list service, judge, links, and several real gateways.
 #include <gtest/gtest.h>
 #include <netinet/in.h>
 #include <signal.h>
@@ -18,49 +17,49 @@
 namespace heathflow::test {
 namespace {
 
+using emulator::Direction;
 using emulator::Fault;
 using emulator::Judge;
 using emulator::LinkConditions;
 using emulator::ListModel;
 using emulator::RequestResult;
 using emulator::Rule;
-using emulator::Way;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
 // ---- LinkConditions ----
 
-TEST(LinkConditions, FollowsItsScheduleAndCutsOneWayOnly) {
+TEST(LinkConditions, FollowsItsScheduleAndCutsOneDirectionOnly) {
   Fault cut;
   cut.from = kS;
-  cut.cutBack = true;
+  cut.cutToClient = true;
   Fault healed;
   healed.from = 2 * kS;
   healed.delay = 30 * kMs;
   LinkConditions conditions({healed, cut}, 1);  // in any order
-  EXPECT_EQ(conditions.arrivals(0, Way::Back), std::vector<Micros>{0});
-  EXPECT_EQ(conditions.arrivals(kS, Way::Forth), std::vector<Micros>{kS});
-  EXPECT_TRUE(conditions.arrivals(kS, Way::Back).empty());
-  EXPECT_FALSE(conditions.streamArrival(kS, Way::Back, 0));
-  EXPECT_EQ(conditions.streamArrival(2 * kS, Way::Back, 0), 2 * kS + 30 * kMs);
-  EXPECT_EQ(conditions.streamArrival(2 * kS, Way::Back, 3 * kS), 3 * kS)
+  EXPECT_EQ(conditions.arrivals(0, Direction::ToClient), std::vector<Micros>{0});
+  EXPECT_EQ(conditions.arrivals(kS, Direction::ToServer), std::vector<Micros>{kS});
+  EXPECT_TRUE(conditions.arrivals(kS, Direction::ToClient).empty());
+  EXPECT_FALSE(conditions.streamArrival(kS, Direction::ToClient, 0));
+  EXPECT_EQ(conditions.streamArrival(2 * kS, Direction::ToClient, 0), 2 * kS + 30 * kMs);
+  EXPECT_EQ(conditions.streamArrival(2 * kS, Direction::ToClient, 3 * kS), 3 * kS)
       << "bytes of a stream keep their order";
   EXPECT_EQ(conditions.nextChangeAfter(0), kS);
   EXPECT_EQ(conditions.nextChangeAfter(kS), 2 * kS);
   EXPECT_FALSE(conditions.nextChangeAfter(2 * kS));
 }
 
-TEST(LinkConditions, LosesDoublesAndReordersByItsSeed) {
+TEST(LinkConditions, LosesDuplicatesAndReordersByItsSeed) {
   Fault bad;
   bad.loss = 0.3;
-  bad.twice = 0.2;
+  bad.duplicates = 0.2;
   bad.jitter = 50 * kMs;
   const auto play = [&](std::uint64_t seed) {
     LinkConditions conditions({bad}, seed);
     std::vector<Micros> out;
     for (int i = 0; i < 1000; ++i) {
-      for (const Micros when : conditions.arrivals(i * kMs, Way::Forth)) out.push_back(when);
+      for (const Micros when : conditions.arrivals(i * kMs, Direction::ToServer)) out.push_back(when);
     }
     return out;
   };
@@ -84,8 +83,8 @@
   return out;
 }
 
-TEST(ListService, ServesOneCallAtATimeAndTurnsAwayThoseThatWouldWaitTooLong) {
-  ListModel model({2 * kMs, kMs, 10 * kMs, 3});  // 5 ms a whole list
+TEST(ListService, ServesOneCallAtATimeAndRejectsThoseThatWouldWaitTooLong) {
+  ListModel model({2 * kMs, kMs, 10 * kMs, 3});  // 5 ms a complete list
   model.set(threeEntries());
   std::vector<ListModel::Answer> answers;
   for (int i = 0; i < 5; ++i) answers.push_back(*model.call(kS, -1, false));
@@ -100,7 +99,7 @@
   EXPECT_EQ(model.call(kS + 10 * kMs, -1, false)->kind, ListModel::Answer::Kind::Served);
 }
 
-TEST(ListService, TellsChangesSinceARevisionAndTheWholeListToWhoHoldsANewerOne) {
+TEST(ListService, SendsChangesSinceARevisionAndTheCompleteListToACallerWithANewerOne) {
   ListModel model({});
   auto entries = threeEntries();
   model.set(entries);
@@ -109,7 +108,7 @@
   model.set(entries);
   const std::string changes = model.call(0, 1, false)->body;
   EXPECT_NE(changes.find("\"complete\":false"), std::string::npos);
-  EXPECT_NE(changes.find("\"id\":\"m2\""), std::string::npos) << "the one that has gone";
+  EXPECT_NE(changes.find("\"id\":\"m2\""), std::string::npos) << "the removed one";
   EXPECT_NE(changes.find("\"Gone\""), std::string::npos);
   EXPECT_NE(changes.find("\"Terminating\""), std::string::npos);
   EXPECT_EQ(changes.find("\"id\":\"m0\""), std::string::npos);
@@ -118,7 +117,7 @@
   EXPECT_NE(model.call(0, 2, true)->body.find("\"complete\":true"), std::string::npos);
 }
 
-TEST(ListService, BreaksCallsAndTellsPartsAsItIsTold) {
+TEST(ListService, ResetsCallsAndLimitsEntriesWhereWanted) {
   ListModel model({});
   model.set(threeEntries());
   model.setResetShare(0.5, 1);
@@ -144,7 +143,7 @@
   return out;
 }
 
-TEST(Judged, AGoodRequestBreaksNothing) {
+TEST(JudgeTest, AcceptsAServedRequest) {
   Judge judge;
   judge.requestSent(read("1", 10 * kS));
   judge.attemptReceived("1", "m1", 10 * kS, 8 * kS);
@@ -154,7 +153,7 @@
   EXPECT_EQ(judge.byAnswer(RequestResult::Served), 1U);
 }
 
-TEST(Judged, AnswersThatAreMissingLateDoubleOrUnaskedFor) {
+TEST(JudgeTest, ReportsMissingLateDuplicateAndUnknownAnswers) {
   Judge judge;
   judge.requestSent(read("missing"));
   judge.requestSent(read("late"));
@@ -173,7 +172,7 @@
   EXPECT_EQ(judge.count(Rule::OneAnswer), 6U) << judge.verdict();
 }
 
-TEST(Judged, WhatAKilledGatewayHeldIsNotItsFault) {
+TEST(JudgeTest, ExemptsRequestsOfAKilledGateway) {
   Judge judge;
   judge.requestSent(read("held", kS));
   judge.gatewayKilled("n0", 2 * kS);
@@ -183,7 +182,7 @@
   EXPECT_NE(judge.breaches()[0].what.find("after"), std::string::npos);
 }
 
-TEST(Judged, SecondEffectsAndRejectionsOfWhatMayHaveRun) {
+TEST(JudgeTest, ReportsSecondEffectsAndRejectionsOfRequestsThatMayHaveRun) {
   Judge judge;
   Judge::ClientRequest write = read("w");
   write.bound.reset();
@@ -199,7 +198,7 @@
 }
 
 // A rejection promises that there will be no effect either.
-TEST(Judged, WhatReachesAnEndpointAfterItsRejection) {
+TEST(JudgeTest, ReportsAttemptsAfterARejection) {
   Judge judge;
   Judge::ClientRequest write = read("w");
   write.bound.reset();
@@ -211,7 +210,7 @@
   EXPECT_EQ(judge.count(Rule::NoSecondEffect), 1U);
 }
 
-TEST(Judged, AttemptsForTheDepartedAndTimesThatClientsDoNotHave) {
+TEST(JudgeTest, ReportsAttemptsAfterADisconnectAndTooLongForwardedDeadlines) {
   Judge judge;
   judge.requestSent(read("a"));
   judge.clientDisconnected("a", 10 * kMs);
@@ -228,18 +227,18 @@
   EXPECT_EQ(judge.count(Rule::DeadlineForwarded), 1U);
 }
 
-TEST(Judged, WhatAGatewayOwesAtItsEndIsItsFault) {
+TEST(JudgeTest, ReportsOpenRequestsOfAGatewayAtItsEnd) {
   Judge judge;
   judge.requestSent(read("a"));
   judge.gatewayEndedWithOpenRequests(read("a").gateway, kMs);
   EXPECT_EQ(judge.count(Rule::OneAnswer), 1U);
 }
 
-TEST(Judged, SendsToDrainingEndpointsStaleReadsAndColdEndpointsPushedOver) {
+TEST(JudgeTest, ReportsAttemptsToDrainingEndpointsStaleReadsAndOverloadInSlowStart) {
   Judge judge;
-  judge.notifications().started("n0", 0);
-  judge.notifications().changed("m1", emulator::ListedState::Draining, kS);
-  judge.notifications().written("n0", kS);
+  judge.notifications().gatewayStarted("n0", 0);
+  judge.notifications().endpointChanged("m1", emulator::ListedState::Draining, kS);
+  judge.notifications().answerWritten("n0", kS);
   judge.requestSent(read("d", kS));
   judge.attemptReceived("d", "m1", kS + 200 * kMs, kS);
   EXPECT_EQ(judge.count(Rule::DrainsRespected), 0U);
@@ -260,8 +259,8 @@
 
 // ---- Links ----
 
-struct EchoSite {
-  EchoSite() {
+struct EchoSetup {
+  EchoSetup() {
     endpoint.answer = [this](Line& line, const std::string&) { line.say(endpoint.value("echo")); };
   }
   transport::EventLoop loop;
@@ -269,8 +268,8 @@
   transport::SocketAddress any{kLoopback, 0};
 };
 
-TEST(StreamLinks, PassOnWhatComesAndDelayIt) {
-  EchoSite site;
+TEST(StreamLinks, ForwardAndDelay) {
+  EchoSetup site;
   Fault slow;
   slow.delay = 20 * kMs;
   emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), LinkConditions({slow}, 1));
@@ -282,16 +281,15 @@
   EXPECT_EQ(site.endpoint.statements.size(), 1U);
 }
 
-// What crosses a cut waits there, the other way goes on, and it arrives whole and in order once it heals.
-TEST(StreamLinks, HoldOneWayOnlyAndLoseNothing) {
-  EchoSite site;
+TEST(StreamLinks, HoldBackOneDirectionOfACutAndLoseNothing) {
+  EchoSetup site;
   emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), LinkConditions({}, 1));
   ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "0"));
   ASSERT_TRUE(client.answered(1));
   client.forget();
   Fault cut;
-  cut.cutBack = true;
+  cut.cutToClient = true;
   link.change(LinkConditions({cut}, 1));
   client.ask(request("any", "1"));
   client.ask(request("any", "2"));
@@ -303,8 +301,8 @@
   ASSERT_TRUE(client.answered(2));
 }
 
-TEST(StreamLinks, ResetWhatStandsAndRejectWhatComes) {
-  EchoSite site;
+TEST(StreamLinks, ResetOpenConnectionsAndRejectNewOnes) {
+  EchoSetup site;
   emulator::StreamLink link(site.loop, site.any, site.endpoint.socketAddress(), LinkConditions({}, 1));
   ClientStandIn client(site.loop, link.socketAddress());
   client.ask(request("any", "0"));
@@ -320,7 +318,7 @@
     // It did not even see the connection come up.
   }
   EXPECT_GE(link.rejected(), 1U);
-  EXPECT_EQ(link.passing(), 0U);
+  EXPECT_EQ(link.connections(), 0U);
 }
 
 transport::UniqueFd datagrams(transport::SocketAddress& at) {
@@ -333,14 +331,14 @@
   return fd;
 }
 
-TEST(DatagramLinks, LoseDoubleAndCutAndCarryAnswersBack) {
+TEST(DatagramLinks, LoseDuplicateAndForwardAnswers) {
   transport::EventLoop loop;
   transport::SocketAddress a, b;
   const auto from = datagrams(a);
   const auto to = datagrams(b);
   Fault bad;
   bad.loss = 0.5;
-  bad.twice = 0.5;
+  bad.duplicates = 0.5;
   emulator::DatagramLink link(loop, {kLoopback, 0}, b, LinkConditions({bad}, 3));
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -372,10 +370,9 @@
 
 // ---- Several gateways ----
 
-// A list service and one endpoint behind paths of their own, and gateways that start from a list that names
-// nobody.
-struct FleetSite {
-  explicit FleetSite(emulator::ListCosts costs, std::size_t gateways) : service(loop, costs) {
+// A list service behind a link for each gateway, one endpoint, and gateways that start from an empty list.
+struct GatewaysSetup {
+  explicit GatewaysSetup(emulator::ListCosts costs, std::size_t gateways) : service(loop, costs) {
     endpoint.primary = true;
     service.model().goBackTo(100);  // the gateways know revision 1
     service.set({entryOfEndpoint()});
@@ -423,14 +420,14 @@
 };
 
 TEST(Gateways, AllStartAtOnceWithASlowListService) {
-  FleetSite site({20 * kMs, 0, kS, {}}, 6);
+  GatewaysSetup site({20 * kMs, 0, kS, {}}, 6);
   site.start();
   EXPECT_TRUE(site.allServe());
   EXPECT_GE(site.service.model().calls(), 6U);
 }
 
 TEST(Gateways, StartWhileEverySecondCallIsReset) {
-  FleetSite site({kMs, 0, kS, {}}, 5);
+  GatewaysSetup site({kMs, 0, kS, {}}, 5);
   site.service.model().setResetShare(0.5, 3);
   site.start();
   EXPECT_TRUE(site.allServe());
@@ -438,7 +435,7 @@
 }
 
 TEST(Gateways, StartWithTheServiceDownAndServeOnceItIsBack) {
-  FleetSite site({kMs, 0, kS, {}}, 5);
+  GatewaysSetup site({kMs, 0, kS, {}}, 5);
   site.service.goDown();
   site.start();
   for (auto& child : site.children) {
@@ -449,8 +446,8 @@
   EXPECT_TRUE(site.allServe());
 }
 
-TEST(Gateways, ComeBackAfterAKillOfMostOfThem) {
-  FleetSite site({kMs, 0, kS, {}}, 6);
+TEST(Gateways, ServeAgainAfterAKillOfMostOfThem) {
+  GatewaysSetup site({kMs, 0, kS, {}}, 6);
   site.start();
   ASSERT_TRUE(site.allServe());
   for (std::size_t i = 0; i < 4; ++i) site.children[i]->restart();
@@ -458,10 +455,10 @@
   EXPECT_TRUE(site.allServe());
 }
 
-TEST(Gateways, AGatewayPausedBetweenItsCallAndTheAnswerGoesOn) {
-  FleetSite site({kMs, 0, kS, {}}, 2);
+TEST(Gateways, ServeAfterAPauseBetweenACallAndItsAnswer) {
+  GatewaysSetup site({kMs, 0, kS, {}}, 2);
   Fault held;
-  held.cutBack = true;
+  held.cutToClient = true;
   site.paths[0]->change(LinkConditions({held}, 1));
   site.start();
   ASSERT_TRUE(site.serves(*site.children[1]));
@@ -475,8 +472,8 @@
   EXPECT_FALSE(site.children[0]->over());
 }
 
-TEST(Gateways, AServiceThatAnswersWithAnOlderRevisionIsBelievedAsAWhole) {
-  FleetSite site({kMs, 0, kS, {}}, 1);
+TEST(Gateways, TakeTheCompleteListOfAServiceWithAnOlderRevision) {
+  GatewaysSetup site({kMs, 0, kS, {}}, 1);
   site.service.set({site.entryOfEndpoint()});
   site.service.set({site.entryOfEndpoint()});
   site.start();
@@ -488,10 +485,10 @@
   EXPECT_TRUE(site.serves(*site.children[0]));
 }
 
-TEST(Gateways, CountersAreReadAsNumbersAndNothingStaysBehind) {
+TEST(Gateways, LogTheirCountersAndEndWithTheEmulator) {
   pid_t pid = 0;
   {
-    FleetSite site({kMs, 0, kS, {}}, 1);
+    GatewaysSetup site({kMs, 0, kS, {}}, 1);
     site.start();
     ASSERT_TRUE(site.serves(*site.children[0]));
     Process& child = *site.children[0];
--- a/tests/list_outage_test.cpp
+++ b/tests/list_outage_test.cpp
@@ -1,5 +1,5 @@
-// Real gateways whose list service leaves them without a list for longer than the term on changes, while
-// endpoints go and come back: judged by what counts as told.
+// Real gateways that get no list for longer than the time within which changes have to be known, while
+// endpoints are removed and return.
 #include <gtest/gtest.h>
 
 #include "deployment_play.h"
@@ -12,23 +12,22 @@
 Scenario outage() {
   Scenario out = quiet();
   out.name = "list-outage";
-  out.length = 16 * kS;
+  out.duration = 16 * kS;
   out.gateways = 6;
-  out.perGateway = 40;
+  out.requestsPerGateway = 40;
   return out;
 }
 
-// Issue 47: the service turns every call away; a part of the endpoints is removed and comes back meanwhile.
-// The removal counts as told 6 s after it, the return 6 s after that, and the endpoints answer health checks
-// in between.
-TEST(ListOutages, NothingGoesToEndpointsThatWereRemovedAndAreBackWhileEveryCallIsRejected) {
+// Issue 47: the removal counts as known 6 s after it, the return 6 s after that, and the endpoints answer
+// health checks in between.
+TEST(ListOutages, NoAttemptsToReturnedEndpointsWhileEveryCallIsRejected) {
   Scenario scenario = outage();
   scenario.faultEvents = {{Is::ListCrowded, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
   expectKept(played(scenario));
 }
 
-// The same where the service is cut off from the gateways without a word.
-TEST(ListOutages, NothingGoesToEndpointsThatWereRemovedAndAreBackWhileEveryCallIsSilent) {
+// The same over cut links.
+TEST(ListOutages, NoAttemptsToReturnedEndpointsWhileEveryCallHangs) {
   Scenario scenario = outage();
   scenario.faultEvents = {{Is::CutList, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
   expectKept(played(scenario));
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -40,20 +40,20 @@
 
 // ---- Slopes ----
 
-TEST(Slope, FindsTheLineThatPointsLieOn) {
-  const Slope slope = fit({{10, 25}, {100, 205}, {1000, 2005}});
+TEST(LinearFit, FindsTheLineThatPointsLieOn) {
+  const LinearFit slope = fit({{10, 25}, {100, 205}, {1000, 2005}});
   EXPECT_NEAR(slope.base, 5, 1e-6);
   EXPECT_NEAR(slope.each, 2, 1e-6);
   EXPECT_NEAR(slope.residual, 0, 1e-6);
 }
 
-TEST(Slope, ShowsABendInItsResidual) {
+TEST(LinearFit, ShowsABendInItsResidual) {
   // As the square: no line is near all of it.
   EXPECT_GT(fit({{10, 100}, {100, 10'000}, {1000, 1'000'000}}).residual, 0.5);
 }
 
-TEST(Slope, OfOneSizeOrOfNothingIsABaseAlone) {
-  const Slope one = fit({{10, 7}, {10, 7}});
+TEST(LinearFit, OfOneSizeOrOfNothingIsABaseAlone) {
+  const LinearFit one = fit({{10, 7}, {10, 7}});
   EXPECT_NEAR(one.base, 7, 1e-9);
   EXPECT_EQ(one.each, 0);
   EXPECT_EQ(fit({{10, 0}}).base, 0);
@@ -164,7 +164,7 @@
   EXPECT_EQ(fleet.feed().meanWait(), 0);
 }
 
-TEST(HollowGateway, CallsTheListServiceAsARealOneDoesUnderTheSameSchedule) {
+TEST(ProtocolOnlyGateway, CallsTheListServiceAsARealOneDoesUnderTheSameSchedule) {
   std::uint64_t hollowBytes = 0, realBytes = 0;
   const auto hollow = callsUnderTheSchedule(planOf(1, 0), hollowBytes);
   const auto real = callsUnderTheSchedule(planOf(0, 1), realBytes);
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,5 +1,5 @@
-// The fault soak: its scenarios are good and repeatable, what breaks on purpose is seen, and a short play of
-// each kind of trouble keeps all rules.
+// The fault soak: its scenarios are valid and repeatable, breaches are found, and short plays with each kind
+// of fault keep all rules.
 #include <gtest/gtest.h>
 
 #include "deployment_play.h"
@@ -8,7 +8,7 @@
 namespace heathflow::emulator {
 namespace {
 
-TEST(SoakScenarios, AreTheSameFromTheSameSeedAndCanBePlayedAgain) {
+TEST(SoakScenarios, AreEqualForEqualSeedsAndAfterARoundTripThroughXml) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     const Scenario scenario = randomScenario(seed, {});
     const std::string text = textOf(scenario);
@@ -21,24 +21,24 @@
   }
 }
 
-// Everything that fails, at once, in every gateway.
-TEST(SoakPlays, KeepAllRulesUnderFailingCallsAndASteppedClock) {
+// All kinds of failing system calls at once, in every gateway.
+TEST(SoakPlays, KeepAllRulesUnderFailingSystemCallsAndASteppedClock) {
   Scenario scenario = quiet();
   scenario.faults =
       "short-read=0.05;short-write=0.05;interrupt=0.1;interrupt-io=0.1;socket=0.1;accept=0.1;connect=0.1;"
       "watch=0.05;create=0.2;listen=0.2;file-open=0.2;file-read=0.2;file-write=0.3;file-sync=0.3;"
       "file-rename=0.3;step=-900@0;step=+3600000@1000;step=-10000@2000";
   scenario.snapshot = true;
-  scenario.leaving = 0.1;
-  scenario.rough = 2;
+  scenario.disconnectShare = 0.1;
+  scenario.misbehavingClientsPerSecond = 2;
   scenario.faultEvents = {{FaultEvent::Kind::ReloadGateways, kS, 1, 0}};
   expectKept(played(scenario));
 }
 
-TEST(SoakPlays, KeepAllRulesWherePathsAndProcessesFailTogether) {
+TEST(SoakPlays, KeepAllRulesWhereLinksAndProcessesFailTogether) {
   Scenario scenario = quiet();
-  scenario.length = 8 * kS;
-  scenario.leaving = 0.1;
+  scenario.duration = 8 * kS;
+  scenario.disconnectShare = 0.1;
   scenario.faultEvents = {{FaultEvent::Kind::CutEndpoints, kS, 0.3, kS},
                           {FaultEvent::Kind::RollGateways, kS, 0.5, kS},
                           {FaultEvent::Kind::CutList, 1200 * kMs, 0.5, kS},
@@ -50,9 +50,9 @@
   expectKept(played(scenario));
 }
 
-TEST(SoakOracle, SeesAProgramThatDoesNotStart) {
+TEST(SoakResults, ReportAProgramThatDoesNotStart) {
   Scenario scenario = quiet();
-  scenario.length = kS;
+  scenario.duration = kS;
   scenario.gateways = 1;
   transport::EventLoop loop;
   const DeploymentResults results = Deployment(loop, scenario, ProgramPaths{"/bin/false", "", ""}).play();
@@ -60,8 +60,8 @@
   EXPECT_FALSE(results.crashes.empty());
 }
 
-// Without the library that fails calls nothing is played, rather than something else.
-TEST(SoakOracle, PlaysNoFailingCallsWithoutTheirLibrary) {
+// Guards a soak against playing its scenarios without their faults.
+TEST(SoakPlays, DoNotStartWithoutTheFaultLibrary) {
   Scenario scenario = quiet();
   scenario.faults = "short-read=0.1";
   transport::EventLoop loop;
