--- a/src/emulator/gateway_fleet.cpp
+++ b/src/emulator/gateway_fleet.cpp
@@ -10,7 +10,7 @@
 
 constexpr Micros kMicrosPerMilli = 1000;
 constexpr unsigned kEndpointsOfGroup = 11;
-constexpr unsigned kCutOneIn = 7;
+constexpr unsigned kCutOneOf = 7;
 constexpr std::uint64_t kSeedStep = 0x9E3779B97F4A7C15U;
 constexpr std::uint64_t kLinkSeed = 1;
 
@@ -20,9 +20,9 @@
          std::to_string(endpoint & 0xFFU) + ":5432";
 }
 
-LinkConditions clear() { return LinkConditions({}, kLinkSeed); }
+LinkConditions noFaults() { return LinkConditions({}, kLinkSeed); }
 
-LinkConditions silent() {
+LinkConditions cutBothWays() {
   Fault fault;
   fault.cutToServer = true;
   fault.cutToClient = true;
@@ -45,21 +45,21 @@
 GatewayFleet::GatewayFleet(transport::EventLoop& loop, const FleetPlan& plan,
                            std::vector<ListedEntry> entries)
     : plan_(plan), feed_(loop, std::move(entries)) {
-  if (plan.cuttable) {
+  if (plan.hasCutLink) {
     link_ = std::make_unique<StreamLink>(loop, transport::SocketAddress{test::kLoopback, 0},
-                                         feed_.socketAddress(), clear());
-    cuttable_ = (plan.hollow + kCutOneIn - 1) / kCutOneIn;
+                                         feed_.socketAddress(), noFaults());
+    cutCount_ = (plan.protocolOnly + kCutOneOf - 1) / kCutOneOf;
   }
-  for (unsigned i = 0; i < plan.hollow; ++i) {
-    const auto& discovery = i < cuttable_ ? link_->socketAddress() : feed_.socketAddress();
-    hollow_.push_back(std::make_unique<ProtocolOnlyGateway>(loop, configOf(i, discovery)));
+  for (unsigned i = 0; i < plan.protocolOnly; ++i) {
+    const auto& discovery = i < cutCount_ ? link_->socketAddress() : feed_.socketAddress();
+    protocolOnly_.push_back(std::make_unique<ProtocolOnlyGateway>(loop, configOf(i, discovery)));
   }
 }
 
 std::string GatewayFleet::configOf(std::size_t number, const transport::SocketAddress& discovery) const {
   test::GatewayOptions options;
   options.name = "n" + std::to_string(number);
-  options.gateways = plan_.hollow + plan_.real;
+  options.gateways = plan_.protocolOnly + plan_.real;
   options.sockets = 1024;
   options.knownRevision = 0;
   options.maxPollIntervalMs = plan_.maxPollInterval / kMicrosPerMilli;
@@ -71,33 +71,33 @@
 
 void GatewayFleet::start() {
   for (unsigned i = 0; i < plan_.real; ++i) {
-    const std::string config = configOf(plan_.hollow + i, feed_.socketAddress());
+    const std::string config = configOf(plan_.protocolOnly + i, feed_.socketAddress());
     real_.push_back(std::make_unique<ChildProcess>(plan_.program, config));
   }
-  for (const auto& gateway : hollow_) gateway->start();
+  for (const auto& gateway : protocolOnly_) gateway->start();
 }
 
-std::size_t GatewayFleet::endHalf() {
-  std::size_t ended = 0;
-  for (std::size_t i = 0; i < hollow_.size(); i += 2, ++ended) hollow_[i]->end();
-  for (std::size_t i = 0; i < real_.size(); i += 2, ++ended) real_[i]->kill();
-  return ended;
+std::size_t GatewayFleet::killHalf() {
+  std::size_t killed = 0;
+  for (std::size_t i = 0; i < protocolOnly_.size(); i += 2, ++killed) protocolOnly_[i]->kill();
+  for (std::size_t i = 0; i < real_.size(); i += 2, ++killed) real_[i]->kill();
+  return killed;
 }
 
-void GatewayFleet::startEnded() {
+void GatewayFleet::startKilled() {
   for (const auto& gateway : real_) {
     if (gateway->over()) gateway->restart();
   }
-  for (const auto& gateway : hollow_) {
+  for (const auto& gateway : protocolOnly_) {
     if (!gateway->up()) gateway->start();
   }
 }
 
 void GatewayFleet::cut() {
-  if (link_) link_->change(silent());
+  if (link_) link_->change(cutBothWays());
 }
-void GatewayFleet::heal() {
-  if (link_) link_->change(clear());
+void GatewayFleet::restore() {
+  if (link_) link_->change(noFaults());
 }
 
 }  // namespace heathflow::emulator
--- a/src/emulator/gateway_fleet.h
+++ b/src/emulator/gateway_fleet.h
@@ -1,5 +1,5 @@
-// Gateways of one emulated list service, for scale runs: some are processes of the program, the others
-// hollow.
+// Gateways of one emulated list service, for scale runs: processes of the program, and gateways without a
+// process of their own.
 #pragma once
 
 #include <memory>
@@ -15,40 +15,38 @@
 namespace heathflow::emulator {
 
 struct FleetPlan {
-  unsigned hollow = 0;
+  unsigned protocolOnly = 0;
   unsigned real = 0;
   Micros maxPollInterval = 10'000'000;
-  bool cuttable = false;  // a seventh of the hollow ones can be cut off from the list service
-  std::string program;    // the gateway
+  bool hasCutLink = false;  // a seventh of the protocol-only ones can be cut off from the list service
+  std::string program;      // of the real ones
 };
 
-// A list of so many endpoints, in groups of eleven. Nothing answers at their addresses, which are on
-// loopback.
+// A list of endpoints in groups of eleven. Nothing answers at their addresses, which are on loopback.
 std::vector<ListedEntry> listOf(unsigned endpoints);
 
 class GatewayFleet {
  public:
-  // Gateways know of no endpoint at first.
+  // Gateways start from an empty list.
   GatewayFleet(transport::EventLoop& loop, const FleetPlan& plan, std::vector<ListedEntry> entries);
 
-  // Begins a life of each gateway.
+  // Starts all gateways.
   void start();
-  // Ends every second gateway of each kind without a word; says how many. Not from within the loop's own
-  // turn.
-  std::size_t endHalf();
-  // Starts those that have ended.
-  void startEnded();
-  // Cuts a seventh off, or heals that. Nobody is told of either.
+  // Kills every second gateway of each kind and returns how many. Not from within a turn of the loop.
+  std::size_t killHalf();
+  // Starts those that were killed.
+  void startKilled();
+  // Cuts the links of a seventh, or restores them.
   void cut();
-  void heal();
+  void restore();
 
-  std::size_t size() const { return hollow_.size() + real_.size(); }
-  std::size_t cuttable() const { return cuttable_; }
+  std::size_t size() const { return protocolOnly_.size() + real_.size(); }
+  std::size_t cutCount() const { return cutCount_; }
   ListFeed& feed() { return feed_; }
-  // Gateways that watch and hold the list as it is now.
+  // How many gateways watch and have the current list.
   std::size_t upToDate() const { return feed_.watching(feed_.revision()); }
   std::vector<std::unique_ptr<ChildProcess>>& real() { return real_; }
-  const std::vector<std::unique_ptr<ProtocolOnlyGateway>>& hollow() const { return hollow_; }
+  const std::vector<std::unique_ptr<ProtocolOnlyGateway>>& protocolOnly() const { return protocolOnly_; }
 
  private:
   std::string configOf(std::size_t number, const transport::SocketAddress& discovery) const;
@@ -56,8 +54,8 @@
   FleetPlan plan_;
   ListFeed feed_;
   std::unique_ptr<StreamLink> link_;
-  std::size_t cuttable_ = 0;
-  std::vector<std::unique_ptr<ProtocolOnlyGateway>> hollow_;
+  std::size_t cutCount_ = 0;
+  std::vector<std::unique_ptr<ProtocolOnlyGateway>> protocolOnly_;
   std::vector<std::unique_ptr<ChildProcess>> real_;
 };
 
--- a/src/emulator/gossip.h
+++ b/src/emulator/gossip.h
@@ -1,4 +1,4 @@
-// What membership among gateways costs at a size, under a virtual clock: the real detector, counted.
+// The cost of membership among a number of gateways: the real failure detector under a virtual clock.
 #pragma once
 
 #include <functional>
@@ -9,14 +9,15 @@
 namespace heathflow::emulator {
 
 struct GossipCost {
-  double messagesPerSecond = 0;  // of each gateway
-  double wordsPerSecond = 0;     // in these, those of whole exchanges too
-  double deathKnownSeconds = 0;  // until all others know of one
+  double messagesPerSecond = 0;    // of each gateway
+  double wordsPerSecond = 0;       // in these messages, those of complete exchanges included
+  double failureKnownSeconds = 0;  // from the failure of a gateway until all others know of it
 };
 
-// Drivers that start together, settle for 'span', are counted over as long, and lose one. Nothing where
-// 'goesOn', which is asked each virtual second, says no, or the death is not known to all within a bound.
+// Gateways start together, settle for 'span', are measured for as long, and one of them fails.
+// @param continues  called each virtual second; false ends the measurement.
+// @return           nothing where it was ended, or not all gateways know of the failure in time.
 std::optional<GossipCost> gossipAt(unsigned gateways, membership::Micros span,
-                                   const std::function<bool()>& goesOn);
+                                   const std::function<bool()>& continues);
 
 }  // namespace heathflow::emulator
--- a/src/emulator/linear_fit.h
+++ b/src/emulator/linear_fit.h
@@ -1,4 +1,4 @@
-// A straight line through measured points, and how far they lie from it.
+// A straight line through measured points, and their distance from it.
 #pragma once
 
 #include <vector>
@@ -12,13 +12,12 @@
 
 struct LinearFit {
   double base = 0;      // at size 0
-  double each = 0;      // more with each further one
+  double each = 0;      // for each further one
   double residual = 0;  // the farthest point's distance from the line, as a share of that point's value
 };
 
-// The line with the least sum of squares of relative distances, so that small sizes count as much as large
-// ones and a bend shows in the residual. Points without a value above 0 don't count; of less than two sizes
-// there is a base alone.
+// The line with the least sum of squared relative distances, so that small sizes count as much as large ones.
+// Points without a value above 0 are left out; with fewer than two sizes there is only a base.
 LinearFit fit(const std::vector<Point>& points);
 
 }  // namespace heathflow::emulator
--- a/src/emulator/list_feed.cpp
+++ b/src/emulator/list_feed.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Micros kMicrosPerMilli = 1000;
-// Where no revision was told, and where answers with the whole list are kept.
+// Of a caller without a revision, and the key of answers with the complete list.
 constexpr std::int64_t kNoRevision = -1;
 constexpr const char* kDraining = "Terminating";
 constexpr const char* kReady = "Ready";
@@ -32,7 +32,7 @@
   entry.phase = entry.phase == kReady ? kDraining : kReady;
   changed_.push_back(endpoint);
   ++revision_;
-  made_.clear();
+  responses_.clear();
   for (auto& [line, waiting] : std::exchange(waiting_, {})) answer(*line, waiting.since);
 }
 
@@ -66,22 +66,22 @@
     traffic_.bytesIn += end + 4;
     const std::string call = line.got.substr(0, line.got.find("\r\n"));
     line.got.erase(0, end + 4);
-    called(line, call);
+    onCall(line, call);
   }
 }
 
-void ListFeed::called(test::Line& line, const std::string& call) {
+void ListFeed::onCall(test::Line& line, const std::string& call) {
   ++traffic_.calls;
   arrivals_.add(loop_.now());
   if (keepsCalls) calls.push_back(call);
   const std::int64_t since = numberOf(call, "since", kNoRevision);
   const Micros wait = numberOf(call, "timeout_ms", 0) * kMicrosPerMilli;
   const bool mayWait = since == revision_ && wait > kMicrosPerMilli;
-  if (mayWait) return hold(line, since, wait);
+  if (mayWait) return keepWaiting(line, since, wait);
   answer(line, since);
 }
 
-void ListFeed::hold(test::Line& line, std::int64_t since, Micros wait) {
+void ListFeed::keepWaiting(test::Line& line, std::int64_t since, Micros wait) {
   Waiting& waiting = waiting_[&line];
   waiting.since = since;
   waiting.wait = wait;
@@ -105,28 +105,28 @@
 }
 
 ListFeed::Text ListFeed::responseTo(std::int64_t since) {
-  const bool whole = wantsAll(since);
-  Text& made = made_[whole ? kNoRevision : since];
+  const bool complete = wantsAll(since);
+  Text& made = responses_[complete ? kNoRevision : since];
   if (made) return made;
   std::vector<std::size_t> endpoints;
-  if (whole) {
+  if (complete) {
     endpoints.resize(entries_.size());
     std::iota(endpoints.begin(), endpoints.end(), std::size_t{0});
   } else {
     const std::set<std::size_t> once(changed_.begin() + (since - kFirstRevision), changed_.end());
     endpoints.assign(once.begin(), once.end());
   }
-  made = makeResponse(whole, endpoints);
+  made = makeResponse(complete, endpoints);
   return made;
 }
 
-ListFeed::Text ListFeed::makeResponse(bool whole, const std::vector<std::size_t>& endpoints) const {
-  std::vector<ListedEntry> told;
-  told.reserve(endpoints.size());
-  for (const std::size_t endpoint : endpoints) told.push_back(entries_[endpoint]);
+ListFeed::Text ListFeed::makeResponse(bool complete, const std::vector<std::size_t>& endpoints) const {
+  std::vector<ListedEntry> entries;
+  entries.reserve(endpoints.size());
+  for (const std::size_t endpoint : endpoints) entries.push_back(entries_[endpoint]);
   const std::string body = "{\"revision\":" + std::to_string(revision_) +
-                           ",\"complete\":" + (whole ? "true" : "false") + ",\"members\":" + textOf(told) +
-                           "}";
+                           ",\"complete\":" + (complete ? "true" : "false") +
+                           ",\"members\":" + textOf(entries) + "}";
   return std::make_shared<const std::string>(
       "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
 }
--- a/src/emulator/list_feed.h
+++ b/src/emulator/list_feed.h
@@ -1,5 +1,5 @@
-// The emulated list service for large lists and many callers: the protocol of ListService without its costs.
-// An answer is made once for all callers that hold the same revision, and everything is counted.
+// An emulated list service for large lists and many callers: the protocol of ListService without costs.
+// Callers with the same revision share one answer, and all traffic is counted.
 #pragma once
 
 #include <cstdint>
@@ -18,26 +18,26 @@
 
 class ListFeed final : public test::Listening {
  public:
-  // The revision that it has at first.
+  // The revision at the start.
   static constexpr std::int64_t kFirstRevision = 100;
 
-  // What has crossed its connections so far.
+  // Totals over all connections.
   struct Traffic {
     std::uint64_t calls = 0;
     std::uint64_t bytesIn = 0;   // of the calls
-    std::uint64_t bytesOut = 0;  // of the answers, with their heads
+    std::uint64_t bytesOut = 0;  // of the answers, with their headers
     std::uint64_t completeLists = 0;
-    std::uint64_t deltas = 0;  // answers with something new that are no whole list
+    std::uint64_t deltas = 0;  // answers with changes alone
   };
 
   ListFeed(transport::EventLoop& loop, std::vector<ListedEntry> entries);
 
-  // One endpoint begins to drain or, where it does, is ready again. Watches that wait are told.
+  // An endpoint begins to drain or, where it drains, is ready again. Waiting watches are answered.
   void change(std::size_t endpoint);
-  // Watches that wait and hold this revision or a newer one. A gateway calls again once it has taken a list
-  // in, so that these are the gateways at which it is in force.
+  // How many waiting watches have this revision or a newer one. A gateway calls again once it uses a list, so
+  // that these are the gateways that use it.
   std::size_t watching(std::int64_t since) const;
-  // For how long the watches that wait now asked to, in the mean; 0 without one.
+  // The mean wait of the waiting watches; 0 without any.
   Micros meanWait() const;
   std::int64_t revision() const { return revision_; }
   std::size_t size() const { return entries_.size(); }
@@ -45,11 +45,11 @@
   // When calls came in since it was last up.
   const BurstCounter& arrivals() const { return arrivals_; }
 
-  // Down: connections break and new ones are rejected, until it is up again. Changes go on.
+  // While it is down connections break and new ones are reset. Changes go on.
   void goDown();
   void comeUp();
 
-  // The paths of all calls by their order, where they are kept.
+  // The paths of all calls in their order, if kept.
   bool keepsCalls = false;
   std::vector<std::string> calls;
 
@@ -62,17 +62,17 @@
   using Text = std::shared_ptr<const std::string>;
 
   void onLineInput(test::Line& line) override;
-  void called(test::Line& line, const std::string& call);
-  void hold(test::Line& line, std::int64_t since, Micros wait);
+  void onCall(test::Line& line, const std::string& call);
+  void keepWaiting(test::Line& line, std::int64_t since, Micros wait);
   void answer(test::Line& line, std::int64_t since);
   bool wantsAll(std::int64_t since) const { return since < kFirstRevision || since > revision_; }
   Text responseTo(std::int64_t since);
-  Text makeResponse(bool whole, const std::vector<std::size_t>& endpoints) const;
+  Text makeResponse(bool complete, const std::vector<std::size_t>& endpoints) const;
 
   std::vector<ListedEntry> entries_;
   std::vector<std::size_t> changed_;  // the endpoint that each revision after the first has changed
   std::int64_t revision_ = kFirstRevision;
-  std::map<std::int64_t, Text> made_;  // of this revision, by the caller's; of whole lists below the first
+  std::map<std::int64_t, Text> responses_;  // of this revision, by the caller's revision
   std::unordered_map<test::Line*, Waiting> waiting_;
   Traffic traffic_;
   BurstCounter arrivals_;
--- a/src/emulator/protocol_only_gateway.cpp
+++ b/src/emulator/protocol_only_gateway.cpp
@@ -5,8 +5,8 @@
 namespace heathflow::emulator {
 namespace {
 
-// The buffers of all hollow gateways come from one budget of the loop, which each would set to its own.
-constexpr std::size_t kMemoryOfAll = std::size_t{8} << 30;
+// All of them share one buffer budget of the loop, which each would set to its own.
+constexpr std::size_t kSharedMemory = std::size_t{8} << 30;
 
 }  // namespace
 
@@ -14,11 +14,11 @@
     : loop_(loop) {
   std::string problem;
   if (!program::parseConfig(configuration, config_, problem)) throw std::runtime_error(problem);
-  config_.memory = kMemoryOfAll;
+  config_.memory = kSharedMemory;
 }
 
 void ProtocolOnlyGateway::start() {
-  end();
+  kill();
   observer_ = std::make_unique<Silent>();
   gateway_ = std::make_unique<program::Gateway>(loop_, config_, *observer_);
   std::string problem;
--- a/src/emulator/protocol_only_gateway.h
+++ b/src/emulator/protocol_only_gateway.h
@@ -1,6 +1,6 @@
-// A hollow gateway: the program's own gateway, whole, beside many others in one process and on one loop. It
-// has the real protocol and the real decisions for calling the list service, watching, probing and
-// connecting; it has no process and no memory limit of its own, and nobody asks it for anything.
+// A gateway without a process of its own, many of which share one process and one loop. It calls and watches
+// the list service, sends health checks and connects as the program does; no client uses it, and it has no
+// memory limit of its own.
 #pragma once
 
 #include <memory>
@@ -15,15 +15,15 @@
 
 class ProtocolOnlyGateway {
  public:
-  // 'configuration': the text that the program would read at its start.
+  // @param configuration  the text that the program would read at its start.
   ProtocolOnlyGateway(transport::EventLoop& loop, const std::string& configuration);
 
-  // Begins a life; throws where the configuration or the listener can't be used.
+  // @throws std::runtime_error  where the listener can't be used.
   void start();
-  // Ends it without a word. Not from within the loop's own turn.
-  void end() { gateway_.reset(); }
+  // Ends it without a graceful shutdown. Not from within a turn of the loop.
+  void kill() { gateway_.reset(); }
   bool up() const { return gateway_ != nullptr; }
-  // Of the newest life.
+  // Of the newest incarnation.
   const routing::Counters& counters() const { return observer_->counters; }
 
  private:
--- a/src/emulator/scale.cpp
+++ b/src/emulator/scale.cpp
@@ -17,15 +17,15 @@
 constexpr Micros kMicrosPerSecond = 1'000'000;
 constexpr double kBytesPerKilobyte = 1024;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
-// The longest that anything is waited for.
-constexpr Micros kWaitMost = 60 * kMicrosPerSecond;
+// The longest wait for any condition.
+constexpr Micros kMaxWait = 60 * kMicrosPerSecond;
 constexpr Micros kTurn = 20 * kMicrosPerMilli;
-constexpr Micros kLookAtMemoryEvery = 500 * kMicrosPerMilli;
-// The part of the machine's memory that a run may take: one in so many.
-constexpr std::size_t kMemoryPart = 2;
-// Until a gateway's memory stands still behind what it was told.
-constexpr Micros kRest = kMicrosPerSecond;
-constexpr Micros kBurstSpan = 100 * kMicrosPerMilli;
+constexpr Micros kMemoryCheckInterval = 500 * kMicrosPerMilli;
+// A run may take the machine's memory divided by this.
+constexpr std::size_t kMemoryDivisor = 2;
+// Until the memory of a gateway is stable after connections were opened.
+constexpr Micros kMemorySettles = kMicrosPerSecond;
+constexpr Micros kBurstWindow = 100 * kMicrosPerMilli;
 constexpr std::size_t kAnsweringEndpoints = 3;
 
 double milliseconds(Micros time) { return static_cast<double>(time) / kMicrosPerMilli; }
@@ -60,39 +60,39 @@
 
 // ---- Time and bounds ----
 
-bool ScaleRun::step(Micros most) {
+bool ScaleRun::runTurn(Micros most) {
   loop_.turn(most);
-  if (!hooks_.goesOn()) outcome_.ended = true;
-  if (now() - memoryLookedAt_ > kLookAtMemoryEvery) {
-    memoryLookedAt_ = now();
+  if (!hooks_.continues()) outcome_.ended = true;
+  if (now() - memoryCheckedAt_ > kMemoryCheckInterval) {
+    memoryCheckedAt_ = now();
     std::size_t resident = usageOf(::getpid()).resident;
     for (const pid_t process : processes_) resident += usageOf(process).resident;
-    if (resident > machineMemory() / kMemoryPart)
+    if (resident > machineMemory() / kMemoryDivisor)
       outcome_.problems.push_back("more than half of the machine's memory was taken");
   }
-  return !over();
+  return !finished();
 }
 
-bool ScaleRun::wait(const std::string& what, const std::function<bool()>& condition) {
-  const Micros until = now() + kWaitMost;
-  while (!over() && !condition()) {
-    if (!step(kTurn)) return false;
+bool ScaleRun::awaitCondition(const std::string& what, const std::function<bool()>& condition) {
+  const Micros until = now() + kMaxWait;
+  while (!finished() && !condition()) {
+    if (!runTurn(kTurn)) return false;
     if (now() > until)
-      outcome_.problems.push_back(what + ": not within " + std::to_string(kWaitMost / kMicrosPerSecond) +
+      outcome_.problems.push_back(what + ": not within " + std::to_string(kMaxWait / kMicrosPerSecond) +
                                   " s");
   }
-  return !over();
+  return !finished();
 }
 
-bool ScaleRun::pass(Micros span) {
+bool ScaleRun::runFor(Micros span) {
   const Micros until = now() + span;
-  while (!over() && now() < until) {
-    if (!step(std::min(kTurn, until - now()))) return false;
+  while (!finished() && now() < until) {
+    if (!runTurn(std::min(kTurn, until - now()))) return false;
   }
-  return !over();
+  return !finished();
 }
 
-void ScaleRun::begin(const std::string& name) {
+void ScaleRun::startStep(const std::string& name) {
   processes_.clear();
   if (hooks_.onProgress) hooks_.onProgress(name);
 }
@@ -102,15 +102,15 @@
 FleetPlan ScaleRun::fleetOf(unsigned gateways, unsigned real) const {
   FleetPlan out;
   out.real = real;
-  out.hollow = gateways - real;
+  out.protocolOnly = gateways - real;
   out.maxPollInterval = plan_.maxPollInterval;
   out.program = program_;
   return out;
 }
 
 bool ScaleRun::waitUpToDate(GatewayFleet& fleet, std::size_t gateways) {
-  return wait(std::to_string(gateways) + " drivers watch an up to date list",
-              [&] { return fleet.upToDate() >= gateways; });
+  return awaitCondition(std::to_string(gateways) + " drivers watch an up to date list",
+                        [&] { return fleet.upToDate() >= gateways; });
 }
 
 bool ScaleRun::startFleet(GatewayFleet& fleet) {
@@ -131,7 +131,7 @@
   out.at = now();
   out.traffic = fleet.feed().traffic();
   for (const auto& gateway : fleet.real()) out.realProcessor += usageOf(gateway->pid()).processor;
-  out.rigProcessor = usageOf(::getpid()).processor;
+  out.emulatorProcessor = usageOf(::getpid()).processor;
   return out;
 }
 
@@ -140,8 +140,8 @@
 }
 
 void ScaleRun::gatewaysAt(const GatewaysPart& part, unsigned size) {
-  if (over()) return;
-  begin(std::to_string(size) + " drivers, " + std::to_string(part.endpoints) + " members");
+  if (finished()) return;
+  startStep(std::to_string(size) + " drivers, " + std::to_string(part.endpoints) + " members");
   GatewayFleet fleet(loop_, fleetOf(size, std::min(part.real, size / 2)), listOf(part.endpoints));
   const Micros startedAt = now();
   if (!startFleet(fleet)) return;
@@ -159,7 +159,7 @@
 void ScaleRun::quiet(const GatewaysPart& part, GatewayFleet& fleet) {
   const double watches = seconds(fleet.feed().meanWait());
   const Moment before = momentOf(fleet);
-  if (!pass(part.quiet)) return;
+  if (!runFor(part.quiet)) return;
   const Moment after = momentOf(fleet);
   const double size = static_cast<double>(fleet.size());
   const double span = seconds(after.at - before.at);
@@ -173,11 +173,12 @@
 }
 
 void ScaleRun::changesOneByOne(const GatewaysPart& part, GatewayFleet& fleet) {
-  if (over()) return;
+  if (finished()) return;
   const Moment before = momentOf(fleet);
   std::vector<Micros> times;
-  for (unsigned i = 0; i < part.changes && !over(); ++i) times.push_back(changeOnce(fleet, i, fleet.size()));
-  if (over()) return;
+  for (unsigned i = 0; i < part.changes && !finished(); ++i)
+    times.push_back(changeOnce(fleet, i, fleet.size()));
+  if (finished()) return;
   const Moment after = momentOf(fleet);
   const double size = static_cast<double>(fleet.size());
   auto& results = outcome_.results;
@@ -193,16 +194,16 @@
 // ---- A real gateway as the list and its changes grow ----
 
 void ScaleRun::endpointsAt(const EndpointsPart& part, unsigned size) {
-  if (over()) return;
-  begin(std::to_string(size) + " members, " + std::to_string(part.real) + " real drivers");
+  if (finished()) return;
+  startStep(std::to_string(size) + " members, " + std::to_string(part.real) + " real drivers");
   GatewayFleet fleet(loop_, fleetOf(part.real, part.real), listOf(size));
   if (!startFleet(fleet)) return;
   auto& results = outcome_.results;
   results.add("members", "whole_bytes", size, real(fleet.feed().traffic().bytesOut) / part.real);
   const Moment before = momentOf(fleet);
   results.add("members", "start_cpu_ms", size, milliseconds(before.realProcessor) / part.real);
-  for (unsigned i = 0; i < part.changes && !over(); ++i) changeOnce(fleet, i, part.real);
-  if (over()) return;
+  for (unsigned i = 0; i < part.changes && !finished(); ++i) changeOnce(fleet, i, part.real);
+  if (finished()) return;
   const Moment after = momentOf(fleet);
   const double changes = static_cast<double>(part.changes) * part.real;
   results.add("members", "change_bytes", size,
@@ -220,20 +221,20 @@
   const Micros start = now();
   for (std::size_t i = 0; i < count; ++i) {
     const Micros due = start + static_cast<Micros>(i) * span / static_cast<Micros>(count);
-    if (!pass(due - now())) return false;
+    if (!runFor(due - now())) return false;
     fleet.feed().change(i % fleet.feed().size());
   }
-  return !over();
+  return !finished();
 }
 
 void ScaleRun::changesAt(const ChangesPart& part, unsigned rate) {
-  if (over()) return;
-  begin(std::to_string(rate) + " changes a second, " + std::to_string(part.endpoints) + " members");
+  if (finished()) return;
+  startStep(std::to_string(rate) + " changes a second, " + std::to_string(part.endpoints) + " members");
   GatewayFleet fleet(loop_, fleetOf(part.real, part.real), listOf(part.endpoints));
   if (!startFleet(fleet)) return;
   const Moment before = momentOf(fleet);
   const auto count = static_cast<std::size_t>(rate * part.duration / kMicrosPerSecond);
-  if (!changeEvenly(fleet, count, part.duration) || !pass(before.at + part.duration - now())) return;
+  if (!changeEvenly(fleet, count, part.duration) || !runFor(before.at + part.duration - now())) return;
   const Moment after = momentOf(fleet);
   const double span = seconds(after.at - before.at) * part.real;
   auto& results = outcome_.results;
@@ -248,8 +249,8 @@
 // ---- Clients ----
 
 void ScaleRun::clients(const ClientsPart& part) {
-  if (over()) return;
-  begin("clients of one real driver");
+  if (finished()) return;
+  startStep("clients of one real driver");
   std::vector<std::unique_ptr<test::EndpointStandIn>> endpoints;
   std::vector<ListedEntry> entries = listOf(kAnsweringEndpoints);
   for (std::size_t i = 0; i < kAnsweringEndpoints; ++i) {
@@ -261,23 +262,26 @@
   GatewayFleet fleet(loop_, fleetOf(1, 1), entries);
   if (!startFleet(fleet)) return;
   ChildProcess& gateway = *fleet.real().front();
-  if (!wait("a driver serves", [&] { return gateway.socketAddress().has_value(); })) return;
+  if (!awaitCondition("a driver serves", [&] { return gateway.socketAddress().has_value(); })) return;
   IdleConnections clients(loop_, *gateway.socketAddress());
   auto& results = outcome_.results;
   for (const unsigned size : part.sizes) {
     clients.grow(size);
-    if (!wait("clients have an answer or are turned away", [&] { return clients.settled() >= size; })) return;
-    if (!pass(kRest)) return;
+    if (!awaitCondition("clients have an answer or are turned away",
+                        [&] { return clients.settled() >= size; }))
+      return;
+    if (!runFor(kMemorySettles)) return;
     const double resident = static_cast<double>(usageOf(gateway.pid()).resident);
     results.add("clients", "held", size, real(clients.openCount()));
-    // Of connections that all stand: behind those that were let go a gateway keeps some memory.
+    // Only where all connections are open: a gateway keeps some memory of closed ones.
     if (clients.openCount() == size)
       results.add("clients", "resident_kb", size, resident / kBytesPerKilobyte);
   }
-  begin("statements through one real driver");
+  startStep("statements through one real driver");
   const Moment before = momentOf(fleet);
-  clients.send(part.asking, part.statements);
-  if (!wait("all statements are answered", [&] { return clients.answered() >= part.statements; })) return;
+  clients.send(part.senders, part.statements);
+  if (!awaitCondition("all statements are answered", [&] { return clients.answered() >= part.statements; }))
+    return;
   const Moment after = momentOf(fleet);
   results.fact("statements", "count", real(clients.answered()));
   results.fact("statements", "failed", real(clients.failed()));
@@ -290,21 +294,21 @@
 
 void ScaleRun::gossip(const GossipPart& part) {
   for (const unsigned size : part.sizes) {
-    if (over()) return;
-    begin(std::to_string(size) + " drivers watch each other, in virtual time");
-    const auto cost = gossipAt(size, part.duration, [this] { return step(0); });
-    if (!cost && !over()) outcome_.problems.push_back("a death is known to all others: not in time");
+    if (finished()) return;
+    startStep(std::to_string(size) + " drivers watch each other, in virtual time");
+    const auto cost = gossipAt(size, part.duration, [this] { return runTurn(0); });
+    if (!cost && !finished()) outcome_.problems.push_back("a death is known to all others: not in time");
     if (!cost) return;
     outcome_.results.add("gossip", "messages_per_s", size, cost->messagesPerSecond);
     outcome_.results.add("gossip", "words_per_s", size, cost->wordsPerSecond);
-    outcome_.results.add("gossip", "death_known_s", size, cost->deathKnownSeconds);
+    outcome_.results.add("gossip", "death_known_s", size, cost->failureKnownSeconds);
   }
 }
 
 void ScaleRun::subsets(const SubsetsPart& part) {
   for (const unsigned size : part.sizes) {
-    if (over() || !step(0)) return;
-    begin("subsets of " + std::to_string(size) + " drivers");
+    if (finished() || !runTurn(0)) return;
+    startStep("subsets of " + std::to_string(size) + " drivers");
     const SubsetCost rendezvous = rendezvousCost(size, part.each);
     const SubsetCost dealt = dealtCost(size, part.each);
     auto& results = outcome_.results;
@@ -318,27 +322,27 @@
 // ---- Faults ----
 
 void ScaleRun::faults(const FaultsPart& part) {
-  if (over()) return;
-  begin("faults among " + std::to_string(part.gateways) + " drivers");
+  if (finished()) return;
+  startStep("faults among " + std::to_string(part.gateways) + " drivers");
   FleetPlan plan = fleetOf(part.gateways, std::min(part.real, part.gateways / 2));
-  plan.cuttable = true;
+  plan.hasCutLink = true;
   GatewayFleet fleet(loop_, plan, listOf(part.endpoints));
   if (!startFleet(fleet)) return;
   outcome_.results.fact("faults", "drivers", part.gateways);
-  if (!over()) restartHalf(fleet);
-  if (!over()) listAway(part, fleet);
-  if (!over()) cutSeventh(part, fleet);
-  if (!over()) burst(part, fleet);
+  if (!finished()) restartHalf(fleet);
+  if (!finished()) listServiceOutage(part, fleet);
+  if (!finished()) cutSeventh(part, fleet);
+  if (!finished()) burst(part, fleet);
   outcome_.results.fact("load", "faults", machineLoad());
 }
 
 void ScaleRun::restartHalf(GatewayFleet& fleet) {
   if (hooks_.onProgress) hooks_.onProgress("half of the drivers restart");
-  const std::size_t ended = fleet.endHalf();
+  const std::size_t ended = fleet.killHalf();
   const std::size_t left = fleet.size() - ended;
-  if (!wait("the others alone watch", [&] { return fleet.feed().watching(0) <= left; })) return;
+  if (!awaitCondition("the others alone watch", [&] { return fleet.feed().watching(0) <= left; })) return;
   const Moment before = momentOf(fleet);
-  fleet.startEnded();
+  fleet.startKilled();
   if (!waitUpToDate(fleet, fleet.size())) return;
   const Moment after = momentOf(fleet);
   auto& results = outcome_.results;
@@ -349,11 +353,11 @@
   results.fact("restart_half", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
 
-void ScaleRun::listAway(const FaultsPart& part, GatewayFleet& fleet) {
+void ScaleRun::listServiceOutage(const FaultsPart& part, GatewayFleet& fleet) {
   if (hooks_.onProgress) hooks_.onProgress("the list service goes away and comes back");
   fleet.feed().goDown();
   fleet.feed().change(0);
-  if (!pass(part.duration)) return;
+  if (!runFor(part.duration)) return;
   const Moment before = momentOf(fleet);
   fleet.feed().comeUp();
   if (!waitUpToDate(fleet, fleet.size())) return;
@@ -361,7 +365,7 @@
   auto& results = outcome_.results;
   results.fact("list_away", "in_force_ms", milliseconds(after.at - before.at));
   results.fact("list_away", "calls", real(after.traffic.calls - before.traffic.calls));
-  results.fact("list_away", "most_calls_in_100ms", real(fleet.feed().arrivals().mostWithin(kBurstSpan)));
+  results.fact("list_away", "most_calls_in_100ms", real(fleet.feed().arrivals().mostWithin(kBurstWindow)));
   results.fact("list_away", "whole_lists", real(after.traffic.completeLists - before.traffic.completeLists));
   results.fact("list_away", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
@@ -370,12 +374,12 @@
   if (hooks_.onProgress) hooks_.onProgress("a seventh is cut off and comes back");
   auto& results = outcome_.results;
   fleet.cut();
-  results.fact("cut_seventh", "drivers", real(fleet.cuttable()));
-  const Micros others = changeOnce(fleet, 1, fleet.size() - fleet.cuttable());
+  results.fact("cut_seventh", "drivers", real(fleet.cutCount()));
+  const Micros others = changeOnce(fleet, 1, fleet.size() - fleet.cutCount());
   results.fact("cut_seventh", "others_in_force_ms", milliseconds(others));
-  if (!pass(part.duration)) return;
+  if (!runFor(part.duration)) return;
   const Moment before = momentOf(fleet);
-  fleet.heal();
+  fleet.restore();
   if (!waitUpToDate(fleet, fleet.size())) return;
   const Moment after = momentOf(fleet);
   results.fact("cut_seventh", "in_force_ms", milliseconds(after.at - before.at));
--- a/src/emulator/scale.h
+++ b/src/emulator/scale.h
@@ -1,5 +1,5 @@
-// Plays a scale plan: gateways, endpoints, changes and clients at rising sizes, then faults, and what each of
-// them costs. Bounded in time and memory; all that it starts ends with it.
+// Plays a scale plan: measures gateways, endpoints, changes and clients at rising sizes, then faults. Bounded
+// in time and memory; everything that it starts ends with it.
 #pragma once
 
 #include <sys/types.h>
@@ -17,43 +17,44 @@
 
 struct ScaleOutcome {
   ScaleResults results;
-  std::vector<std::string> problems;  // what did not come about; none: the run is whole
-  bool ended = false;                 // early, as it was told to
+  std::vector<std::string> problems;  // conditions that were not reached; empty: the run is complete
+  bool ended = false;                 // early, by Hooks::continues
 };
 
 class ScaleRun {
  public:
   struct Hooks {
-    std::function<bool()> goesOn;                             // false ends it early
+    std::function<bool()> continues;                          // false ends it early
     std::function<void(const std::string& step)> onProgress;  // before each step
   };
-  // 'program': the gateway.
+  // @param program  the gateway.
   ScaleRun(transport::EventLoop& loop, const ScalePlan& plan, std::string program, Hooks hooks);
 
   ScaleOutcome play();
 
  private:
-  // What stands at one moment, for differences.
+  // Values at one moment, for differences.
   struct Moment {
     Micros at = 0;
     ListFeed::Traffic traffic;
     Micros realProcessor = 0;  // of all real gateways
-    Micros rigProcessor = 0;
+    Micros emulatorProcessor = 0;
   };
 
-  bool over() const { return outcome_.ended || !outcome_.problems.empty(); }
-  // Runs the loop until it is so. False, with a problem noted, where that takes too long or too much memory.
-  bool wait(const std::string& what, const std::function<bool()>& condition);
-  // Runs the loop for a span; false where the run is over.
-  bool pass(Micros span);
-  bool step(Micros most);
-  void begin(const std::string& step);
+  bool finished() const { return outcome_.ended || !outcome_.problems.empty(); }
+  // Runs the loop until the condition holds. False, with a problem, where that takes too long or too much
+  // memory.
+  bool awaitCondition(const std::string& what, const std::function<bool()>& condition);
+  // Runs the loop for a time; false where the run is finished.
+  bool runFor(Micros span);
+  bool runTurn(Micros most);
+  void startStep(const std::string& step);
   Micros now() { return loop_.clock().now(); }
 
   FleetPlan fleetOf(unsigned gateways, unsigned real) const;
   bool startFleet(GatewayFleet& fleet);
   bool waitUpToDate(GatewayFleet& fleet, std::size_t gateways);
-  // One change; how long until it was in force at so many gateways.
+  // Makes one change and returns how long it took to reach so many gateways.
   Micros changeOnce(GatewayFleet& fleet, std::size_t endpoint, std::size_t gateways);
   Moment momentOf(GatewayFleet& fleet);
 
@@ -68,10 +69,10 @@
   void subsets(const SubsetsPart& part);
   void faults(const FaultsPart& part);
   void restartHalf(GatewayFleet& fleet);
-  void listAway(const FaultsPart& part, GatewayFleet& fleet);
+  void listServiceOutage(const FaultsPart& part, GatewayFleet& fleet);
   void cutSeventh(const FaultsPart& part, GatewayFleet& fleet);
   void burst(const FaultsPart& part, GatewayFleet& fleet);
-  // So many changes evenly over a span, up to the last of them; false where the run is over.
+  // Makes a number of changes evenly over a time; false where the run is finished.
   bool changeEvenly(GatewayFleet& fleet, std::size_t count, Micros span);
 
   transport::EventLoop& loop_;
@@ -80,7 +81,7 @@
   Hooks hooks_;
   ScaleOutcome outcome_;
   std::vector<pid_t> processes_;  // of the step that runs
-  Micros memoryLookedAt_ = 0;
+  Micros memoryCheckedAt_ = 0;
 };
 
 }  // namespace heathflow::emulator
--- a/src/emulator/scale_plan.cpp
+++ b/src/emulator/scale_plan.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char* kSpace = "urn:heathflow:scale:1";
 constexpr Micros kMicrosPerSecond = 1'000'000;
-// Of a hollow gateway here: its listener, its watch, and the list service's end of that.
+// Of a protocol-only gateway: its listener, its watch, and the list service's side of the watch.
 constexpr std::size_t kDescriptorsOfHollow = 3;
 // Of a real one: its log, and the list service's end of its watch.
 constexpr std::size_t kDescriptorsOfReal = 2;
@@ -65,7 +65,7 @@
 ClientsPart readClients(const Node* node) {
   ClientsPart out;
   out.sizes = sizesOf(node);
-  number(node, "asking", out.asking);
+  number(node, "asking", out.senders);
   number(node, "statements", out.statements);
   return out;
 }
@@ -124,31 +124,31 @@
 
 void check(const ScalePlan& plan, Checker& checker) {
   if (plan.gateways) {
-    checker.sizes("drivers", plan.gateways->sizes, kGatewaysMost);
-    checker.atMost("drivers", "a list", plan.gateways->endpoints, kEndpointsMost);
+    checker.sizes("drivers", plan.gateways->sizes, kMaxGateways);
+    checker.atMost("drivers", "a list", plan.gateways->endpoints, kMaxEndpoints);
   }
   if (plan.endpoints) {
-    checker.sizes("members", plan.endpoints->sizes, kEndpointsMost);
+    checker.sizes("members", plan.endpoints->sizes, kMaxEndpoints);
     checker.someReal("members", plan.endpoints->real);
   }
   if (plan.changes) {
-    checker.sizes("changes", plan.changes->sizes, kChangesMost);
-    checker.atMost("changes", "a list", plan.changes->endpoints, kEndpointsMost);
+    checker.sizes("changes", plan.changes->sizes, kMaxChanges);
+    checker.atMost("changes", "a list", plan.changes->endpoints, kMaxEndpoints);
     checker.someReal("changes", plan.changes->real);
   }
-  if (plan.clients) checker.sizes("clients", plan.clients->sizes, kClientsMost);
+  if (plan.clients) checker.sizes("clients", plan.clients->sizes, kMaxClients);
   if (plan.gossip) {
-    checker.sizes("gossip", plan.gossip->sizes, kGatewaysMost);
+    checker.sizes("gossip", plan.gossip->sizes, kMaxGateways);
     checker.notAlone("gossip", plan.gossip->sizes);
   }
   if (plan.subsets) {
-    checker.sizes("subsets", plan.subsets->sizes, kGatewaysMost);
+    checker.sizes("subsets", plan.subsets->sizes, kMaxGateways);
     checker.notAlone("subsets", plan.subsets->sizes);
   }
   if (plan.faults) {
-    checker.atMost("faults", "a number of drivers", plan.faults->gateways, kGatewaysMost);
-    checker.atMost("faults", "a list", plan.faults->endpoints, kEndpointsMost);
-    checker.atMost("faults", "a burst", plan.faults->burst, kChangesMost);
+    checker.atMost("faults", "a number of drivers", plan.faults->gateways, kMaxGateways);
+    checker.atMost("faults", "a list", plan.faults->endpoints, kMaxEndpoints);
+    checker.atMost("faults", "a burst", plan.faults->burst, kMaxChanges);
   }
 }
 
--- a/src/emulator/scale_plan.h
+++ b/src/emulator/scale_plan.h
@@ -18,7 +18,7 @@
 struct GatewaysPart {
   Sizes sizes;
   unsigned endpoints = 100;
-  unsigned real = 10;  // processes among them, at the most half; the others are hollow
+  unsigned real = 10;  // processes among them, at most half; the others are protocol-only
   transport::Micros quiet = 10'000'000;
   unsigned changes = 5;  // one after the other
 };
@@ -41,23 +41,23 @@
 // Connections of clients to one real gateway.
 struct ClientsPart {
   Sizes sizes;
-  unsigned asking = 16;
+  unsigned senders = 16;
   unsigned statements = 10'000;
 };
 
-// Gateways that watch each other, in virtual time.
+// Gateways that exchange gossip, in virtual time.
 struct GossipPart {
   Sizes sizes;
   transport::Micros duration = 30'000'000;
 };
 
-// Gateways of which each group has so many.
+// Subsets of gateways for each group.
 struct SubsetsPart {
   Sizes sizes;
   unsigned each = 20;
 };
 
-// What befalls gateways of one list service.
+// Faults of gateways of one list service.
 struct FaultsPart {
   unsigned gateways = 0;
   unsigned endpoints = 100;
@@ -66,7 +66,7 @@
   unsigned burst = 100;  // changes in one second
 };
 
-// A part that is not named is not run.
+// A part that the plan does not have is not run.
 struct ScalePlan {
   std::string name;
   transport::Micros maxPollInterval = 10'000'000;
@@ -79,20 +79,20 @@
   std::optional<FaultsPart> faults;
 };
 
-// What one machine can play.
-inline constexpr unsigned kGatewaysMost = 3'300;
-inline constexpr unsigned kEndpointsMost = 33'000;
-inline constexpr unsigned kChangesMost = 1'000;  // a second
-inline constexpr unsigned kClientsMost = 1'000;
+// Limits of one machine.
+inline constexpr unsigned kMaxGateways = 3'300;
+inline constexpr unsigned kMaxEndpoints = 33'000;
+inline constexpr unsigned kMaxChanges = 1'000;  // a second
+inline constexpr unsigned kMaxClients = 1'000;
 
 std::string_view scaleSchema();
 
-// Nothing where it can't be used; then 'problems' holds all that is wrong with it.
+// @return  nothing where the plan can't be used; then 'problems' has all that is wrong with it.
 std::optional<ScalePlan> loadScalePlan(const std::string& path, std::vector<xml::Problem>& problems);
 std::optional<ScalePlan> parseScalePlan(const std::string& path, std::string_view text,
                                         std::vector<xml::Problem>& problems);
 
-// The most descriptors that this process needs for it at once.
+// How many descriptors this process needs for it at once.
 std::size_t descriptorsFor(const ScalePlan& plan);
 
 }  // namespace heathflow::emulator
--- a/src/emulator/scale_results.h
+++ b/src/emulator/scale_results.h
@@ -1,4 +1,4 @@
-// What a scale run has measured, by parts and sizes, and how it is told: JSON, a table, columns for a chart.
+// The measurements of a scale run, by parts and sizes, as JSON, a table, or columns for a chart.
 #pragma once
 
 #include <string>
--- a/src/emulator/subset_cost.cpp
+++ b/src/emulator/subset_cost.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 using Places = std::vector<std::size_t>;
-// Who serves a group while the first so many of the gateways are there.
+// Which gateways serve a group where only the first 'gateways' of them are there.
 using Choice = std::function<Places(std::size_t group, std::size_t gateways)>;
 
 constexpr unsigned kGroups = 10;
--- a/src/emulator/subset_cost.h
+++ b/src/emulator/subset_cost.h
@@ -1,4 +1,4 @@
-// What subsets of gateways for each group cost at a size: balance, and what moves when one gateway goes.
+// The cost of subsets of gateways for each group: balance, and what moves when a gateway is removed.
 #pragma once
 
 #include <cstddef>
@@ -6,11 +6,12 @@
 namespace heathflow::emulator {
 
 struct SubsetCost {
-  double mostOverMean = 0;  // groups of the gateway that has most, by the mean of all
-  double movedShare = 0;    // of all pairs of group and gateway, when one gateway goes: new ones
+  double mostOverMean = 0;  // groups of the gateway with the most, by the mean of all
+  double movedShare = 0;    // new pairs of group and gateway after the removal of a gateway, of all pairs
 };
 
-// Ten groups for eleven gateways, each served by so many ('each').
+// Ten groups for eleven gateways.
+// @param each  how many gateways serve a group.
 SubsetCost rendezvousCost(unsigned gateways, unsigned each);
 SubsetCost dealtCost(unsigned gateways, unsigned each);
 
--- a/src/emulator/usage.h
+++ b/src/emulator/usage.h
@@ -1,4 +1,4 @@
-// What a process has used, and what the machine has for it: read from the system's own records.
+// Resources that a process uses, and those of the machine, from the records of the system.
 #pragma once
 
 #include <sys/types.h>
@@ -13,10 +13,10 @@
 struct Usage {
   transport::Micros processor = 0;  // of all its threads, user and system
   std::size_t resident = 0;         // bytes, now
-  std::size_t residentMost = 0;     // bytes, at the most
+  std::size_t residentMost = 0;     // bytes, the peak
 };
 
-// Of a process that lives; all 0 where there is none.
+// Of a running process; all 0 where there is none.
 Usage usageOf(pid_t process);
 
 // All memory of the machine, bytes.
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// Scale runs in their small form: hollow gateways beside real ones, what they call and carry by count, and
-// the figures that come of it.
+// Scale runs in their small form: protocol-only gateways beside real ones, what they call and carry by count,
+// and the figures that come of it.
 #include "emulator/scale.h"
 
 #include <arpa/inet.h>
@@ -25,9 +25,9 @@
 // So that no watch ends by its own time within a test: it lasts a quarter of this.
 constexpr Micros kAskWithin = 60'000'000;
 
-FleetPlan planOf(unsigned hollow, unsigned real) {
+FleetPlan planOf(unsigned protocolOnly, unsigned real) {
   FleetPlan out;
-  out.hollow = hollow;
+  out.protocolOnly = protocolOnly;
   out.real = real;
   out.maxPollInterval = kAskWithin;
   out.program = kProgram;
@@ -145,9 +145,9 @@
   feed.change(7);
   feed.comeUp();
   EXPECT_TRUE(allUpToDate(loop, fleet));
-  EXPECT_EQ(fleet.endHalf(), 1U);
+  EXPECT_EQ(fleet.killHalf(), 1U);
   EXPECT_TRUE(test::until(loop, [&] { return feed.watching(0) == 0; }));
-  fleet.startEnded();
+  fleet.startKilled();
   EXPECT_TRUE(allUpToDate(loop, fleet));
   bytesOut = feed.traffic().bytesOut;
   return callsOf(feed);
@@ -165,11 +165,11 @@
 }
 
 TEST(ProtocolOnlyGateway, CallsTheListServiceAsARealOneDoesUnderTheSameSchedule) {
-  std::uint64_t hollowBytes = 0, realBytes = 0;
-  const auto hollow = callsUnderTheSchedule(planOf(1, 0), hollowBytes);
+  std::uint64_t protocolOnlyBytes = 0, realBytes = 0;
+  const auto protocolOnly = callsUnderTheSchedule(planOf(1, 0), protocolOnlyBytes);
   const auto real = callsUnderTheSchedule(planOf(0, 1), realBytes);
-  EXPECT_EQ(hollow, real);
-  EXPECT_EQ(hollowBytes, realBytes);
+  EXPECT_EQ(protocolOnly, real);
+  EXPECT_EQ(protocolOnlyBytes, realBytes);
   // A watch that breaks on a connection that has carried calls before is called again as it was.
   const auto call = [](int since, int wait) {
     return "GET /v1/endpoints?since=" + std::to_string(since) + "&timeout_ms=" + std::to_string(wait) +
@@ -186,7 +186,7 @@
 TEST(GatewayFleet, ThatIsHealedHearsAtOnceHoweverLongItsPathHasStood) {
   transport::EventLoop loop(transport::Clock::byHand(transport::Clock().now()));
   FleetPlan plan = planOf(1, 0);
-  plan.cuttable = true;
+  plan.hasCutLink = true;
   GatewayFleet fleet(loop, plan, listOf(20));
   const Micros start = loop.now();
   fleet.start();
@@ -199,7 +199,7 @@
   ASSERT_TRUE(test::until(loop, [&] { return loop.now() > cutUntil; }));
   EXPECT_EQ(fleet.upToDate(), 0U);
   const Micros healed = loop.now();
-  fleet.heal();
+  fleet.restore();
   ASSERT_TRUE(allUpToDate(loop, fleet));
   EXPECT_LE(loop.now() - healed, 100'000);  // of the loop's own clock, which only timers move
 }
