--- a/src/emulator/hollow.cpp
+++ b/src/emulator/protocol_only_gateway.cpp
@@ -1,22 +1,22 @@
-#include "emulator/hollow.h"
+#include "emulator/protocol_only_gateway.h"
 
 #include <stdexcept>
 
 namespace heathflow::emulator {
 namespace {
 
-// The buffers of all hollow gateways come from one budget of the loop, which each would set to its own.
-constexpr std::size_t kMemoryOfAll = std::size_t{8} << 30;
+// All of them share one buffer budget of the loop, which each would set to its own.
+constexpr std::size_t kSharedMemory = std::size_t{8} << 30;
 
 }  // namespace
 
-HollowGateway::HollowGateway(transport::EventLoop& loop, const std::string& configuration)
+ProtocolOnlyGateway::ProtocolOnlyGateway(transport::EventLoop& loop, const std::string& configuration)
     : loop_(loop), config_(program::parseConfig(configuration)) {
-  config_.memory = kMemoryOfAll;
+  config_.memory = kSharedMemory;
 }
 
-void HollowGateway::start() {
-  end();
+void ProtocolOnlyGateway::start() {
+  kill();
   observer_ = std::make_unique<Silent>();
   gateway_ = std::make_unique<program::Gateway>(loop_, config_, *observer_);
   if (const auto error = gateway_->listen()) throw std::runtime_error(error->text);
