--- a/src/emulator/client_load.cpp
+++ b/src/emulator/client_load.cpp
@@ -4,6 +4,7 @@
 #include <utility>
 
 #include "common/uniform.h"
+#include "emulator/units.h"
 #include "standins/pg_bytes.h"
 
 namespace heathflow::emulator {
@@ -12,7 +13,6 @@
 constexpr transport::Stream::Limits kLimits = {1 << 20, 1 << 20};
 // A request that finds all connections busy is not sent.
 constexpr std::size_t kMaxConnections = 64;
-constexpr Micros kMicrosPerMilli = 1000;
 // How long a client waits beyond its deadline before it closes the connection.
 constexpr Micros kCloseAfterDeadline = 600 * kMicrosPerMilli;
 // A connection that a gateway closes within this time of a request may have crossed it: the request was not
--- a/src/emulator/emulated_endpoint.cpp
+++ b/src/emulator/emulated_endpoint.cpp
@@ -3,13 +3,12 @@
 #include <optional>
 #include <utility>
 
+#include "emulator/units.h"
 #include "protocol/request_comment.h"
 
 namespace heathflow::emulator {
 namespace {
 
-constexpr Micros kMicrosPerMilli = 1000;
-
 // Seconds with three decimals, as load reports have positions.
 std::string secondsOf(Micros at) {
   const std::string millis = std::to_string(1000 + at / kMicrosPerMilli % 1000).substr(1);
--- a/src/emulator/endpoint_model.cpp
+++ b/src/emulator/endpoint_model.cpp
@@ -3,11 +3,11 @@
 #include <algorithm>
 
 #include "common/uniform.h"
+#include "emulator/units.h"
 
 namespace heathflow::emulator {
 namespace {
 
-constexpr Micros kMicrosPerSecond = 1'000'000;
 // The cost of a request lies evenly between these shares of the mean.
 constexpr double kMinCostShare = 0.5, kCostShareRange = 1.0;
 
--- a/src/emulator/gateway_fleet.cpp
+++ b/src/emulator/gateway_fleet.cpp
@@ -3,12 +3,12 @@
 #include <sstream>
 #include <utility>
 
+#include "emulator/units.h"
 #include "standins/gateway_rig.h"
 
 namespace heathflow::emulator {
 namespace {
 
-constexpr Micros kMicrosPerMilli = 1000;
 constexpr unsigned kEndpointsOfGroup = 11;
 constexpr unsigned kCutOneOf = 7;
 constexpr std::uint64_t kSeedStep = 0x9E3779B97F4A7C15U;
--- a/src/emulator/judge.cpp
+++ b/src/emulator/judge.cpp
@@ -4,6 +4,8 @@
 #include <cmath>
 #include <utility>
 
+#include "emulator/units.h"
+
 namespace heathflow::emulator {
 namespace {
 
@@ -12,7 +14,6 @@
                                                     "drains kept",   "cold members spared",
                                                     "no stale read", "nothing for the afterDisconnect",
                                                     "time told",     "invariants kept"};
-constexpr Micros kMicrosPerSecond = 1'000'000;
 
 }  // namespace
 
--- a/src/emulator/list_feed.cpp
+++ b/src/emulator/list_feed.cpp
@@ -6,10 +6,11 @@
 #include <set>
 #include <utility>
 
+#include "emulator/units.h"
+
 namespace heathflow::emulator {
 namespace {
 
-constexpr Micros kMicrosPerMilli = 1000;
 // Of a caller without a revision, and the key of answers with the complete list.
 constexpr std::int64_t kNoRevision = -1;
 constexpr const char* kDraining = "Terminating";
--- a/src/emulator/list_service.cpp
+++ b/src/emulator/list_service.cpp
@@ -3,11 +3,11 @@
 #include <cstdlib>
 #include <utility>
 
+#include "emulator/units.h"
+
 namespace heathflow::emulator {
 namespace {
 
-constexpr Micros kMicrosPerMilli = 1000;
-
 // A number in the query of a call; 'otherwise' where there is none.
 std::int64_t numberOf(const std::string& call, const std::string& name, std::int64_t otherwise) {
   const std::size_t at = call.find(name + "=");
--- a/src/emulator/misbehaving_clients.cpp
+++ b/src/emulator/misbehaving_clients.cpp
@@ -5,13 +5,12 @@
 #include <utility>
 
 #include "common/uniform.h"
+#include "emulator/units.h"
 #include "standins/pg_bytes.h"
 
 namespace heathflow::emulator {
 namespace {
 
-constexpr Micros kMicrosPerMilli = 1000;
-constexpr Micros kMicrosPerSecond = 1'000'000;
 // A client that sends nothing readable, or stops, is owed an error or a close within 3 s, by the operators'
 // terms; with some slack.
 constexpr Micros kErrorWithin = 3'300'000;
--- a/src/emulator/scale.cpp
+++ b/src/emulator/scale.cpp
@@ -8,13 +8,12 @@
 #include "emulator/gossip.h"
 #include "emulator/idle_connections.h"
 #include "emulator/subset_cost.h"
+#include "emulator/units.h"
 #include "standins/standins.h"
 
 namespace heathflow::emulator {
 namespace {
 
-constexpr Micros kMicrosPerMilli = 1000;
-constexpr Micros kMicrosPerSecond = 1'000'000;
 constexpr double kBytesPerKilobyte = 1024;
 constexpr double kBytesPerMegabyte = 1024 * 1024;
 // The longest wait for any condition.
@@ -25,10 +24,8 @@
 constexpr std::size_t kMemoryDivisor = 2;
 // Until the memory of a gateway is stable after connections were opened.
 constexpr Micros kMemorySettles = kMicrosPerSecond;
-constexpr Micros kBurstWindow = 100 * kMicrosPerMilli;
 constexpr std::size_t kAnsweringEndpoints = 3;
 
-double milliseconds(Micros time) { return static_cast<double>(time) / kMicrosPerMilli; }
 double seconds(Micros time) { return static_cast<double>(time) / kMicrosPerSecond; }
 double real(std::uint64_t count) { return static_cast<double>(count); }
 std::uint64_t bytesOf(const ListFeed::Traffic& traffic) { return traffic.bytesIn + traffic.bytesOut; }
@@ -146,7 +143,7 @@
   const Micros startedAt = now();
   if (!startFleet(fleet)) return;
   const auto& traffic = fleet.feed().traffic();
-  outcome_.results.add("drivers", "start_ms", size, milliseconds(now() - startedAt));
+  outcome_.results.add("drivers", "start_ms", size, toMilliseconds(now() - startedAt));
   outcome_.results.add("drivers", "start_whole_lists", size, real(traffic.completeLists));
   outcome_.results.add("drivers", "start_bytes", size, real(bytesOf(traffic)));
   quiet(part, fleet);
@@ -182,9 +179,9 @@
   const Moment after = momentOf(fleet);
   const double size = static_cast<double>(fleet.size());
   auto& results = outcome_.results;
-  results.add("drivers", "in_force_ms_median", size, milliseconds(medianOf(times)));
+  results.add("drivers", "in_force_ms_median", size, toMilliseconds(medianOf(times)));
   results.add("drivers", "in_force_ms_worst", size,
-              milliseconds(*std::max_element(times.begin(), times.end())));
+              toMilliseconds(*std::max_element(times.begin(), times.end())));
   results.add("drivers", "change_deltas", size,
               real(after.traffic.deltas - before.traffic.deltas) / part.changes);
   results.add("drivers", "change_bytes", size,
@@ -201,7 +198,7 @@
   auto& results = outcome_.results;
   results.add("members", "whole_bytes", size, real(fleet.feed().traffic().bytesOut) / part.real);
   const Moment before = momentOf(fleet);
-  results.add("members", "start_cpu_ms", size, milliseconds(before.realProcessor) / part.real);
+  results.add("members", "start_cpu_ms", size, toMilliseconds(before.realProcessor) / part.real);
   for (unsigned i = 0; i < part.changes && !finished(); ++i) changeOnce(fleet, i, part.real);
   if (finished()) return;
   const Moment after = momentOf(fleet);
@@ -347,7 +344,7 @@
   const Moment after = momentOf(fleet);
   auto& results = outcome_.results;
   results.fact("restart_half", "drivers", real(ended));
-  results.fact("restart_half", "in_force_ms", milliseconds(after.at - before.at));
+  results.fact("restart_half", "in_force_ms", toMilliseconds(after.at - before.at));
   results.fact("restart_half", "whole_lists",
                real(after.traffic.completeLists - before.traffic.completeLists));
   results.fact("restart_half", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
@@ -363,7 +360,7 @@
   if (!waitUpToDate(fleet, fleet.size())) return;
   const Moment after = momentOf(fleet);
   auto& results = outcome_.results;
-  results.fact("list_away", "in_force_ms", milliseconds(after.at - before.at));
+  results.fact("list_away", "in_force_ms", toMilliseconds(after.at - before.at));
   results.fact("list_away", "calls", real(after.traffic.calls - before.traffic.calls));
   results.fact("list_away", "most_calls_in_100ms", real(fleet.feed().arrivals().mostWithin(kBurstWindow)));
   results.fact("list_away", "whole_lists", real(after.traffic.completeLists - before.traffic.completeLists));
@@ -376,13 +373,13 @@
   fleet.cut();
   results.fact("cut_seventh", "drivers", real(fleet.cutCount()));
   const Micros others = changeOnce(fleet, 1, fleet.size() - fleet.cutCount());
-  results.fact("cut_seventh", "others_in_force_ms", milliseconds(others));
+  results.fact("cut_seventh", "others_in_force_ms", toMilliseconds(others));
   if (!runFor(part.duration)) return;
   const Moment before = momentOf(fleet);
   fleet.restore();
   if (!waitUpToDate(fleet, fleet.size())) return;
   const Moment after = momentOf(fleet);
-  results.fact("cut_seventh", "in_force_ms", milliseconds(after.at - before.at));
+  results.fact("cut_seventh", "in_force_ms", toMilliseconds(after.at - before.at));
   results.fact("cut_seventh", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
 }
 
@@ -395,7 +392,7 @@
   const Moment after = momentOf(fleet);
   auto& results = outcome_.results;
   results.fact("burst", "changes", part.burst);
-  results.fact("burst", "in_force_ms_after_last", milliseconds(after.at - last));
+  results.fact("burst", "in_force_ms_after_last", toMilliseconds(after.at - last));
   results.fact("burst", "calls", real(after.traffic.calls - before.traffic.calls));
   results.fact("burst", "bytes", real(bytesOf(after.traffic) - bytesOf(before.traffic)));
   const double processes = real(std::max<std::size_t>(1, fleet.real().size()));
--- a/src/emulator/scale_plan.cpp
+++ b/src/emulator/scale_plan.cpp
@@ -4,6 +4,7 @@
 #include <sstream>
 
 #include "emulator/file_text.h"
+#include "emulator/units.h"
 namespace heathflow::emulator {
 namespace {
 
@@ -12,7 +13,6 @@
 using xml::Node;
 
 constexpr const char* kSpace = "urn:heathflow:scale:1";
-constexpr Micros kMicrosPerSecond = 1'000'000;
 // Of a protocol-only gateway: its listener, its watch, and the list service's side of the watch.
 constexpr std::size_t kDescriptorsOfHollow = 3;
 // Of a real one: its log, and the list service's end of its watch.
--- a/src/emulator/scenario.cpp
+++ b/src/emulator/scenario.cpp
@@ -5,6 +5,7 @@
 #include <sstream>
 
 #include "emulator/file_text.h"
+#include "emulator/units.h"
 #include "faultshim/fault_plan.h"
 namespace heathflow::emulator {
 namespace {
@@ -16,8 +17,6 @@
 using xml::numberOf;
 
 constexpr const char* kSpace = "urn:heathflow:scenario:1";
-constexpr Micros kMicrosPerMilli = 1000;
-constexpr Micros kMicrosPerSecond = 1'000'000;
 constexpr std::array<const char*, 17> kKinds = {
     "kill-drivers", "roll-drivers", "pause-drivers", "kill-primary",  "restart-members", "drain-members",
     "list-down",    "list-older",   "list-moves",    "list-crowded",  "logs-unread",     "reload-drivers",
