--- a/src/emulator/judge.cpp
+++ b/src/emulator/judge.cpp
@@ -10,10 +10,9 @@
 namespace {
 
 constexpr std::size_t kMaxBreaches = 1000;
-constexpr std::array<const char*, kRules> kNames = {"one answer",    "no second effect",
-                                                    "drains kept",   "cold members spared",
-                                                    "no stale read", "nothing for the afterDisconnect",
-                                                    "time told",     "invariants kept"};
+constexpr std::array<const char*, kRules> kNames = {
+    "one answer",    "no second effect",         "drains kept", "cold members spared",
+    "no stale read", "nothing for the departed", "time told",   "invariants kept"};
 
 }  // namespace
 
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -133,5 +133,14 @@
   EXPECT_EQ(judge.count(Rule::SlowStartRespected), 1U) << "the window has passed";
 }
 
+// Guards against renaming the keys of the JSON results along with the code.
+TEST(JudgeTest, NamesOfRulesAreTheKeysOfTheResults) {
+  std::vector<std::string> names;
+  for (std::size_t i = 0; i < kRules; ++i) names.emplace_back(nameOf(static_cast<Rule>(i)));
+  EXPECT_EQ(names, (std::vector<std::string>{"one answer", "no second effect", "drains kept",
+                                             "cold members spared", "no stale read",
+                                             "nothing for the departed", "time told", "invariants kept"}));
+}
+
 }  // namespace
 }  // namespace heathflow::emulator
