--- a/src/emulator/judge.cpp
+++ b/src/emulator/judge.cpp
@@ -4,15 +4,15 @@
 #include <cmath>
 #include <utility>
 
+#include "emulator/units.h"
+
 namespace heathflow::emulator {
 namespace {
 
 constexpr std::size_t kMaxBreaches = 1000;
-constexpr std::array<const char*, kRules> kNames = {"one answer",    "no second effect",
-                                                    "drains kept",   "cold members spared",
-                                                    "no stale read", "nothing for the afterDisconnect",
-                                                    "time told",     "invariants kept"};
-constexpr Micros kMicrosPerSecond = 1'000'000;
+constexpr std::array<const char*, kRules> kNames = {
+    "one answer",    "no second effect",         "drains kept", "cold members spared",
+    "no stale read", "nothing for the departed", "time told",   "invariants kept"};
 
 }  // namespace
 
