--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -72,4 +72,17 @@
   cppcheck --quiet --std=c++20 --language=c++ -I src --enable=warning,performance,portability --inline-suppr \
     --suppress=missingIncludeSystem --error-exitcode=1 -j "$(nproc)" src || fail "cppcheck"
 fi
+# clang-tidy over src/, but for what scripts/clang-tidy-waiting.txt lists. .clang-tidy argues its checks.
+run_clang_tidy() {
+  local build=build-tidy waiting header_filter
+  cmake -B "$build" -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DHEATHFLOW_EMULATOR=ON >/dev/null || return 1
+  waiting=$(sed -E '/^(#|$)/d; s/\./\\./g; s/.*/^&(\/|$)/' scripts/clang-tidy-waiting.txt)
+  echo "clang-tidy: not checked yet: $(grep -vE '^(#|$)' scripts/clang-tidy-waiting.txt | paste -sd' ' -)"
+  # A waiting header has no findings in the files that include it either.
+  header_filter=$(git ls-files 'src/*.h' | grep -vE -f <(echo "$waiting") | sed 's/\./\\./g' | paste -sd'|' -)
+  git ls-files 'src/*.cpp' | grep -vE -f <(echo "$waiting") |
+    xargs -P "${LINT_JOBS:-$(nproc)}" -n 1 clang-tidy -p "$build" --quiet --header-filter="/($header_filter)\$" \
+      2> >(grep -vE '^[0-9]+ warnings? |^Suppressed |^Use -header-filter' >&2)
+}
+if command -v clang-tidy >/dev/null; then run_clang_tidy || fail "clang-tidy"; fi
 exit "$failed"
--- a/scripts/packages.sh
+++ b/scripts/packages.sh
@@ -5,7 +5,7 @@
 
 need=(g++ cmake make nlohmann-json3-dev libcli11-dev libspdlog-dev libxml2-dev libxxhash-dev libmsgpack-cxx-dev
   libboost-dev libgtest-dev gnuplot-nox)
-[[ ${1:-} == ci ]] && need+=(clang-format cppcheck clang libclang-rt-14-dev)
+[[ ${1:-} == ci ]] && need+=(clang-format clang-tidy cppcheck clang libclang-rt-14-dev)
 missing=()
 for package in "${need[@]}"; do
   dpkg-query -W -f='${Status}' "$package" 2>/dev/null | grep -q 'install ok installed' || missing+=("$package")
--- a/src/protocol/bolt_message.cpp
+++ b/src/protocol/bolt_message.cpp
@@ -7,7 +7,6 @@
 namespace {
 
 using packstream::Flaw;
-using packstream::Head;
 using packstream::Reader;
 using packstream::Type;
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -25,14 +25,14 @@
 // No time, count or share is below 0 or beyond what it is kept in; where time begins may be.
 enum class Sign { Positive, Any };
 
-template <typename T, Sign sign = Sign::Positive>
+template <typename T, Sign kSign = Sign::Positive>
 T read(const Json& object, const char* key) {
   const Json& value = need(object, key);
   if constexpr (std::is_arithmetic_v<T> && !std::is_same_v<T, bool>) {
     if (!value.is_number()) wrong(key, "of the wrong type");
     const auto given = value.get<double>();
-    if (sign == Sign::Positive && given < 0) wrong(key, "below 0");
-    if (sign == Sign::Any && given <= static_cast<double>(std::numeric_limits<T>::lowest()))
+    if (kSign == Sign::Positive && given < 0) wrong(key, "below 0");
+    if (kSign == Sign::Any && given <= static_cast<double>(std::numeric_limits<T>::lowest()))
       wrong(key, "that is too small");
     if (given >= static_cast<double>(std::numeric_limits<T>::max())) wrong(key, "that is too large");
   }
