--- a/src/protocol/packstream.cpp
+++ b/src/protocol/packstream.cpp
@@ -140,94 +140,105 @@
   return true;
 }
 
+bool Reader::readInteger(unsigned width, Head& out) {
+  out.type = Type::Integer;
+  std::uint64_t value = 0;
+  if (!number(width, value)) return false;
+  // The sign is the highest bit of the width.
+  const unsigned unused = 64 - 8 * width;
+  out.integer = static_cast<std::int64_t>(value << unused) >> unused;
+  return true;
+}
+
+bool Reader::readSize(unsigned width, Type type, Head& out) {
+  out.type = type;
+  std::uint64_t value = 0;
+  if (!number(width, value)) return false;
+  out.size = static_cast<std::size_t>(value);
+  return true;
+}
+
+// Markers that hold the size in their lower four bits.
+bool Reader::readTinyHead(std::uint8_t marker, Head& out) {
+  out.size = marker & 0x0F;
+  switch (marker & 0xF0) {
+    case 0x80:
+      out.type = Type::Text;
+      return content(out.size, out);
+    case 0x90:
+      out.type = Type::List;
+      return true;
+    case 0xA0:
+      out.type = Type::Map;
+      return true;
+    default:
+      break;
+  }
+  out.type = Type::Structure;
+  std::uint64_t tag = 0;
+  if (!number(1, tag)) return false;
+  out.tag = static_cast<std::uint8_t>(tag);
+  return true;
+}
+
+// Markers that give the type alone; a size or a value follows them.
+bool Reader::readFullHead(std::uint8_t marker, Head& out) {
+  std::uint64_t value = 0;
+  switch (marker) {
+    case 0xC0:
+      out.type = Type::Null;
+      return true;
+    case 0xC1:
+      out.type = Type::Float;
+      return number(8, value);
+    case 0xC2:
+    case 0xC3:
+      out.type = Type::Boolean;
+      out.boolean = marker == 0xC3;
+      return true;
+    case 0xC8:
+    case 0xC9:
+    case 0xCA:
+    case 0xCB:
+      return readInteger(1U << (marker - 0xC8), out);
+    case 0xCC:
+    case 0xCD:
+    case 0xCE:
+      return readSize(1U << (marker - 0xCC), Type::Bytes, out) && content(out.size, out);
+    case 0xD0:
+    case 0xD1:
+    case 0xD2:
+      return readSize(1U << (marker - 0xD0), Type::Text, out) && content(out.size, out);
+    case 0xD4:
+    case 0xD5:
+    case 0xD6:
+      return readSize(1U << (marker - 0xD4), Type::List, out);
+    case 0xD8:
+    case 0xD9:
+    case 0xDA:
+      return readSize(1U << (marker - 0xD8), Type::Map, out);
+    default:
+      return fail(Flaw::UnknownMarker);
+  }
+}
+
+bool Reader::readHead(Head& out) {
+  if (at_ >= bytes_.size()) return fail(Flaw::CutShort);
+  const std::uint8_t marker = byteAt(bytes_, at_++);
+  // Integers from -16 to 127 are their own marker.
+  if (marker < 0x80 || marker >= 0xF0) {
+    out.type = Type::Integer;
+    out.integer = marker < 0x80 ? marker : marker - 0x100;
+    return true;
+  }
+  return marker < 0xC0 ? readTinyHead(marker, out) : readFullHead(marker, out);
+}
+
 std::optional<Head> Reader::head() {
   if (flaw_ != Flaw::None) return std::nullopt;
   const std::size_t before = at_;
   Head out;
-  const auto good = [&]() -> bool {
-    if (at_ >= bytes_.size()) return fail(Flaw::CutShort);
-    const std::uint8_t marker = byteAt(bytes_, at_++);
-    std::uint64_t value = 0;
-    const auto sized = [&](Type type, unsigned width) {
-      out.type = type;
-      if (!number(width, value)) return false;
-      out.size = static_cast<std::size_t>(value);
-      return true;
-    };
-    const auto integer = [&](unsigned width) {
-      out.type = Type::Integer;
-      if (!number(width, value)) return false;
-      // The sign stands in the highest bit of the width.
-      const unsigned unused = 64 - 8 * width;
-      out.integer = static_cast<std::int64_t>(value << unused) >> unused;
-      return true;
-    };
-    if (marker < 0x80 || marker >= 0xF0) {
-      out.type = Type::Integer;
-      out.integer = static_cast<std::int8_t>(marker);
-      return true;
-    }
-    out.size = marker & 0x0F;
-    switch (marker & 0xF0) {
-      case 0x80:
-        out.type = Type::Text;
-        return content(out.size, out);
-      case 0x90:
-        out.type = Type::List;
-        return true;
-      case 0xA0:
-        out.type = Type::Map;
-        return true;
-      case 0xB0:
-        out.type = Type::Structure;
-        if (!number(1, value)) return false;
-        out.tag = static_cast<std::uint8_t>(value);
-        return true;
-      default:
-        break;
-    }
-    out.size = 0;
-    switch (marker) {
-      case 0xC0:
-        out.type = Type::Null;
-        return true;
-      case 0xC1:
-        out.type = Type::Float;
-        return number(8, value);
-      case 0xC2:
-      case 0xC3:
-        out.type = Type::Boolean;
-        out.boolean = marker == 0xC3;
-        return true;
-      case 0xC8:
-        return integer(1);
-      case 0xC9:
-        return integer(2);
-      case 0xCA:
-        return integer(4);
-      case 0xCB:
-        return integer(8);
-      case 0xCC:
-      case 0xCD:
-      case 0xCE:
-        return sized(Type::Bytes, 1U << (marker - 0xCC)) && content(out.size, out);
-      case 0xD0:
-      case 0xD1:
-      case 0xD2:
-        return sized(Type::Text, 1U << (marker - 0xD0)) && content(out.size, out);
-      case 0xD4:
-      case 0xD5:
-      case 0xD6:
-        return sized(Type::List, 1U << (marker - 0xD4));
-      case 0xD8:
-      case 0xD9:
-      case 0xDA:
-        return sized(Type::Map, 1U << (marker - 0xD8));
-      default:
-        return fail(Flaw::UnknownMarker);
-    }
-  };
-  if (good()) return out;
+  if (readHead(out)) return out;
   at_ = before;
   return std::nullopt;
 }
--- a/src/protocol/packstream.h
+++ b/src/protocol/packstream.h
@@ -57,6 +57,11 @@
 
  private:
   bool fail(Flaw flaw);
+  bool readHead(Head& out);
+  bool readTinyHead(std::uint8_t marker, Head& out);
+  bool readFullHead(std::uint8_t marker, Head& out);
+  bool readInteger(unsigned width, Head& out);
+  bool readSize(unsigned width, Type type, Head& out);
   bool number(unsigned size, std::uint64_t& out);
   bool content(std::size_t size, Head& out);
   bool skip(unsigned depth);
--- a/src/protocol/pg_client.cpp
+++ b/src/protocol/pg_client.cpp
@@ -8,12 +8,26 @@
 
 constexpr std::string_view kUser = "api";
 constexpr std::string_view kDatabase = "ledger";
-// Of ParameterStatus, as PROTOCOL names them.
+// Parameters of ParameterStatus, as PROTOCOL names them.
 constexpr std::string_view kRoleParameter = "mode";
 constexpr std::string_view kPositionParameter = "wal_time";
 constexpr std::string_view kReportParameter = "stats";
-constexpr std::string_view kPrimaryWord = "read-write";
-constexpr std::string_view kReplicaWord = "read-only";
+constexpr std::string_view kPrimaryValue = "read-write";
+constexpr std::string_view kReplicaValue = "read-only";
+
+// Types of an endpoint's messages.
+constexpr char kAuthentication = 'R';
+constexpr char kBackendKeyData = 'K';
+constexpr char kCommandComplete = 'C';
+constexpr char kDataRow = 'D';
+constexpr char kEmptyQueryResponse = 'I';
+constexpr char kErrorResponse = 'E';
+constexpr char kNegotiateProtocolVersion = 'v';
+constexpr char kNoticeResponse = 'N';
+constexpr char kNotificationResponse = 'A';
+constexpr char kParameterStatus = 'S';
+constexpr char kReadyForQuery = 'Z';
+constexpr char kRowDescription = 'T';
 
 Slice sliceOf(std::string_view piece, std::string_view bytes) {
   return {static_cast<std::size_t>(piece.data() - bytes.data()), piece.size()};
@@ -38,11 +52,11 @@
 
 void PgClient::queried() {
   phase_ = Phase::Busy;
-  answering_ = settled_ = false;
+  answering_ = outcomeKnown_ = false;
   answer_ = PgAnswer{};
 }
 
-// A row of one column. NULL is no value that an endpoint made.
+// Reads a row of one column; NULL is not a valid value.
 bool PgClient::readRow(const Cut& cut) {
   if (cut.body.size() < 6 || readU16(cut.body, 0) != 1) return false;
   const std::uint32_t size = readU32(cut.body, 2);
@@ -56,8 +70,8 @@
   const auto name = takeText(body);
   const auto value = name ? takeText(body) : std::nullopt;
   if (!value) return;
-  if (*name == kRoleParameter && *value == kPrimaryWord) answer_.primary = true;
-  if (*name == kRoleParameter && *value == kReplicaWord) answer_.primary = false;
+  if (*name == kRoleParameter && *value == kPrimaryValue) answer_.primary = true;
+  if (*name == kRoleParameter && *value == kReplicaValue) answer_.primary = false;
   if (*name == kReportParameter) answer_.report = sliceOf(*value, bytes);
   if (*name == kPositionParameter) {
     std::int64_t millis = 0;
@@ -67,70 +81,70 @@
   }
 }
 
-PgClient::Event PgClient::take(const Cut& cut, std::string_view bytes) {
+PgClient::Event PgClient::handleMessage(const Cut& cut, std::string_view bytes) {
   switch (cut.type) {
-    case 'S':
+    case kParameterStatus:
       readParameter(cut.body, bytes);
       return Event::NeedMore;
-    case 'N':
-    case 'A':
+    case kNoticeResponse:
+    case kNotificationResponse:
       return Event::NeedMore;
     default:
       break;
   }
-  if (phase_ == Phase::Starting) {
-    if (cut.type == 'K' || cut.type == 'v') return Event::NeedMore;
-    if (cut.type == 'R') {
-      const bool welcome = cut.body.size() == 4 && readU32(cut.body, 0) == 0;
-      return welcome ? Event::NeedMore : broken();
+  if (phase_ == Phase::Starting) return handleStartupMessage(cut, bytes);
+  if (phase_ == Phase::Busy) return handleQueryMessage(cut, bytes);
+  return broken();
+}
+
+PgClient::Event PgClient::handleStartupMessage(const Cut& cut, std::string_view bytes) {
+  switch (cut.type) {
+    case kBackendKeyData:
+    case kNegotiateProtocolVersion:
+      return Event::NeedMore;
+    case kAuthentication: {
+      const bool authenticated = cut.body.size() == 4 && readU32(cut.body, 0) == 0;
+      return authenticated ? Event::NeedMore : broken();
     }
-    if (cut.type == 'E') {
+    case kErrorResponse:
       answer_.kind = PgAnswer::Kind::Error;
       answer_.code = sliceOf(parseErrorFields(cut.body).code, bytes);
       phase_ = Phase::Dead;
       return Event::Rejected;
-    }
-    if (cut.type != 'Z') return broken();
-    phase_ = Phase::Idle;
-    return Event::Ready;
+    case kReadyForQuery:
+      phase_ = Phase::Idle;
+      return Event::Ready;
+    default:
+      return broken();
   }
-  if (phase_ != Phase::Busy) return broken();
+}
+
+PgClient::Event PgClient::handleQueryMessage(const Cut& cut, std::string_view bytes) {
   answering_ = true;
-  const bool waiting = answer_.kind == PgAnswer::Kind::None;
+  const bool pending = answer_.kind == PgAnswer::Kind::None;
   switch (cut.type) {
-    case 'T':
-      if (!waiting || answer_.rowDescription.size != 0 || cut.body.size() < 2 || readU16(cut.body, 0) != 1)
+    case kRowDescription:
+      if (!pending || answer_.rowDescription.size != 0 || cut.body.size() < 2 || readU16(cut.body, 0) != 1)
         return broken();
       answer_.rowDescription = {seen_, cut.size};
       return Event::NeedMore;
-    case 'D':
-      if (!waiting || answer_.rowDescription.size == 0 || answer_.dataRow.size != 0 || !readRow(cut))
+    case kDataRow:
+      if (!pending || answer_.rowDescription.size == 0 || answer_.dataRow.size != 0 || !readRow(cut))
         return broken();
       return Event::NeedMore;
-    case 'C':
-    case 'I':
-      if (!waiting) return broken();
+    case kCommandComplete:
+    case kEmptyQueryResponse: {
+      if (!pending) return broken();
+      const bool hasRow = cut.type == kCommandComplete && answer_.dataRow.size != 0;
       answer_.commandComplete = {seen_, cut.size};
-      answer_.kind =
-          cut.type == 'C' && answer_.dataRow.size != 0 ? PgAnswer::Kind::Row : PgAnswer::Kind::Empty;
-      settled_ = true;
+      answer_.kind = hasRow ? PgAnswer::Kind::Row : PgAnswer::Kind::Empty;
+      outcomeKnown_ = true;
       return Event::NeedMore;
-    case 'E': {
-      if (settled_ && answer_.kind == PgAnswer::Kind::Error) return broken();
-      const ErrorFields fields = parseErrorFields(cut.body);
-      // A row that was whole before stays what it is: the error is about what comes after it.
-      if (!settled_) {
-        answer_.kind = PgAnswer::Kind::Error;
-        answer_.code = fields.code.empty() ? Slice{} : sliceOf(fields.code, bytes);
-      }
-      answer_.fatal = fields.fatal();
-      settled_ = true;
-      if (!answer_.fatal) return Event::NeedMore;
-      phase_ = Phase::Dead;
-      return Event::Answered;
     }
-    case 'Z':
-      if (!settled_) return broken();
+    case kErrorResponse:
+      return handleQueryError(cut, bytes);
+    case kReadyForQuery:
+      if (!outcomeKnown_) return broken();
       phase_ = Phase::Idle;
       return Event::Answered;
     default:
@@ -138,14 +152,29 @@
   }
 }
 
+PgClient::Event PgClient::handleQueryError(const Cut& cut, std::string_view bytes) {
+  if (outcomeKnown_ && answer_.kind == PgAnswer::Kind::Error) return broken();
+  const ErrorFields fields = parseErrorFields(cut.body);
+  // A row that was complete before stays the answer: the error is about what follows it.
+  if (!outcomeKnown_) {
+    answer_.kind = PgAnswer::Kind::Error;
+    answer_.code = fields.code.empty() ? Slice{} : sliceOf(fields.code, bytes);
+  }
+  answer_.fatal = fields.fatal();
+  outcomeKnown_ = true;
+  if (!answer_.fatal) return Event::NeedMore;
+  phase_ = Phase::Dead;
+  return Event::Answered;
+}
+
 PgClient::Event PgClient::feed(std::string_view bytes) {
   while (seen_ < bytes.size()) {
-    // Bytes that nobody asked for are never taken for an answer to what is asked next.
+    // Bytes without a query are never taken for the answer to the next one.
     if (phase_ == Phase::Idle || phase_ == Phase::Dead) return broken();
     const Cut cut = cutMessage(bytes.substr(seen_), kEndpointMessageLimit);
     if (cut.kind == Cut::Kind::Malformed) return broken();
     if (cut.kind == Cut::Kind::Partial) return Event::NeedMore;
-    const Event event = take(cut, bytes);
+    const Event event = handleMessage(cut, bytes);
     seen_ += cut.size;
     if (event != Event::NeedMore) return event;
   }
--- a/src/protocol/pg_client.h
+++ b/src/protocol/pg_client.h
@@ -1,4 +1,4 @@
-// The client side of the protocol, towards endpoints: a state machine that is fed bytes.
+// PostgreSQL's protocol towards an endpoint, on one connection: a state machine that is fed bytes.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +10,10 @@
 
 namespace heathflow::protocol {
 
-// A value holds at most 64 KiB (PROTOCOL); the rest is what stands around it.
+// A value holds at most 64 KiB (PROTOCOL); the rest is the messages around it.
 inline constexpr std::size_t kEndpointMessageLimit = 80 * 1024;
 
-// What came back for one query. Slices lie in the bytes that were fed.
+// The answer to one query. Slices lie in the bytes that were fed.
 struct PgAnswer {
   enum class Kind { None, Row, Empty, Error } kind = Kind::None;
   Slice rowDescription;
@@ -22,8 +22,8 @@
   Slice value;  // of the row
   Slice code;   // of the error
   bool fatal = false;
-  std::optional<bool> primary;             // the endpoint's role, where it told it
-  std::optional<std::int64_t> positionMs;  // as it was told: Unix milliseconds
+  std::optional<bool> primary;             // the endpoint's role, where it reported one
+  std::optional<std::int64_t> positionMs;  // as reported: Unix milliseconds
   Slice report;                            // the load report, empty when there was none
 };
 
@@ -32,9 +32,9 @@
   enum class Event {
     NeedMore,
     Ready,     // the connection is up
-    Rejected,  // the connection was turned down; the answer holds the error
-    Answered,  // the answer is whole
-    Broken,    // the endpoint does not keep to the protocol
+    Rejected,  // the endpoint rejected the connection; the answer holds the error
+    Answered,  // the answer is complete
+    Broken,    // the endpoint violated the protocol
   };
 
   // Writes the startup message. False when the buffer has no room.
@@ -42,13 +42,13 @@
   // A query has been written.
   void queried();
 
-  // Looks at all that has come in and was not yet consumed. After Ready and Answered the caller takes what it
-  // needs and drops the seen bytes.
+  // Parses the received bytes from seen() on. After Ready and Answered the caller uses the answer and drops
+  // the seen bytes.
   Event feed(std::string_view bytes);
   std::size_t seen() const { return seen_; }
   const PgAnswer& answer() const { return answer_; }
-  // The connection has ended: whether the answer was whole by then.
-  bool wholeAtEnd() const { return phase_ == Phase::Busy && settled_; }
+  // After the connection ended: whether the answer was complete.
+  bool wholeAtEnd() const { return phase_ == Phase::Busy && outcomeKnown_; }
   bool answering() const { return answering_; }
   bool usable() const { return phase_ == Phase::Idle; }
   // The seen bytes have been dropped.
@@ -56,7 +56,10 @@
 
  private:
   enum class Phase { Starting, Idle, Busy, Dead };
-  Event take(const Cut& cut, std::string_view bytes);
+  Event handleMessage(const Cut& cut, std::string_view bytes);
+  Event handleStartupMessage(const Cut& cut, std::string_view bytes);
+  Event handleQueryMessage(const Cut& cut, std::string_view bytes);
+  Event handleQueryError(const Cut& cut, std::string_view bytes);
   Event broken() {
     phase_ = Phase::Dead;
     return Event::Broken;
@@ -66,8 +69,8 @@
 
   Phase phase_ = Phase::Starting;
   std::size_t seen_ = 0;
-  bool answering_ = false;  // something of an answer has come
-  bool settled_ = false;    // what it is can no longer change
+  bool answering_ = false;     // a part of the answer has been received
+  bool outcomeKnown_ = false;  // the kind of the answer can no longer change
   PgAnswer answer_;
 };
 
