--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -14,12 +14,12 @@
 constexpr std::uint8_t kScopeFull = 1;
 constexpr std::uint8_t kScopeCached = 2;
 
-// Clock readings this far ahead cannot be meant; kept below, sums of them with durations stay in range.
+// Later clock readings are rejected, so that their sums with durations stay in range.
 constexpr std::uint64_t kLatestTime = std::numeric_limits<Micros>::max() / 4;
 
 Micros timeOf(std::uint64_t reading) { return static_cast<Micros>(std::min(reading, kLatestTime)); }
 
-// A code that is not known may have run: it is taken as an error.
+// An attempt with an unknown status may have run and counts as an error.
 AttemptOutcome outcomeOf(std::uint16_t status) {
   switch (status) {
     case 1:
@@ -43,7 +43,7 @@
   }
 }
 
-EndpointStatus stateOf(std::uint8_t status) {
+EndpointStatus statusOf(std::uint8_t status) {
   if (status == 1) return EndpointStatus::Ready;
   return status == 0 ? EndpointStatus::Removed : EndpointStatus::Draining;
 }
@@ -52,7 +52,7 @@
   Endpoint endpoint;
   endpoint.id = entry.endpoint;
   endpoint.group = entry.cluster;
-  endpoint.status = stateOf(entry.status);
+  endpoint.status = statusOf(entry.status);
   endpoint.zone = entry.zone;
   endpoint.startedAt = timeOf(entry.startedAt);
   endpoint.size = entry.nominal;
@@ -66,7 +66,7 @@
   return values[static_cast<std::size_t>(index)];
 }
 
-// A 32-bit float may have been rounded up on its way: the next smaller one never claims too much.
+// The value may have been rounded up to a 32-bit float; the next smaller one is never too large.
 double roundedDown(float value) { return std::nextafter(value, -std::numeric_limits<float>::infinity()); }
 
 LoadReport reportOf(const InstanceSettings& settings, const std::vector<float>& values) {
@@ -81,7 +81,7 @@
   return report;
 }
 
-AttemptEnded attemptEndOf(const InstanceSettings& settings, const AttemptEndRecord& record) {
+AttemptEnded attemptEndedOf(const InstanceSettings& settings, const AttemptEndRecord& record) {
   AttemptEnded event;
   event.request = record.request;
   event.attempt = record.attempt;
@@ -98,7 +98,25 @@
   return event;
 }
 
-RequestArrived callOf(const InstanceSettings& settings, const CallRecord& record) {
+HealthCheckEnded healthCheckEndedOf(const InstanceSettings& settings, const PingRecord& record) {
+  const AttemptOutcome outcome = outcomeOf(record.status);
+  return HealthCheckEnded{record.endpoint, outcome == AttemptOutcome::Ok, record.elapsed,
+                          reportOf(settings, record.report), outcome == AttemptOutcome::Overloaded};
+}
+
+EndpointsChanged::Scope scopeOf(std::uint8_t scope) {
+  switch (scope) {
+    case kScopeDelta:
+      return EndpointsChanged::Scope::Delta;
+    case kScopeFull:
+    case kScopeCached:
+      return EndpointsChanged::Scope::Full;
+    default:
+      return EndpointsChanged::Scope::Failed;
+  }
+}
+
+RequestArrived requestArrivedOf(const InstanceSettings& settings, const CallRecord& record) {
   Request request;
   request.id = record.request;
   request.group = record.group >= 0 && record.group <= 65535 ? static_cast<GroupId>(record.group) : 65536;
@@ -117,19 +135,27 @@
 
 }  // namespace
 
-const ListRecord& Host::listNumbered(std::uint32_t buffer) const {
+const ListRecord& Host::listOf(std::uint32_t buffer) const {
   const auto found = lists_.find(buffer);
   if (found == lists_.end())
     throw FrameError("a list that was never sent is named: " + std::to_string(buffer));
   return found->second;
 }
 
-void Host::reply() {
+EndpointsChanged Host::endpointsChangedOf(const EndpointsRecord& record) const {
+  EndpointsChanged event;
+  event.scope = scopeOf(record.scope);
+  if (event.scope == EndpointsChanged::Scope::Failed) return event;
+  for (const Entry& entry : listOf(record.buffer).rows) event.endpoints.push_back(endpointOf(entry));
+  return event;
+}
+
+void Host::writeActions() {
   if (actions_.empty()) return;
-  if (!answering_ || answered_ != current_) {
-    writer_.at(current_);
-    answering_ = true;
-    answered_ = current_;
+  if (!replyNamesInstance_ || repliedInstance_ != currentInstance_) {
+    writer_.at(currentInstance_);
+    replyNamesInstance_ = true;
+    repliedInstance_ = currentInstance_;
   }
   const auto limited = [](Micros value) {
     return static_cast<std::uint32_t>(
@@ -157,20 +183,48 @@
 
 void Host::start(const InitRecord& record) {
   InstanceSettings settings = parseSettings(record.settings);
-  RoutingPolicy logic(settings.logic, record.seed, now_, actions_);
-  instances_.insert_or_assign(current_, Instance{std::move(settings), std::move(logic)});
-  reply();
+  RoutingPolicy policy(settings.logic, record.seed, now_, actions_);
+  instances_.insert_or_assign(currentInstance_, Instance{std::move(settings), std::move(policy)});
+  writeActions();
 }
 
 void Host::apply(const Event& event) {
-  instances_.at(current_).logic.handle(now_, event, actions_);
-  reply();
+  instances_.at(currentInstance_).policy.handle(now_, event, actions_);
+  writeActions();
+}
+
+// An event before an instance is named or for one that was not started is an error; ending an instance
+// that was not started is not.
+void Host::handleEvent(const Record& record) {
+  if (!instanceNamed_) throw FrameError("an event stands before the first instance is named");
+  if (const auto* init = std::get_if<InitRecord>(&record)) return start(*init);
+  const auto found = instances_.find(currentInstance_);
+  if (found == instances_.end()) {
+    if (std::holds_alternative<KillRecord>(record)) return;
+    throw FrameError("an event names an instance that was not started: " + std::to_string(currentInstance_));
+  }
+  const InstanceSettings& settings = found->second.settings;
+  std::visit(Overloaded{
+                 [&](const EndpointsRecord& r) { apply(endpointsChangedOf(r)); },
+                 [&](const CallRecord& r) { apply(requestArrivedOf(settings, r)); },
+                 [&](const EstablishedRecord& r) {
+                   apply(ResponseStreaming{r.request, r.attempt});
+                 },
+                 [&](const PingRecord& r) { apply(healthCheckEndedOf(settings, r)); },
+                 [&](const AttemptEndRecord& r) { apply(attemptEndedOf(settings, r)); },
+                 [&](const RingRecord& r) { apply(TimerFired{r.label}); },
+                 [&](const LeftRecord& r) { apply(ClientDisconnected{r.request}); },
+                 [&](const KillRecord&) { instances_.erase(found); },
+                 [&](const PeerRecord&) {},  // instances send nothing to each other
+                 [&](const auto&) {},        // handled by handle() or above
+             },
+             record);
 }
 
 const std::string& Host::handle(const BatchHeader& header, std::string_view body) {
   writer_.clear();
-  answering_ = false;
-  named_ = false;
+  replyNamesInstance_ = false;
+  instanceNamed_ = false;
   if (header.clock > kLatestTime) throw FrameError("the clock is out of range");
   now_ = timeOf(header.clock);
 
@@ -178,57 +232,13 @@
   Record record;
   while (reader.next(record)) {
     if (const auto* target = std::get_if<ForRecord>(&record)) {
-      current_ = target->instance;
-      named_ = true;
-      continue;
-    }
-    if (auto* list = std::get_if<ListRecord>(&record)) {
+      currentInstance_ = target->instance;
+      instanceNamed_ = true;
+    } else if (auto* list = std::get_if<ListRecord>(&record)) {
       lists_.insert_or_assign(list->buffer, std::move(*list));
-      continue;
-    }
-    if (!named_) throw FrameError("an event stands before the first instance is named");
-    if (const auto* init = std::get_if<InitRecord>(&record)) {
-      start(*init);
-      continue;
-    }
-    const auto found = instances_.find(current_);
-    if (found == instances_.end()) {
-      if (std::holds_alternative<KillRecord>(record)) continue;
-      throw FrameError("an event names an instance that was not started: " + std::to_string(current_));
+    } else {
+      handleEvent(record);
     }
-    const InstanceSettings& settings = found->second.settings;
-    std::visit(
-        Overloaded{
-            [&](const EndpointsRecord& r) {
-              EndpointsChanged event;
-              event.scope = r.scope == kScopeDelta ? EndpointsChanged::Scope::Delta
-                            : r.scope == kScopeFull || r.scope == kScopeCached
-                                ? EndpointsChanged::Scope::Full
-                                : EndpointsChanged::Scope::Failed;
-              if (event.scope != EndpointsChanged::Scope::Failed) {
-                for (const Entry& entry : listNumbered(r.buffer).rows) {
-                  event.endpoints.push_back(endpointOf(entry));
-                }
-              }
-              apply(event);
-            },
-            [&](const CallRecord& r) { apply(callOf(settings, r)); },
-            [&](const EstablishedRecord& r) {
-              apply(ResponseStreaming{r.request, r.attempt});
-            },
-            [&](const PingRecord& r) {
-              const AttemptOutcome outcome = outcomeOf(r.status);
-              apply(HealthCheckEnded{r.endpoint, outcome == AttemptOutcome::Ok, r.elapsed,
-                                     reportOf(settings, r.report), outcome == AttemptOutcome::Overloaded});
-            },
-            [&](const AttemptEndRecord& r) { apply(attemptEndOf(settings, r)); },
-            [&](const RingRecord& r) { apply(TimerFired{r.label}); },
-            [&](const LeftRecord& r) { apply(ClientDisconnected{r.request}); },
-            [&](const KillRecord&) { instances_.erase(found); },
-            [&](const PeerRecord&) {},  // instances do not talk to each other
-            [&](const auto&) {},        // handled above
-        },
-        record);
   }
   return writer_.finish();
 }
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -1,4 +1,4 @@
-// Hosts many instances: hands each its own events and gathers their actions into one reply.
+// Runs many instances of the routing policy: passes each its events and collects their actions in one reply.
 #pragma once
 
 #include <array>
@@ -17,30 +17,31 @@
 
 class Host {
  public:
-  // Takes the body of one batch, gives the reply frame. Throws FrameError or SettingsError.
+  // Handles the body of one batch and returns the reply frame. Throws FrameError or SettingsError.
   const std::string& handle(const BatchHeader& header, std::string_view body);
 
  private:
   struct Instance {
     InstanceSettings settings;
-    RoutingPolicy logic;
+    RoutingPolicy policy;
   };
-  struct Context;
 
+  void handleEvent(const Record& record);
   void start(const InitRecord& record);
   void apply(const Event& event);
-  void reply();
-  const ListRecord& listNumbered(std::uint32_t buffer) const;
+  void writeActions();
+  EndpointsChanged endpointsChangedOf(const EndpointsRecord& record) const;
+  const ListRecord& listOf(std::uint32_t buffer) const;
 
   std::map<std::uint32_t, Instance> instances_;
   std::map<std::uint32_t, ListRecord> lists_;
   std::vector<Action> actions_;
   ReplyWriter writer_;
   Micros now_ = 0;
-  std::uint32_t current_ = 0;
-  bool named_ = false;          // a 'for' has been seen in this batch
-  bool answering_ = false;      // the reply's last 'at' names the current instance
-  std::uint32_t answered_ = 0;  // whom that 'at' names
+  std::uint32_t currentInstance_ = 0;
+  bool instanceNamed_ = false;         // this batch has named an instance
+  bool replyNamesInstance_ = false;    // the reply has named an instance
+  std::uint32_t repliedInstance_ = 0;  // the one that it named last
 };
 
 }  // namespace heathflow::wirehost
