--- a/src/emulator/deployment.cpp
+++ b/src/emulator/deployment.cpp
@@ -150,7 +150,7 @@
 // Reports what the gateways' invariant checkers logged, and stores the logs where traces are wanted.
 void Deployment::collectLogs() {
   for (const auto& gateway : gateways_) {
-    for (const LogEvent& event : gateway->child->linesContaining(kInvariantBroken))
+    for (const LogEvent& event : gateway->child->linesContaining(kInvariantViolated))
       judge_.reportBreach(Rule::InvariantsKept, event.at, gateway->name, event.text);
     if (programs_.traces.empty()) continue;
     std::ofstream log(programs_.traces + "/" + gateway->name + ".log");
--- a/src/emulator/gateway_output.h
+++ b/src/emulator/gateway_output.h
@@ -6,10 +6,10 @@
 namespace heathflow::emulator {
 
 // The last counter that a gateway writes: once it has come all others have.
-inline constexpr const char* kLastCounter = "connecting.for_requests";
-// Counters of requests that a gateway gave up, by reason.
-inline constexpr std::string_view kGivenUpPrefix = "given_up.";
+inline constexpr const char* kLastCounter = "upstream_connections.opened_for_requests";
+// Counters of requests that a gateway ended without an answer of an endpoint, by reason.
+inline constexpr std::string_view kRejectedByReasonPrefix = "rejected_by_reason.";
 // In a log line of the gateway's invariant checker.
-inline constexpr const char* kInvariantBroken = "invariants: broken";
+inline constexpr const char* kInvariantViolated = "invariants: violated";
 
 }  // namespace heathflow::emulator
--- a/src/fleet/talk.cpp
+++ b/src/fleet/talk.cpp
@@ -7,7 +7,6 @@
 namespace heathflow::fleet {
 namespace {
 
-using membership::Message;
 using membership::OutgoingMessage;
 using membership::State;
 
--- a/src/invariants/invariant_checker.h
+++ b/src/invariants/invariant_checker.h
@@ -31,6 +31,8 @@
 };
 inline constexpr std::size_t kInvariants = 12;
 const char* nameOf(Invariant invariant);
+// Begins the log line of a violation.
+inline constexpr const char* kViolated = "violated";
 
 // STANDING: by how much the timeout that an endpoint is given may exceed the client's.
 inline constexpr Micros kTimeoutSlack = 150'000;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -147,7 +147,7 @@
   stats::LogContext context;
   if (request != nullptr && request->owner != nullptr) context.request = request->owner->requestName();
   observer_.note(stats::Topic::Invariants,
-                 std::string("violated: ") + invariants::nameOf(invariant) + " request " +
+                 std::string(invariants::kViolated) + ": " + invariants::nameOf(invariant) + " request " +
                      std::string(context.request.empty() ? "unknown" : context.request),
                  context);
 }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -6,12 +6,15 @@
 
 #include <algorithm>
 
+#include "emulator/gateway_output.h"
 #include "emulator/link.h"
 #include "emulator/link_conditions.h"
 #include "emulator/list_model.h"
 #include "emulator/list_service.h"
+#include "invariants/invariant_checker.h"
 #include "program_process.h"
 #include "standins/gateway_rig.h"
+#include "stats/upstream_stats.h"
 
 namespace heathflow::test {
 namespace {
@@ -355,6 +358,19 @@
   EXPECT_TRUE(site.serves(*site.children[0]));
 }
 
+// A renamed counter or log line would make the emulator see no violation.
+TEST(GatewayOutput, HasTheNamesThatTheProgramWrites) {
+  const std::string text = describe(stats::UpstreamStats());
+  const std::string lastLine = text.substr(text.find("upstream_connections:"));
+  const std::string lastCounter = emulator::kLastCounter;
+  EXPECT_EQ(lastCounter.substr(0, lastCounter.find('.') + 1), "upstream_connections.");
+  EXPECT_NE(lastLine.find(" " + lastCounter.substr(lastCounter.find('.') + 1) + "="), std::string::npos);
+  const std::string group(
+      emulator::kRejectedByReasonPrefix.substr(0, emulator::kRejectedByReasonPrefix.size() - 1));
+  EXPECT_NE(text.find(group + ":"), std::string::npos);
+  EXPECT_EQ(std::string("invariants: ") + invariants::kViolated, emulator::kInvariantViolated);
+}
+
 TEST(Gateways, LogTheirCountersAndEndWithTheEmulator) {
   pid_t pid = 0;
   {
