--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -262,7 +262,7 @@
   }
   const auto known = shared_.classes.find(asked.className);
   if (known == shared_.classes.end()) return "the request has no class, or one that is not known";
-  const RequestClassSettings& entry = router_.settings().logic.classes[known->second];
+  const RequestClassSettings& entry = router_.settings().policy.classes[known->second];
   if (asked.write && *asked.write != (entry.consistency == Consistency::Write)) {
     return "the statement is not of its class";
   }
@@ -274,7 +274,7 @@
 // The request as the router knows it; problemWith() has found nothing.
 Request ClientSession::requestOf(const protocol::Asked& asked) const {
   const std::uint32_t classIndex = shared_.classes.find(asked.className)->second;
-  const RequestClassSettings& entry = router_.settings().logic.classes[classIndex];
+  const RequestClassSettings& entry = router_.settings().policy.classes[classIndex];
   Request request;
   request.group = *asked.group;
   request.classIndex = classIndex;
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -132,9 +132,9 @@
   discovery::CallerSettings out;
   out.name = config.name;
   // Where lists are pushed each gateway has its agent for itself.
-  out.ownService = !config.settings.logic.discoveryIsPolled;
-  out.gateways = out.ownService ? 1 : config.settings.logic.gatewayCount;
-  out.maxPollInterval = config.settings.logic.maxPollInterval;
+  out.ownService = !config.settings.policy.discoveryIsPolled;
+  out.gateways = out.ownService ? 1 : config.settings.policy.gatewayCount;
+  out.maxPollInterval = config.settings.policy.maxPollInterval;
   out.seed = config.seed;
   if (!earlier) return out;
   out.cost = earlier->callCost;
@@ -145,7 +145,7 @@
 // What an earlier life has learned of endpoints.
 settings::InstanceSettings withMemory(settings::InstanceSettings settings,
                                       const std::optional<snapshot::Snapshot>& earlier) {
-  if (earlier) settings.logic.initialLatency = earlier->initialLatency;
+  if (earlier) settings.policy.initialLatency = earlier->initialLatency;
   return settings;
 }
 
@@ -169,7 +169,7 @@
       installation_(installation),
       protocols_(protocolsOf(installation)),
       budget_(config.sockets, observer.counters),
-      pool_(loop, spokenBy(protocols_), {config.settings.logic.connectTimeout, idleLimit(config.settings)},
+      pool_(loop, spokenBy(protocols_), {config.settings.policy.connectTimeout, idleLimit(config.settings)},
             budget_, observer),
       router_(loop, withMemory(config.settings, earlier), config.seed, pool_, observer),
       observer_(observer),
@@ -235,9 +235,9 @@
   protocol::EndpointList known = config_.known;
   known.complete = true;
   discovery::BeliefSettings settings;
-  settings.maxPollInterval = config_.settings.logic.maxPollInterval;
+  settings.maxPollInterval = config_.settings.policy.maxPollInterval;
   settings.listFor = installation_.snapshot.listFor * kMicrosPerSecond;
-  settings.healthChecksAllowed = config_.settings.logic.healthChecksAllowed;
+  settings.healthChecksAllowed = config_.settings.policy.healthChecksAllowed;
   // Of two old lists the one of the higher revision. Another service's revisions say nothing of this one's: a
   // list that it gave is not gone on from.
   const auto kept = snapshot::believed(memory_, loop_.now(), settings);
@@ -251,7 +251,7 @@
   router_.checker().startsTaking();
   // Where lists are pushed the routing policy asks for nothing: on sockets a push comes over a watch all the
   // same.
-  if (!config_.settings.logic.discoveryIsPolled) watch_.subscribe();
+  if (!config_.settings.policy.discoveryIsPolled) watch_.subscribe();
 }
 
 void Gateway::reload(const Config& fresh) {
@@ -284,7 +284,7 @@
 void Gateway::drain(std::function<void()> done) {
   // Guards the end against being told twice: neither its time nor the listeners that are done start anew.
   if (std::exchange(ending_, true)) return;
-  router_.stopping(loop_.now() + stopWithin(config_.settings.logic));
+  router_.stopping(loop_.now() + stopWithin(config_.settings.policy));
   draining_ = entrances_.size();
   const auto all = std::make_shared<std::function<void()>>(std::move(done));
   for (Entrance& entrance : entrances_) {
--- a/src/routing/outcome.cpp
+++ b/src/routing/outcome.cpp
@@ -78,7 +78,7 @@
     report.position = clocks.heard(position->micros - position->step, now, byPrimary);
     if (!report.position) return {};
   }
-  if (const auto held = numberAt(layout, layout.held, text)) {
+  if (const auto held = numberAt(layout, layout.inFlight, text)) {
     report.inFlight = static_cast<double>(held->micros) / 1e6;
   }
   return report;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -130,11 +130,11 @@
       pool_(pool),
       observer_(observer),
       nextTimer_(loop, [this] { fireDueTimers(); }),
-      checker_(settings_.logic, std::max(settings_.drainGrace, kDrainGraceLeast),
+      checker_(settings_.policy, std::max(settings_.drainGrace, kDrainGraceLeast),
                [this](invariants::Invariant invariant, RequestId request) {
                  invariantBroken(invariant, request);
                }),
-      policy_(settings_.logic, seed, loop.now(), actions_) {}
+      policy_(settings_.policy, seed, loop.now(), actions_) {}
 
 Router::~Router() = default;
 
@@ -456,7 +456,7 @@
   HealthCheckState& state =
       *healthChecks_.emplace(endpoint, std::make_unique<HealthCheckState>(*this, endpoint)).first->second;
   // A health check has no limit of its own in the settings: it gets that of a connection.
-  state.limit.arm(loop_.now() + settings_.logic.connectTimeout);
+  state.limit.arm(loop_.now() + settings_.policy.connectTimeout);
   startHealthCheck(
       state, action.onOldestConnection ? ConnectionPool::Over::OldestIdle : ConnectionPool::Over::NewestIdle);
 }
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -22,7 +22,7 @@
   throw SettingsError(std::string("settings: the key '") + key + "' holds a value " + how);
 }
 
-// No time, count or share is below 0 or beyond what it is kept in; where time begins may be.
+// Times, counts and shares are at least 0 and fit their type; the zero of positions may be negative.
 enum class Sign { Positive, Any };
 
 template <typename T, Sign kSign = Sign::Positive>
@@ -49,7 +49,7 @@
   return read<T>(object, key);
 }
 
-// Words that are not known take the most cautious meaning: the last line of each of these.
+// An unknown word gets the most cautious meaning, which is the last line of each function.
 Consistency consistencyOf(const std::string& word) {
   if (word == "fresh") return Consistency::Strong;
   if (word == "session") return Consistency::Session;
@@ -58,13 +58,13 @@
   return Consistency::Write;
 }
 
-Idempotency effectOf(const std::string& word) {
+Idempotency idempotencyOf(const std::string& word) {
   if (word == "retryable") return Idempotency::Idempotent;
   if (word == "dedup") return Idempotency::WithKey;
   return Idempotency::None;
 }
 
-KeyScope scopeOf(const std::string& word) {
+KeyScope keyScopeOf(const std::string& word) {
   if (word == "all") return KeyScope::Global;
   if (word == "cell") return KeyScope::Group;
   if (word == "zone") return KeyScope::Zone;
@@ -77,7 +77,7 @@
   return StaleReadBehavior::ServesStale;
 }
 
-SessionTokenSource tokenModeOf(const std::string& word) {
+SessionTokenSource sessionTokenSourceOf(const std::string& word) {
   if (word == "carried") return SessionTokenSource::Client;
   if (word == "remembered") return SessionTokenSource::Gateway;
   return SessionTokenSource::None;
@@ -90,8 +90,8 @@
   out.deadline = read<Micros>(entry, "Deadline");
   out.priorityWeight = readOr<double>(entry, "Value", 1.0);
   out.lateValueShare = readOr<double>(entry, "LateShare", 0.0);
-  out.idempotency = effectOf(read<std::string>(entry, "Effect"));
-  out.keyScope = scopeOf(readOr<std::string>(entry, "Group", ""));
+  out.idempotency = idempotencyOf(read<std::string>(entry, "Effect"));
+  out.keyScope = keyScopeOf(readOr<std::string>(entry, "Group", ""));
   out.keyWindow = readOr<Micros>(entry, "Window", 0);
   return out;
 }
@@ -103,26 +103,64 @@
   for (std::size_t i = 0; i < fields.size(); ++i) {
     if (fields[i] == "x0") layout.position = static_cast<int>(i);
     if (fields[i] == "x1") layout.role = static_cast<int>(i);
-    if (fields[i] == "busy_reqs") layout.held = static_cast<int>(i);
+    if (fields[i] == "busy_reqs") layout.inFlight = static_cast<int>(i);
   }
   return layout;
 }
 
-// Guards against another deployment's values where a key is missing: what is taken in its place follows from
-// the other settings or is the most cautious there is, and it is said.
+void readFamily(const Json& family, InstanceSettings& out) {
+  PolicySettings& policy = out.policy;
+  const auto words = read<std::vector<std::string>>(family, "Consistency");
+  const auto ages = readOr<std::vector<Micros>>(family, "MaxAge", {});
+  for (std::size_t i = 0; i < policy.classes.size(); ++i) {
+    policy.classes[i].consistency = i < words.size() ? consistencyOf(words[i]) : Consistency::Write;
+    policy.classes[i].maxStaleness = i < ages.size() ? ages[i] : 0;
+  }
+  policy.staleReads = staleReadBehaviorOf(readOr<std::string>(family, "Guards", ""));
+  policy.catchUpTimeout = readOr<Micros>(family, "CatchUpWait", 0);
+  policy.sessionTokens = sessionTokenSourceOf(readOr<std::string>(family, "TokenMode", ""));
+  out.positionZero = read<Micros, Sign::Any>(family, "PositionZero");
+  policy.responsesReportPosition = readOr<bool>(family, "Positions", false);
+}
+
+void readLimits(const Json& limits, InstanceSettings& out) {
+  PolicySettings& policy = out.policy;
+  policy.healthChecksAllowed = readOr<bool>(limits, "Probing", false);
+  policy.cancellationAllowed = readOr<bool>(limits, "Cancel", false);
+  policy.hedgingAllowed = readOr<bool>(limits, "ParallelTries", false);
+  policy.retryAfterAllowed = readOr<bool>(limits, "RetryAfter", false);
+  policy.maxRetryAfter = readOr<Micros>(limits, "MaxRetryAfter", 0);
+  policy.maxAttempts = read<unsigned>(limits, "MaxAttempts");
+  policy.connectTimeout = readOr<Micros>(limits, "ConnectTimeout", 0);
+  out.idleTime = readOr<Micros>(limits, "ConnIdle", 0);
+}
+
+void readContract(const Json& contract, InstanceSettings& out) {
+  PolicySettings& policy = out.policy;
+  policy.maxPollInterval = readOr<Micros>(contract, "AskWithin", 0);
+  policy.removalIsAdvisory = readOr<bool>(contract, "GoneIsAdvice", false);
+  out.drainGrace = readOr<Micros>(contract, "DrainGrace", 0);
+  policy.responseSlack = readOr<Micros>(contract, "AnswerSlack", 0);
+  policy.slowStartInitialShare = readOr<double>(contract, "ColdFrom", 1.0);
+  policy.slowStartDuration = readOr<Micros>(contract, "WarmUp", 0);
+  policy.overloadWindow = readOr<Micros>(contract, "Fall", 0);
+  policy.overloadMultiple = readOr<double>(contract, "FallMultiple", 1.0);
+}
+
+// A missing setting is derived from the others or gets the most cautious value, and is reported.
 void noteMissing(InstanceSettings& out) {
-  PolicySettings& logic = out.logic;
+  PolicySettings& policy = out.policy;
   const auto note = [&](const std::string& what) { out.notes.push_back("settings: " + what); };
-  if (logic.connectTimeout <= 0) {
-    for (const RequestClassSettings& entry : logic.classes)
-      logic.connectTimeout = std::max(logic.connectTimeout, entry.deadline);
+  if (policy.connectTimeout <= 0) {
+    for (const RequestClassSettings& entry : policy.classes)
+      policy.connectTimeout = std::max(policy.connectTimeout, entry.deadline);
     note("no 'ConnectTimeout': a connection may take as long as the longest deadline");
   }
   if (out.idleTime <= 0) note("no 'ConnIdle': idle connections to members are kept");
-  if (logic.discoveryIsPolled && logic.maxPollInterval <= 0)
+  if (policy.discoveryIsPolled && policy.maxPollInterval <= 0)
     note("no 'AskWithin': the list is asked for every second");
-  for (std::size_t i = 0; i < logic.classes.size(); ++i) {
-    const RequestClassSettings& entry = logic.classes[i];
+  for (std::size_t i = 0; i < policy.classes.size(); ++i) {
+    const RequestClassSettings& entry = policy.classes[i];
     const std::string name = "class '" + out.classNames[i] + "': ";
     if (entry.consistency == Consistency::BoundedStaleness && entry.maxStaleness <= 0)
       note(name + "no 'MaxAge': its reads go to primaries");
@@ -139,57 +177,28 @@
   if (!json.is_object()) throw SettingsError("settings: the text is not a JSON object");
 
   InstanceSettings out;
-  PolicySettings& logic = out.logic;
+  PolicySettings& policy = out.policy;
   const Json& classes = need(json, "Classes");
   if (!classes.is_array()) wrong("Classes", "of the wrong type");
   for (const Json& entry : classes) {
-    logic.classes.push_back(readClass(entry));
+    policy.classes.push_back(readClass(entry));
     out.classNames.push_back(readOr<std::string>(entry, "Name", ""));
   }
 
-  const Json& family = need(json, "FamilyInfo");
-  const auto words = read<std::vector<std::string>>(family, "Consistency");
-  const auto ages = readOr<std::vector<Micros>>(family, "MaxAge", {});
-  for (std::size_t i = 0; i < logic.classes.size(); ++i) {
-    logic.classes[i].consistency = i < words.size() ? consistencyOf(words[i]) : Consistency::Write;
-    logic.classes[i].maxStaleness = i < ages.size() ? ages[i] : 0;
-  }
-  logic.staleReads = staleReadBehaviorOf(readOr<std::string>(family, "Guards", ""));
-  logic.catchUpTimeout = readOr<Micros>(family, "CatchUpWait", 0);
-  logic.sessionTokens = tokenModeOf(readOr<std::string>(family, "TokenMode", ""));
-  out.positionZero = read<Micros, Sign::Any>(family, "PositionZero");
-  logic.responsesReportPosition = readOr<bool>(family, "Positions", false);
-  logic.zone = readOr<std::uint32_t>(json, "Az", 0);
+  readFamily(need(json, "FamilyInfo"), out);
+  policy.zone = readOr<std::uint32_t>(json, "Az", 0);
   if (json.contains("Charges"))
-    logic.crossZoneTrafficHasCost = readOr<double>(json.at("Charges"), "CrossZone", 0.0) > 0;
-  logic.gatewayCount = std::max(1u, readOr<unsigned>(json, "Balancers", 1u));
-  logic.timerResolution = readOr<Micros>(json, "Tick", 0);
-  logic.discoveryIsPolled = readOr<std::string>(json, "Discovery", "") != "push";
-
-  const Json& limits = need(json, "Limits");
-  logic.healthChecksAllowed = readOr<bool>(limits, "Probing", false);
-  logic.cancellationAllowed = readOr<bool>(limits, "Cancel", false);
-  logic.hedgingAllowed = readOr<bool>(limits, "ParallelTries", false);
-  logic.retryAfterAllowed = readOr<bool>(limits, "RetryAfter", false);
-  logic.maxRetryAfter = readOr<Micros>(limits, "MaxRetryAfter", 0);
-  logic.maxAttempts = read<unsigned>(limits, "MaxAttempts");
-  logic.connectTimeout = readOr<Micros>(limits, "ConnectTimeout", 0);
-  out.idleTime = readOr<Micros>(limits, "ConnIdle", 0);
-
-  const Json& contract = need(json, "Contract");
-  logic.maxPollInterval = readOr<Micros>(contract, "AskWithin", 0);
-  logic.removalIsAdvisory = readOr<bool>(contract, "GoneIsAdvice", false);
-  out.drainGrace = readOr<Micros>(contract, "DrainGrace", 0);
-  logic.responseSlack = readOr<Micros>(contract, "AnswerSlack", 0);
-  logic.slowStartInitialShare = readOr<double>(contract, "ColdFrom", 1.0);
-  logic.slowStartDuration = readOr<Micros>(contract, "WarmUp", 0);
-  logic.overloadWindow = readOr<Micros>(contract, "Fall", 0);
-  logic.overloadMultiple = readOr<double>(contract, "FallMultiple", 1.0);
+    policy.crossZoneTrafficHasCost = readOr<double>(json.at("Charges"), "CrossZone", 0.0) > 0;
+  policy.gatewayCount = std::max(1u, readOr<unsigned>(json, "Balancers", 1u));
+  policy.timerResolution = readOr<Micros>(json, "Tick", 0);
+  policy.discoveryIsPolled = readOr<std::string>(json, "Discovery", "") != "push";
 
+  readLimits(need(json, "Limits"), out);
+  readContract(need(json, "Contract"), out);
   if (json.contains("Report")) {
     out.report = readLayout(json.at("Report"));
-    logic.healthChecksReportPosition = out.report.position >= 0;
-    logic.healthChecksReportRole = out.report.role >= 0;
+    policy.healthChecksReportPosition = out.report.position >= 0;
+    policy.healthChecksReportRole = out.report.role >= 0;
   }
   noteMissing(out);
   return out;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -14,26 +14,26 @@
   using std::runtime_error::runtime_error;
 };
 
-// Which field of a load report holds what; -1: not reported.
+// The index of each field in a load report; -1: not reported.
 struct ReportLayout {
   std::vector<std::string> fields;
   int position = -1;
   int role = -1;
-  int held = -1;
+  int inFlight = -1;
 };
 
 struct InstanceSettings {
-  PolicySettings logic;
+  PolicySettings policy;
   ReportLayout report;
   Micros positionZero = 0;
   std::vector<std::string> classNames;
   Micros idleTime = 0;    // after which endpoints close an idle connection; 0: never
-  Micros drainGrace = 0;  // for how long an endpoint may be sent to after it was told to drain
-  // What the text does not say, and what is taken in its place: a sentence each.
+  Micros drainGrace = 0;  // for how long an endpoint may get requests after its drain was announced
+  // For the log: a sentence on each missing setting and the value used instead.
   std::vector<std::string> notes;
 };
 
-// Throws SettingsError, naming the key, when the text is not JSON or lacks what is needed.
+// Throws SettingsError, naming the key, when the text is not JSON or lacks a required setting.
 InstanceSettings parseSettings(std::string_view text);
 
 }  // namespace heathflow::settings
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -77,7 +77,7 @@
   if (const auto role = valueAt(values, settings.report.role)) {
     report.role = *role >= 0.5F ? Role::Primary : Role::Replica;
   }
-  if (const auto held = valueAt(values, settings.report.held)) report.inFlight = *held;
+  if (const auto inFlight = valueAt(values, settings.report.inFlight)) report.inFlight = *inFlight;
   return report;
 }
 
@@ -122,7 +122,7 @@
   request.group = record.group >= 0 && record.group <= 65535 ? static_cast<GroupId>(record.group) : 65536;
   request.classIndex = record.classIndex;
   request.session = record.session;
-  if (settings.logic.sessionTokens == SessionTokenSource::Client && record.tokenAgeMs > 0 &&
+  if (settings.policy.sessionTokens == SessionTokenSource::Client && record.tokenAgeMs > 0 &&
       record.tokenAgeMs < 1e12F) {
     request.timeSinceLastWrite =
         static_cast<Micros>(std::max(0.0, std::floor(roundedDown(record.tokenAgeMs) * 1e3)));
@@ -183,7 +183,7 @@
 
 void Host::start(const InitRecord& record) {
   InstanceSettings settings = parseSettings(record.settings);
-  RoutingPolicy policy(settings.logic, record.seed, now_, actions_);
+  RoutingPolicy policy(settings.policy, record.seed, now_, actions_);
   instances_.insert_or_assign(currentInstance_, Instance{std::move(settings), std::move(policy)});
   writeActions();
 }
--- a/tests/logic_test_signals.cpp
+++ b/tests/logic_test_signals.cpp
@@ -180,7 +180,7 @@
 }
 
 TEST(Signals, TheSettingsSayWhatTellsPositions) {
-  const PolicySettings told = settings::parseSettings(kSettingsText).logic;
+  const PolicySettings told = settings::parseSettings(kSettingsText).policy;
   EXPECT_TRUE(told.healthChecksReportPosition);
   EXPECT_TRUE(told.healthChecksReportRole);
   EXPECT_FALSE(told.responsesReportPosition);
@@ -193,14 +193,14 @@
   replace(R"("Fields": ["odd", "x0", "x1"])", R"("Fields": [])");
   replace(R"("CatchUpWait": 0)", R"("CatchUpWait": 20000)");
   replace(R"("Positions": false)", R"("Positions": true)");
-  const PolicySettings silent = settings::parseSettings(text).logic;
+  const PolicySettings silent = settings::parseSettings(text).policy;
   EXPECT_FALSE(silent.healthChecksReportPosition);
   EXPECT_FALSE(silent.healthChecksReportRole);
   EXPECT_TRUE(silent.responsesReportPosition);
   EXPECT_EQ(silent.catchUpTimeout, 20 * kMs);
   EXPECT_FALSE(silent.crossZoneTrafficHasCost);
   replace(R"("Az": 0)", R"("Az": 1, "Charges": {"CrossZone": 0.04})");
-  const PolicySettings priced = settings::parseSettings(text).logic;
+  const PolicySettings priced = settings::parseSettings(text).policy;
   EXPECT_TRUE(priced.crossZoneTrafficHasCost);
   EXPECT_EQ(priced.zone, 1U);
 }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -29,34 +29,34 @@
 
 TEST(SettingsText, IsReadInFull) {
   const auto settings = parseSettings(kSettingsText);
-  const PolicySettings& logic = settings.logic;
-  ASSERT_EQ(logic.classes.size(), 2U);
-  EXPECT_EQ(logic.classes[0].consistency, Consistency::BoundedStaleness);
-  EXPECT_EQ(logic.classes[0].maxStaleness, 3000000);
-  EXPECT_EQ(logic.classes[0].idempotency, Idempotency::Idempotent);
-  EXPECT_EQ(logic.classes[1].consistency, Consistency::Write);
-  EXPECT_EQ(logic.classes[1].idempotency, Idempotency::WithKey);
-  EXPECT_EQ(logic.classes[1].keyScope, KeyScope::Group);
-  EXPECT_EQ(logic.classes[1].keyWindow, 5000000);
-  EXPECT_EQ(logic.gatewayCount, 3U);
-  EXPECT_EQ(logic.timerResolution, 5000);
-  EXPECT_EQ(logic.sessionTokens, SessionTokenSource::Gateway);
-  EXPECT_TRUE(logic.discoveryIsPolled);
-  EXPECT_TRUE(logic.healthChecksAllowed);
-  EXPECT_FALSE(logic.hedgingAllowed);
-  EXPECT_EQ(logic.maxAttempts, 10U);
-  EXPECT_DOUBLE_EQ(logic.slowStartInitialShare, 0.15);
-  EXPECT_DOUBLE_EQ(logic.overloadMultiple, 2.5);
+  const PolicySettings& policy = settings.policy;
+  ASSERT_EQ(policy.classes.size(), 2U);
+  EXPECT_EQ(policy.classes[0].consistency, Consistency::BoundedStaleness);
+  EXPECT_EQ(policy.classes[0].maxStaleness, 3000000);
+  EXPECT_EQ(policy.classes[0].idempotency, Idempotency::Idempotent);
+  EXPECT_EQ(policy.classes[1].consistency, Consistency::Write);
+  EXPECT_EQ(policy.classes[1].idempotency, Idempotency::WithKey);
+  EXPECT_EQ(policy.classes[1].keyScope, KeyScope::Group);
+  EXPECT_EQ(policy.classes[1].keyWindow, 5000000);
+  EXPECT_EQ(policy.gatewayCount, 3U);
+  EXPECT_EQ(policy.timerResolution, 5000);
+  EXPECT_EQ(policy.sessionTokens, SessionTokenSource::Gateway);
+  EXPECT_TRUE(policy.discoveryIsPolled);
+  EXPECT_TRUE(policy.healthChecksAllowed);
+  EXPECT_FALSE(policy.hedgingAllowed);
+  EXPECT_EQ(policy.maxAttempts, 10U);
+  EXPECT_DOUBLE_EQ(policy.slowStartInitialShare, 0.15);
+  EXPECT_DOUBLE_EQ(policy.overloadMultiple, 2.5);
   EXPECT_EQ(settings.positionZero, 290469390756);
   EXPECT_EQ(settings.report.position, 1);
   EXPECT_EQ(settings.report.role, 2);
-  EXPECT_EQ(settings.report.held, -1);
+  EXPECT_EQ(settings.report.inFlight, -1);
 }
 
 TEST(SettingsText, GoneIsAdviceOnlyWhereItIsSaid) {
-  EXPECT_FALSE(parseSettings(kSettingsText).logic.removalIsAdvisory);
+  EXPECT_FALSE(parseSettings(kSettingsText).policy.removalIsAdvisory);
   const auto said = replaced(kSettingsText, "\"Contract\": {", "\"Contract\": {\"GoneIsAdvice\": true, ");
-  EXPECT_TRUE(parseSettings(said).logic.removalIsAdvisory);
+  EXPECT_TRUE(parseSettings(said).policy.removalIsAdvisory);
 }
 
 TEST(SettingsText, UnknownKeysAreSkipped) {
@@ -64,17 +64,17 @@
 }
 
 TEST(SettingsText, UnknownWordsTakeTheMostCautiousMeaning) {
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"dedup\"", "\"odd\"")).logic.classes[1].idempotency,
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"dedup\"", "\"odd\"")).policy.classes[1].idempotency,
             Idempotency::None);
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"bounded\"", "\"odd\"")).logic.classes[0].consistency,
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"bounded\"", "\"odd\"")).policy.classes[0].consistency,
             Consistency::Write);
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"cell\"", "\"odd\"")).logic.classes[1].keyScope,
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"cell\"", "\"odd\"")).policy.classes[1].keyScope,
             KeyScope::Endpoint);
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"remembered\"", "\"odd\"")).logic.sessionTokens,
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"remembered\"", "\"odd\"")).policy.sessionTokens,
             SessionTokenSource::None);
-  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"silent\"", "\"odd\"")).logic.staleReads,
+  EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"silent\"", "\"odd\"")).policy.staleReads,
             StaleReadBehavior::ServesStale);
-  EXPECT_TRUE(parseSettings(replaced(kSettingsText, "\"ask\"", "\"odd\"")).logic.discoveryIsPolled);
+  EXPECT_TRUE(parseSettings(replaced(kSettingsText, "\"ask\"", "\"odd\"")).policy.discoveryIsPolled);
 }
 
 // Guards a deployment against another's values, and against none at all, where a key is missing.
@@ -89,7 +89,7 @@
     EXPECT_NE(notes[0].find("'" + key + "'"), std::string::npos) << notes[0];
   }
   // The longest deadline: no connection that a request could still use is given up.
-  EXPECT_EQ(parseSettings(replaced(full, "\"ConnectTimeout\"", "\"X\"")).logic.connectTimeout, 5'000'000);
+  EXPECT_EQ(parseSettings(replaced(full, "\"ConnectTimeout\"", "\"X\"")).policy.connectTimeout, 5'000'000);
   // Where the list is pushed nobody asks for it.
   EXPECT_TRUE(notesOf(replaced(replaced(full, "\"AskWithin\"", "\"X\""), "\"ask\"", "\"push\"")).empty());
 }
