--- a/src/downstream/request_reader.cpp
+++ b/src/downstream/request_reader.cpp
@@ -30,7 +30,7 @@
   }
   const auto classIndex = context.classIndexes.find(asked.className);
   if (classIndex == context.classIndexes.end()) return "the request has no class, or one that is not known";
-  const RequestClassSettings& entry = settings.logic.classes[classIndex->second];
+  const RequestClassSettings& entry = settings.policy.classes[classIndex->second];
   if (asked.write && *asked.write != (entry.consistency == Consistency::Write)) {
     return "the statement is not of its class";
   }
@@ -43,7 +43,7 @@
                   const settings::InstanceSettings& settings, const wallclock::EndpointTime& endpointTime,
                   Micros arrivedAt, Micros now) {
   const std::uint32_t classIndex = context.classIndexes.find(asked.className)->second;
-  const RequestClassSettings& entry = settings.logic.classes[classIndex];
+  const RequestClassSettings& entry = settings.policy.classes[classIndex];
   Request request;
   request.group = *asked.group;
   request.classIndex = classIndex;
--- a/src/emulator/client_load.cpp
+++ b/src/emulator/client_load.cpp
@@ -143,7 +143,7 @@
                        std::uint64_t seed)
     : loop_(loop),
       gateway_(std::move(gateway)),
-      arrivals_(std::move(arrivals)),
+      arrivals_(arrivals),
       patience_(patience),
       bound_(bound),
       judge_(judge),
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -41,9 +41,9 @@
   discovery::DiscoveryScheduleSettings out;
   out.gatewayName = config.name;
   // Where lists are pushed each gateway has its agent for itself.
-  out.dedicatedService = !config.settings.logic.discoveryIsPolled;
-  out.gatewayCount = out.dedicatedService ? 1 : config.settings.logic.gatewayCount;
-  out.maxPollInterval = config.settings.logic.maxPollInterval;
+  out.dedicatedService = !config.settings.policy.discoveryIsPolled;
+  out.gatewayCount = out.dedicatedService ? 1 : config.settings.policy.gatewayCount;
+  out.maxPollInterval = config.settings.policy.maxPollInterval;
   out.seed = config.seed;
   if (!earlier) return out;
   out.callCost = earlier->callCost;
@@ -54,12 +54,12 @@
 // Adds what an earlier incarnation has learned about endpoints.
 settings::InstanceSettings withInitialLatency(settings::InstanceSettings settings,
                                               const std::optional<snapshot::Snapshot>& earlier) {
-  if (earlier) settings.logic.initialLatency = earlier->initialLatency;
+  if (earlier) settings.policy.initialLatency = earlier->initialLatency;
   return settings;
 }
 
 upstream::ConnectionPool::Timeouts poolTimeouts(const settings::InstanceSettings& settings) {
-  return {settings.logic.connectTimeout, settings.idleTime > 0 ? settings.idleTime : kDefaultIdleTimeout};
+  return {settings.policy.connectTimeout, settings.idleTime > 0 ? settings.idleTime : kDefaultIdleTimeout};
 }
 
 // Whether the error is about the address, and not about what the system has to give at present.
@@ -151,7 +151,7 @@
   router_.start();
   router_.checker().servingStarted();
   // Where lists are pushed the policy does not subscribe; on sockets a push comes over a watch all the same.
-  if (!config_.settings.logic.discoveryIsPolled) watch_.subscribe();
+  if (!config_.settings.policy.discoveryIsPolled) watch_.subscribe();
 }
 
 // The newest list that is known before discovery has answered: that of the configuration or of the snapshot.
@@ -159,9 +159,9 @@
   protocol::EndpointList known = config_.known;
   known.complete = true;
   discovery::CachedListSettings settings;
-  settings.maxPollInterval = config_.settings.logic.maxPollInterval;
+  settings.maxPollInterval = config_.settings.policy.maxPollInterval;
   settings.maxAge = installation_.snapshot.listFor * kMicrosPerSecond;
-  settings.healthChecksAllowed = config_.settings.logic.healthChecksAllowed;
+  settings.healthChecksAllowed = config_.settings.policy.healthChecksAllowed;
   const auto cached = snapshot::trustedList(snapshot_, loop_.now(), settings);
   // Revisions of different list services can't be compared.
   const bool sameSource = snapshot_.source == toText(config_.discovery);
@@ -199,7 +199,7 @@
 void Gateway::drain(std::function<void()> done) {
   // A second signal restarts neither the timeout nor the listeners that are done.
   if (std::exchange(shuttingDown_, true)) return;
-  router_.shutDown(loop_.now() + shutdownTimeout(config_.settings.logic));
+  router_.shutDown(loop_.now() + shutdownTimeout(config_.settings.policy));
   drainingListeners_ = listeners_.size();
   const auto allDone = std::make_shared<std::function<void()>>(std::move(done));
   for (Listener& listener : listeners_) {
--- a/src/routing/attempt_result.cpp
+++ b/src/routing/attempt_result.cpp
@@ -74,7 +74,7 @@
     // A report with a position in the future is not trusted at all.
     if (!report.position) return {};
   }
-  if (const auto inFlight = numberAt(layout, layout.held, text)) {
+  if (const auto inFlight = numberAt(layout, layout.inFlight, text)) {
     report.inFlight = static_cast<double>(inFlight->micros) / static_cast<double>(kOne);
   }
   return report;
--- a/src/routing/health_check_manager.cpp
+++ b/src/routing/health_check_manager.cpp
@@ -40,7 +40,7 @@
   HealthCheck& check =
       *checks_.emplace(endpoint, std::make_unique<HealthCheck>(*this, endpoint)).first->second;
   // The settings have no timeout for health checks; that of connections serves.
-  check.timeout.arm(env_.loop.now() + env_.settings.logic.connectTimeout);
+  check.timeout.arm(env_.loop.now() + env_.settings.policy.connectTimeout);
   connect(check, action.onOldestConnection ? Selection::OldestIdle : Selection::NewestIdle);
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -25,12 +25,12 @@
       settings_(std::move(settings)),
       pool_(pool),
       observer_(observer),
-      checker_(settings_.logic, std::max(settings_.drainGrace, kMinDrainGrace),
+      checker_(settings_.policy, std::max(settings_.drainGrace, kMinDrainGrace),
                [this](invariants::Invariant invariant, RequestId request) {
                  onInvariantViolated(invariant, request);
                }),
       nextTimer_(loop, [this] { fireDueTimers(); }),
-      policy_(loop, *this, settings_.logic, seed),
+      policy_(loop, *this, settings_.policy, seed),
       requests_(loop, checker_),
       attempts_({loop, settings_, pool, observer, requests_, checker_, endpointTime_, listStatus_, policy_}),
       healthChecks_({loop, settings_, pool, observer, endpointTime_, policy_}) {}
