--- a/src/emulator/client_load.cpp
+++ b/src/emulator/client_load.cpp
@@ -138,8 +138,8 @@
   bool answered = false;  // its answer has come, but for its end
 };
 
-ClientLoad::ClientLoad(transport::EventLoop& loop, std::string gateway, Arrivals arrivals, Micros patience,
-                       Micros bound, Judge& judge, OnAnswer onAnswer, double disconnectShare,
+ClientLoad::ClientLoad(transport::EventLoop& loop, std::string gateway, const Arrivals& arrivals,
+                       Micros patience, Micros bound, Judge& judge, OnAnswer onAnswer, double disconnectShare,
                        std::uint64_t seed)
     : loop_(loop),
       gateway_(std::move(gateway)),
--- a/src/emulator/client_load.h
+++ b/src/emulator/client_load.h
@@ -30,7 +30,7 @@
  public:
   using OnAnswer = std::function<void(const Answer&)>;
   // @param disconnectShare  of requests whose client disconnects before the answer, drawn by the seed.
-  ClientLoad(transport::EventLoop& loop, std::string gateway, Arrivals arrivals, Micros patience,
+  ClientLoad(transport::EventLoop& loop, std::string gateway, const Arrivals& arrivals, Micros patience,
              Micros bound, Judge& judge, OnAnswer onAnswer, double disconnectShare = 0,
              std::uint64_t seed = 1);
   ~ClientLoad();
--- a/src/policy/admission_control.h
+++ b/src/policy/admission_control.h
@@ -1,5 +1,5 @@
-// Sheds load of a group that serves too little of what it gets. The record counts requests, not time, so that
-// it tells a gateway with little traffic as much as a busy one.
+// Adaptive throttling: sheds load of a group's replicas, or of its primary, that serve too little of what
+// they are offered. The record counts requests, not time, so it works for a gateway with little traffic too.
 #pragma once
 
 #include "policy/pending_request.h"
@@ -7,7 +7,8 @@
 
 namespace heathflow::policy {
 
-// What a group's replicas, or its primary, lately served in time, of what they were sent.
+// What a group's replicas, or its primary, lately served, weighed by value, of what they were offered. Shed
+// requests count as offered.
 class ServedShare {
  public:
   // @param value  of the end of a request, as a share of its full value.
@@ -15,7 +16,8 @@
     offered_ += 1 - offered_ * kGain;
     served_ += value - served_ * kGain;
   }
-  // Whether a request is one too many. What keeps a value after its objective may wait instead.
+  // Sheds with the probability (1 - late value) * (offered - 1.5 * served) / (offered + 1): a request that
+  // keeps a value after its objective may wait instead.
   bool shedsLoad(const PendingRequest& request, const RequestClassSettings& requestClass) const {
     const double excess = offered_ - kServedMultiple * served_;
     return request.admissionDraw * (offered_ + 1) < (1 - requestClass.lateValueShare) * excess;
--- a/src/policy/attempt_observer.cpp
+++ b/src/policy/attempt_observer.cpp
@@ -6,7 +6,9 @@
 namespace {
 
 // An answer that took more than this share of its objective shows that the endpoint is near its capacity.
-constexpr double kLateShare = 0.6;
+constexpr double kNearObjectiveShare = 0.6;
+// The least time between two checks of an endpoint that does not answer.
+constexpr Micros kMinCheckInterval = 250 * kMillisecond;
 // A limit grows only while at least this share of it is in use.
 constexpr double kUsedShareToGrow = 0.5;
 
@@ -27,7 +29,7 @@
 bool isSilentTimeout(const EndpointState& endpoint, const PendingRequest& request,
                      const AttemptEnded& event) {
   return event.outcome == AttemptOutcome::TimedOut &&
-         endpoint.outlier.lastResponseAt() <= request.attempts[event.attempt].sentAt;
+         endpoint.outlier.silentSince() <= request.attempts[event.attempt].sentAt;
 }
 
 }  // namespace
@@ -97,16 +99,17 @@
   const bool useless =
       reset || event.outcome == AttemptOutcome::TimedOut || event.outcome == AttemptOutcome::Malformed;
   if (useless) endpoint.outlier.observeUselessEnd(context_.now());
-  // Few requests of this gateway's own would take long to show that an endpoint is down.
-  if (silent && context_.now() - endpoint.healthCheck.startedAt > kMinEjection)
+  // With little traffic it takes too long until several useless ends show that an endpoint is down.
+  if (silent && context_.now() - endpoint.healthCheck.startedAt > kMinCheckInterval)
     healthChecks_.start(endpoint, HealthCheckReason::Unresponsive);
 }
 
-// A health check tells whether the endpoint lives: one broken connection does not prove that it died.
+// One broken connection does not prove that an endpoint died: a health check tells. A slow connect, or a
+// check that can't be started, counts as a failure.
 void AttemptObserver::observeLostConnection(EndpointState& endpoint, const AttemptEnded& event) {
   const bool connectFailed = event.outcome == AttemptOutcome::ConnectFailed;
   const Micros connectTimeout = context_.settings().connectTimeout;
-  // Rejected at once, it is dead or has no connection to spare; else no answer came.
+  // A quick failure: it is dead or has no connection to spare. A slow one: no answer came.
   const bool slow = connectFailed && event.elapsed >= connectTimeout / 2;
   if (slow) scarcity_.observeSlowConnect(context_.now());
   HealthCheckState& check = endpoint.healthCheck;
@@ -148,13 +151,14 @@
 void AttemptObserver::observeSlowStart(EndpointState& endpoint, const PendingRequest& request,
                                        const AttemptEnded& event) {
   const auto response = isUnserved(request, event.outcome)    ? SlowStart::Response::NotServed
-                        : isLate(request, event)              ? SlowStart::Response::Late
+                        : isSlow(request, event)              ? SlowStart::Response::Slow
                         : event.outcome != AttemptOutcome::Ok ? SlowStart::Response::Failed
                                                               : SlowStart::Response::Served;
   slowStart_.adjust(endpoint, response, event.elapsed, latency_.workOf(request.request.classIndex));
 }
 
-// An endpoint that did not serve goes to the back half of this gateway's order.
+// An endpoint that did not serve in time, or with an error, moves to the back half of this gateway's order
+// and stays there.
 void AttemptObserver::observePreference(EndpointState& endpoint, const PendingRequest& request,
                                         const AttemptEnded& event) {
   if (isUnserved(request, event.outcome) || event.outcome == AttemptOutcome::Error)
@@ -164,15 +168,15 @@
 void AttemptObserver::observeLimit(EndpointState& endpoint, const PendingRequest& request,
                                    const AttemptEnded& event) const {
   const bool ok = event.outcome == AttemptOutcome::Ok;
-  if (isUnserved(request, event.outcome) || (ok && isLate(request, event)))
+  if (isUnserved(request, event.outcome) || (ok && isSlow(request, event)))
     endpoint.limit.decrease(context_.settings());
   else if (ok && endpoint.inFlight.work >= kUsedShareToGrow * endpoint.limit.value())
     endpoint.limit.increase();
 }
 
-bool AttemptObserver::isLate(const PendingRequest& request, const AttemptEnded& event) const {
+bool AttemptObserver::isSlow(const PendingRequest& request, const AttemptEnded& event) const {
   const Micros objective = context_.classAt(request.request.classIndex).latencyObjective;
-  return toDouble(event.elapsed) > kLateShare * toDouble(objective);
+  return toDouble(event.elapsed) > kNearObjectiveShare * toDouble(objective);
 }
 
 }  // namespace heathflow::policy
--- a/src/policy/attempt_observer.h
+++ b/src/policy/attempt_observer.h
@@ -37,7 +37,7 @@
   void observePreference(EndpointState& endpoint, const PendingRequest& request, const AttemptEnded& event);
   void observeLimit(EndpointState& endpoint, const PendingRequest& request, const AttemptEnded& event) const;
 
-  bool isLate(const PendingRequest& request, const AttemptEnded& event) const;
+  bool isSlow(const PendingRequest& request, const AttemptEnded& event) const;
 
   PolicyContext& context_;
   EndpointRegistry& registry_;
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -1,5 +1,5 @@
-// How many requests this gateway may have in flight at one endpoint: additive increase while answers come
-// well inside their objective, multiplicative decrease when one is late.
+// How much work this gateway may have in flight at one endpoint, in usual requests: additive increase while
+// answers come well inside their objective, multiplicative decrease when a request is slow or not served.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,9 @@
 
 class ConcurrencyLimit {
  public:
-  // The limit of an endpoint of which nothing is known: its part of what all gateways start with.
+  static constexpr double kMax = 64;
+
+  // The limit of an endpoint of which nothing is known: this gateway's part of what all start with.
   static double initialOf(const PolicySettings& settings) {
     return std::max(1.0, kInitialOfAllGateways / settings.gatewayCount);
   }
@@ -35,7 +37,6 @@
  private:
   static constexpr double kInitialOfAllGateways = 24;
   static constexpr double kMin = 0.25;
-  static constexpr double kMax = 64;
   static constexpr double kDecreaseFactor = 0.9;
   // The limit grows by one request for each limit's worth of answers, but no more than this at once.
   static constexpr double kMaxGrowthShare = 0.15;
--- a/src/policy/endpoint_evidence.cpp
+++ b/src/policy/endpoint_evidence.cpp
@@ -6,7 +6,7 @@
 
 void EndpointEvidence::observeHealthCheck(Micros now, const HealthCheckEnded& check) {
   Micros since = std::max(now - check.connectionAge, brokenAt_);
-  // A connection that is older than the answer before continues what that one showed.
+  // A connection that was open at the answer before leads to the same process.
   if (connectedSince_ && since <= answeredAt_) since = std::min(since, *connectedSince_);
   connectedSince_ = since;
   answeredAt_ = now - check.elapsed;
--- a/src/policy/endpoint_evidence.h
+++ b/src/policy/endpoint_evidence.h
@@ -2,8 +2,9 @@
 // notified to drain.
 //
 // Past its lease the list may lack a change that counts. An answered health check shows that an endpoint
-// lives and does not drain. It does not show that it was not removed and brought back meanwhile, so the check
-// has to be answered over a connection that stood while the list was still true (docs/design.md, Discovery).
+// is alive and does not drain. It does not show that it was not removed and brought back meanwhile, so the
+// check has to be answered over a connection that stood while the list was still true (docs/design.md,
+// Discovery).
 #pragma once
 
 #include <optional>
@@ -18,7 +19,7 @@
   void observeHealthCheck(Micros now, const HealthCheckEnded& check);
   // Something broke there: what answers from now on may have been started anew.
   void observeBreak(Micros now);
-  // Health checks went over the newest connections so far; an older one may still stand.
+  // Forgets a connection that was opened too late: a check over an older one may still give evidence.
   void observeExpiry(const EndpointListExpired& terms);
   // It may be used.
   bool suffices(Micros now, const EndpointListExpired& terms) const;
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -72,7 +72,7 @@
   const bool stillDraining = listing.draining && context_.settings().removalIsAdvisory && !restarted;
   listing.draining = listed.status == EndpointStatus::Draining || stillDraining;
   listing.usable = !listing.draining;
-  listing.unconfirmed = listing.unconfirmed && endpoint.outlier.lastResponseAt() == kNever;
+  listing.unconfirmed = listing.unconfirmed && endpoint.outlier.silentSince() == kNever;
 }
 
 // The state of a listed endpoint, in its group.
@@ -92,7 +92,8 @@
   return endpoint;
 }
 
-// What was known of the process before proves nothing of the new one.
+// Failures, latency and a newer claim to be the primary are those of the process before. Position and
+// evidence stay: they are bounded by times of their own.
 void EndpointRegistry::observeRestart(EndpointState& endpoint, const Endpoint& listed) {
   if (endpoint.role.primaryAt < listed.startedAt) endpoint.role.primaryAt = kNever;
   endpoint.role.writeRejectedAt = kNever;
@@ -101,7 +102,8 @@
   endpoint.limit.restrictTo(ConcurrencyLimit::initialOf(context_.settings()));
 }
 
-// Removed, or left out by the list. Where the list is only advice it may be used on, once it responds.
+// Removed, or missing in the list. Where the list is only advice it stays usable as the last choice, until it
+// fails.
 void EndpointRegistry::remove(EndpointState& endpoint) {
   endpoint.listing.usable = endpoint.listing.usable && context_.settings().removalIsAdvisory;
   endpoint.listing.unconfirmed = context_.settings().removalIsAdvisory;
@@ -112,7 +114,7 @@
   const bool unused = (!listing.usable || listing.unconfirmed) && endpoint.inFlight.requests == 0 &&
                       !endpoint.healthCheck.inProgress;
   const Micros after = context_.settings().removalIsAdvisory ? kForgetAfterWhereAdvisory : kForgetAfter;
-  return unused && context_.now() - std::max(listing.listedAt, endpoint.outlier.lastResponseAt()) > after;
+  return unused && context_.now() - std::max(listing.listedAt, endpoint.outlier.silentSince()) > after;
 }
 
 }  // namespace heathflow::policy
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -24,7 +24,7 @@
 
   // The list has expired, and the endpoint has not shown that it may still be used.
   bool lacksEvidence(const EndpointState& endpoint) const;
-  // A health check may give an endpoint the evidence that it lacks.
+  // A health check may give an endpoint the evidence that it lacks. Only while listExpired().
   bool healthCheckMayGiveEvidence(const EndpointState& endpoint) const;
 
   EndpointState* find(EndpointId id);
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -13,30 +13,27 @@
 // No more long reads are packed where none has ended for so many usual latencies.
 constexpr double kLongReadTimeoutMultiple = 2;
 // Up to this share of its limit a primary takes reads that replicas have no capacity for: the rest is kept
-// for writes.
+// for writes, strong reads, and reads that no replica is recent enough for.
 constexpr double kPrimarySpareShare = 0.3;
 // Weight of this gateway's preference in a replica's score, in usual requests.
 constexpr double kPreferenceWeight = 0.8;
 // Scores differ at random by up to this share, so that gateways that know the same choose differently.
 constexpr double kScoreJitter = 0.05;
-// Factor on the score of an endpoint that the request has tried, or that has not shown that it lives.
+// Factor on the score of an endpoint for each attempt of the request there, and where only the list names it.
 constexpr double kTriedPenalty = 4;
 constexpr double kSentWorkDecay = 0.999;
-// More than any limit of an endpoint.
-constexpr double kNoLimit = 64;
 
 }  // namespace
 
 EndpointState* EndpointSelection::select(PendingRequest& request, EndpointGroup& group) {
-  if (request.reason == RejectReason::EndpointListExpired) request.reason = RejectReason::None;
   EndpointState* primary = primaries_.primaryOf(group, request.consistency == Consistency::Write);
   if (!request.needsPrimary()) {
-    std::optional<double> saturatedLimit;
-    if (EndpointState* replica = selectReplica(request, group, primary, saturatedLimit)) return replica;
+    std::optional<double> minPrimaryLimit;
+    if (EndpointState* replica = selectReplica(request, group, primary, minPrimaryLimit)) return replica;
     // The read waits for a replica that qualifies, unless the primary has capacity to spare.
     const bool primaryMayServe = primary != nullptr && hasSpareCapacity(*primary) &&
-                                 (!saturatedLimit || primary->concurrencyLimit() >= *saturatedLimit);
-    if (saturatedLimit && !primaryMayServe) return nullptr;
+                                 (!minPrimaryLimit || primary->concurrencyLimit() >= *minPrimaryLimit);
+    if (minPrimaryLimit && !primaryMayServe) return nullptr;
   }
   return selectPrimary(request, group, primary);
 }
@@ -95,18 +92,18 @@
 
 EndpointState* EndpointSelection::selectReplica(PendingRequest& request, EndpointGroup& group,
                                                 const EndpointState* primary,
-                                                std::optional<double>& saturatedLimit) {
+                                                std::optional<double>& minPrimaryLimit) {
   const ReplicaQuery query = queryOf(request, group, primary);
   ReplicaSearch search = searchReplicas(request, group, query);
-  saturatedLimit = search.saturatedLimit;
-  if (search.best != nullptr || saturatedLimit) return search.best;
+  minPrimaryLimit = search.minPrimaryLimit;
+  if (search.best != nullptr || minPrimaryLimit) return search.best;
   if (EndpointState* guess = selectMostAdvanced(query, search)) return guess;
   // An idle primary serves the read while primaries have less than their even part of this gateway's work.
   const bool spareShare = primaryHasSpareShare(group);
   if (spareShare && primary != nullptr && hasSpareCapacity(*primary)) return nullptr;
   if (waitsForHealthCheck(query, search)) {
     request.reason = RejectReason::AwaitingHealthCheck;
-    saturatedLimit = spareShare ? 0 : kNoLimit;
+    minPrimaryLimit = ConcurrencyLimit::kMax;
   }
   return nullptr;
 }
@@ -155,7 +152,7 @@
   if (query.isLongRead) {
     const bool packedHere = takesLongReads(endpoint) && ++search.longReadReplica <= query.longReadReplicas;
     if (!packedHere && query.waited < kMaxPackingWait) {
-      search.saturatedLimit = search.saturatedLimit.value_or(0);
+      search.minPrimaryLimit = search.minPrimaryLimit.value_or(0);
       return;
     }
   }
@@ -164,14 +161,14 @@
   if (!endpoint.freshness.covers(query.required, context_))
     considerBehind(endpoint, request, query, capacity, search);
   else if (!capacity)
-    search.saturatedLimit = std::max(search.saturatedLimit.value_or(0), endpoint.concurrencyLimit());
+    search.minPrimaryLimit = std::max(search.minPrimaryLimit.value_or(0), endpoint.concurrencyLimit());
   else
     considerQualified(endpoint, request, query, search);
 }
 
 // A replica that is not known to be recent enough.
 void EndpointSelection::considerBehind(EndpointState& endpoint, const PendingRequest& request,
-                                       const ReplicaQuery& query, bool hasCapacity,
+                                       const ReplicaQuery& query, bool capacity,
                                        ReplicaSearch& search) const {
   search.checkInProgress = search.checkInProgress || endpoint.healthCheck.inProgress;
   const Micros now = context_.now();
@@ -181,7 +178,7 @@
   const bool preferred =
       search.checkCandidate == nullptr || endpoint.preference < search.checkCandidate->preference;
   const bool checkDue = now - endpoint.healthCheck.startedAt >= query.recheckAfter;
-  if (hasCapacity && mayHaveCaughtUp && preferred && checkDue && !healthChecks_.refusesNewWork(endpoint))
+  if (capacity && mayHaveCaughtUp && preferred && checkDue && !healthChecks_.refusesNewWork(endpoint))
     search.checkCandidate = &endpoint;
 
   const bool tried =
@@ -189,7 +186,7 @@
                   [&](const AttemptRecord& attempt) { return attempt.endpoint == endpoint.info.id; });
   const bool replicasWait = context_.settings().catchUpTimeout > 0;
   const bool hopeless = replicasWait ? !mayHaveCaughtUp : freshness.isKnownTooOldFor(query.required, now);
-  if (!hasCapacity || tried || hopeless) return;
+  if (!capacity || tried || hopeless) return;
   if (search.mostAdvanced == nullptr || freshness.position() > search.mostAdvanced->freshness.position())
     search.mostAdvanced = &endpoint;
 }
--- a/src/policy/endpoint_selection.h
+++ b/src/policy/endpoint_selection.h
@@ -25,12 +25,12 @@
         slowStart_(slowStart),
         latency_(latency) {}
 
-  // May start a health check that a later selection needs. Sets the request's reason where it returns
-  // nullptr.
-  // @return nullptr  where the request has to wait.
+  // May start a health check that a later selection needs.
+  // @return nullptr  where the request has to wait. Its reason then says why, but for long reads that wait
+  // for
+  //                  the replicas on which they are packed.
   EndpointState* select(PendingRequest& request, EndpointGroup& group);
   // Whether an endpoint may still be sent a request that was placed on it a while ago.
-  // @param own  the attempt that was placed there.
   bool stillQualifies(const EndpointState& endpoint, const PendingRequest& request);
 
   void observeArrival();
@@ -56,8 +56,9 @@
     EndpointState* mostAdvanced = nullptr;    // of those that may be too far behind
     EndpointState* checkCandidate = nullptr;  // a health check may show that it qualifies
     bool checkInProgress = false;
-    double longReadReplica = 0;            // number of the one at hand among those that take long reads
-    std::optional<double> saturatedLimit;  // the highest limit of those that qualify but have no capacity
+    double longReadReplica = 0;  // number of the one at hand among those that take long reads
+    // Set: the read waits, unless the primary has capacity to spare and at least this limit.
+    std::optional<double> minPrimaryLimit;
   };
 
   ReplicaQuery queryOf(const PendingRequest& request, const EndpointGroup& group,
@@ -68,17 +69,18 @@
                 ReplicaSearch& search);
   void considerWithoutEvidence(EndpointState& endpoint, ReplicaSearch& search) const;
   void considerBehind(EndpointState& endpoint, const PendingRequest& request, const ReplicaQuery& query,
-                      bool hasCapacity, ReplicaSearch& search) const;
+                      bool capacity, ReplicaSearch& search) const;
   void considerQualified(EndpointState& endpoint, const PendingRequest& request, const ReplicaQuery& query,
                          ReplicaSearch& search);
   EndpointState* selectReplica(PendingRequest& request, EndpointGroup& group, const EndpointState* primary,
-                               std::optional<double>& saturatedLimit);
+                               std::optional<double>& minPrimaryLimit);
   EndpointState* selectMostAdvanced(const ReplicaQuery& query, const ReplicaSearch& search) const;
   bool waitsForHealthCheck(const ReplicaQuery& query, ReplicaSearch& search);
   bool healthChecksTellPosition() const;
   EndpointState* selectPrimary(PendingRequest& request, EndpointGroup& group, EndpointState* primary);
   EndpointState* selectForDiscoveringWrite(PendingRequest& request, const EndpointGroup& group);
 
+  // Sets the request's reason where it returns false.
   bool hasCapacity(const EndpointState& endpoint, double load, PendingRequest& request) const;
   bool hasSpareCapacity(const EndpointState& primary) const;
   bool primaryHasSpareShare(const EndpointGroup& group) const;
--- a/src/policy/endpoint_state.h
+++ b/src/policy/endpoint_state.h
@@ -1,4 +1,5 @@
-// What a gateway keeps of each endpoint and group. Each part is owned by the class that it is declared with.
+// What a gateway keeps of each endpoint and group. Each part names the class that mainly updates it;
+// AttemptObserver updates several.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +17,7 @@
 
 namespace heathflow::policy {
 
-// What the endpoint list says of an endpoint. Owned by EndpointRegistry.
+// What the endpoint list says of an endpoint. Updated by EndpointRegistry.
 struct ListingState {
   bool usable = false;       // requests may be sent to it
   bool draining = false;     // listed so since its last start
@@ -25,7 +26,8 @@
   std::uint64_t listNumber = 0;  // of the newest list that names it
 };
 
-// When an endpoint was known to have which role. Owned by PrimaryTracker.
+// When an endpoint was known to have which role. Updated by PrimaryTracker, and by EndpointRegistry from the
+// list.
 struct RoleState {
   Micros primaryAt = kNever;           // the newest time at which it was the primary
   Micros replicaAt = kNever;           // the newest time at which it was a replica
@@ -37,7 +39,7 @@
   bool mayBePrimary() const { return replicaAt == kNever || primaryAt > replicaAt; }
 };
 
-// This gateway's own requests at an endpoint. Owned by RequestDispatcher.
+// This gateway's own requests at an endpoint. Updated by RequestDispatcher.
 struct InFlightState {
   int requests = 0;
   double work = 0;  // in usual requests
@@ -45,21 +47,24 @@
   Micros longReadDue = kNever;  // by when one of the long reads should have ended
 };
 
-// Owned by HealthCheckScheduler.
+// Updated by HealthCheckScheduler and AttemptObserver.
 struct HealthCheckState {
   bool inProgress = false;
   Micros startedAt = kNever;
   Micros newWorkRefusedAt = kNever;  // when the endpoint rejected a check since it takes nothing new
-  bool connectRejected = false;  // a check is to tell whether an endpoint that rejected a connection lives
+  bool connectRejected = false;  // a check is to tell whether an endpoint that rejected a connection is alive
 };
 
-// Owned by SlowStart.
+// Updated by SlowStart.
 struct SlowStartState {
   DecayingSum sentWork;  // what the endpoint rejected included
-  double growth = 1;     // factor on this gateway's even part of an endpoint in slow start
+  double growth = 1;     // factor on this gateway's even part, where requests are spaced out
   Micros adjustedAt = kNever;
 };
 
+// The least time without a response after which an endpoint counts as unresponsive.
+inline constexpr Micros kMinResponseTimeout = 250 * kMillisecond;
+
 struct EndpointState {
   Endpoint info;
   // This gateway's own order of endpoints, from 0 to 1: among equals the lowest is preferred.
@@ -83,7 +88,7 @@
   }
   // For so long nothing may come from an endpoint before it counts as unresponsive.
   static Micros responseTimeout(const PolicySettings& settings) {
-    return std::max(settings.connectTimeout, kMinEjection);
+    return std::max(settings.connectTimeout, kMinResponseTimeout);
   }
   // Requests are in flight there and nothing has come from it for the response timeout.
   bool isUnresponsive(const PolicyContext& context) const {
@@ -95,7 +100,7 @@
   }
 };
 
-// The search for a group's primary. Owned by HealthCheckScheduler.
+// The search for a group's primary. Updated by HealthCheckScheduler.
 struct PrimarySearch {
   Micros startedAt = kNever;     // of the present round
   Micros allCheckedAt = kNever;  // of the last round that checks all endpoints
--- a/src/policy/health_check_scheduler.cpp
+++ b/src/policy/health_check_scheduler.cpp
@@ -12,6 +12,9 @@
 // One replica with a known position is enough for so many reads within the bound.
 constexpr double kReadsPerReplica = 8;
 
+// For so long an endpoint is not checked that takes nothing new.
+constexpr Micros kPauseAfterRefusal = 250 * kMillisecond;
+// How often all endpoints of a group without a primary are checked.
 constexpr Micros kSearchAllInterval = 4 * kPrimarySearchInterval;
 // For so long a search waits for an answer before it checks the next endpoint.
 constexpr Micros kSearchAnswerTimeout = 30 * kMillisecond;
@@ -33,10 +36,10 @@
 }
 
 bool HealthCheckScheduler::refusesNewWork(const EndpointState& endpoint) const {
-  return context_.now() - endpoint.healthCheck.newWorkRefusedAt < kMinEjection;
+  return context_.now() - endpoint.healthCheck.newWorkRefusedAt < kPauseAfterRefusal;
 }
 
-void HealthCheckScheduler::observeArrival() { credit_ = std::min(kMaxCredit, credit_ + kCreditPerRequest); }
+void HealthCheckScheduler::observeArrival() { budget_ = std::min(kMaxBudget, budget_ + kBudgetPerRequest); }
 
 void HealthCheckScheduler::findPrimary(EndpointGroup& group) {
   if (!context_.settings().healthChecksReportRole || searchAwaitsAnswer(group)) return;
@@ -52,7 +55,8 @@
   start(*next, neverKnown ? HealthCheckReason::Initial : HealthCheckReason::PrimaryUnknown);
 }
 
-// A check of this round, or of the endpoint that was the primary, is about to be answered.
+// A check of this round was started just now, or one of the endpoint that was the primary last is in
+// progress, however long that takes.
 bool HealthCheckScheduler::searchAwaitsAnswer(const EndpointGroup& group) const {
   for (const EndpointId id : group.endpoints) {
     const EndpointState& endpoint = registry_.at(id);
@@ -102,9 +106,9 @@
   std::sort(due.begin(), due.end(),
             [](const EndpointState* a, const EndpointState* b) { return a->preference < b->preference; });
   for (EndpointState* endpoint : due) {
-    if (credit_ < 1 || (missing < 1 && !endpoint->listing.unconfirmed)) continue;
+    if (budget_ < 1 || (missing < 1 && !endpoint->listing.unconfirmed)) continue;
     if (!start(*endpoint, HealthCheckReason::PositionStale)) continue;
-    credit_ -= 1;
+    budget_ -= 1;
     missing -= 1;
   }
 }
--- a/src/policy/health_check_scheduler.h
+++ b/src/policy/health_check_scheduler.h
@@ -6,7 +6,7 @@
 
 namespace heathflow::policy {
 
-// A position is checked again no sooner than after this share of the age that it may have.
+// The least time between two checks of a position, as a share of the age that the position may have.
 inline constexpr double kMinCheckIntervalShare = 0.5;
 // How often a group's endpoints are tried while its primary is not known.
 inline constexpr Micros kPrimarySearchInterval = 400 * kMillisecond;
@@ -20,7 +20,8 @@
   bool start(EndpointState& endpoint, HealthCheckReason reason);
   // Takes in the end of a check, but for what the endpoint reports.
   void observeEnd(EndpointState& endpoint, const HealthCheckEnded& event);
-  // It rejected a check of late since it takes nothing new: it is not checked at the pace of its rejections.
+  // It rejected a check a moment ago since it takes nothing new; without a pause each rejection would lead to
+  // the next check.
   bool refusesNewWork(const EndpointState& endpoint) const;
 
   // Looks for a group's primary: one endpoint after the other, the most advanced first, for it takes over
@@ -28,7 +29,7 @@
   void findPrimary(EndpointGroup& group);
   // Keeps the positions of as many replicas known as the reads of late can use.
   void refreshPositions(EndpointGroup& group);
-  // Each request earns a part of a check of refreshPositions().
+  // Each request adds to the budget of refreshPositions().
   void observeArrival();
 
  private:
@@ -37,13 +38,13 @@
   bool isRefreshDue(const EndpointState& endpoint, Micros minInterval) const;
 
   // Checks ahead of reads must not cost more than they save.
-  static constexpr double kCreditPerRequest = 0.1;
-  static constexpr double kMaxCredit = 20;
+  static constexpr double kBudgetPerRequest = 0.1;
+  static constexpr double kMaxBudget = 20;
 
   PolicyContext& context_;
   EndpointRegistry& registry_;
   PrimaryTracker& primaries_;
-  double credit_ = kMaxCredit;  // in checks
+  double budget_ = kMaxBudget;  // in checks
 };
 
 }  // namespace heathflow::policy
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -6,13 +6,14 @@
 namespace {
 
 constexpr Micros kMaxEjection = 4 * kSecond;
+// Bounds the shift that doubles the time.
 constexpr int kMaxEjectionsCounted = 8;
 constexpr int kUselessEndsToFailure = 3;
 
 }  // namespace
 
 void OutlierDetection::observeResponse(Micros now) {
-  lastResponseAt_ = now;
+  silentSince_ = now;
   if (presumedDead_) returnedAt_ = now;
   presumedDead_ = false;
   connectionReset_ = false;
@@ -20,7 +21,7 @@
   uselessEnds_ = 0;
 }
 
-void OutlierDetection::observeFirstInFlight(Micros now) { lastResponseAt_ = std::max(lastResponseAt_, now); }
+void OutlierDetection::observeFirstInFlight(Micros now) { silentSince_ = std::max(silentSince_, now); }
 
 void OutlierDetection::observeFailure(Micros now) {
   presumedDead_ = presumedDead_ || connectionReset_;
--- a/src/policy/policy_context.h
+++ b/src/policy/policy_context.h
@@ -21,7 +21,7 @@
 inline constexpr Micros kNever = std::numeric_limits<Micros>::min() / 4;
 
 inline double toDouble(Micros value) { return static_cast<double>(value); }
-inline Micros shareOf(double share, Micros whole) { return static_cast<Micros>(share * toDouble(whole)); }
+inline Micros shareOf(double share, Micros span) { return static_cast<Micros>(share * toDouble(span)); }
 
 // What a timer is for. The subject of its token is given behind each.
 enum class TimerKind : std::uint64_t {
--- a/src/policy/primary_tracker.h
+++ b/src/policy/primary_tracker.h
@@ -12,8 +12,8 @@
   PrimaryTracker(PolicyContext& context, EndpointRegistry& registry)
       : context_(context), registry_(registry) {}
 
-  // The endpoint that was the primary last, unless it is known to be a replica or to have failed; else the
-  // one that the list names, while nothing newer is known. An older claim never revives.
+  // The endpoint that was the primary last, unless it is known to be a replica, is ejected or not usable;
+  // else the one that the list names, while nothing newer is known. An older claim never revives.
   // @param forWrite  an endpoint that is not the primary rejects a write, so the list is trusted further.
   // @return nullptr  where none is known.
   EndpointState* primaryOf(const EndpointGroup& group, bool forWrite);
--- a/src/policy/replica_freshness.cpp
+++ b/src/policy/replica_freshness.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 // What makes a replica lag outlasts the lag: it counts as behind for so many times as long.
-constexpr Micros kLagValidityFactor = 16;
+constexpr int kLagValidityFactor = 16;
 // How much farther behind a replica counts than a read needs that it rejected.
-constexpr Micros kAssumedLagFactor = 2;
+constexpr int kAssumedLagFactor = 2;
 
 }  // namespace
 
--- a/src/policy/replica_freshness.h
+++ b/src/policy/replica_freshness.h
@@ -19,7 +19,7 @@
 class ReplicaFreshness {
  public:
   LogPosition position() const { return position_; }
-  // How far it was behind when it last reported.
+  // How far it was behind by its last report, or is assumed to be since it rejected a read.
   Micros lag() const { return lag_; }
 
   void observePosition(LogPosition position, Micros now);
@@ -27,9 +27,9 @@
   void observeTooOldFor(LogPosition required, Micros now);
 
   bool covers(LogPosition required, const PolicyContext& context) const;
-  // It may have caught up since it last reported, at half the speed of time.
+  // Assumes that its lag has shrunk by half a second in each second since.
   bool mayHaveReached(LogPosition required, Micros now) const;
-  // It reported to be too far behind, less long ago than the read may be stale.
+  // Its lag was too large, and was observed less long ago than the read may be stale.
   bool isKnownTooOldFor(LogPosition required, Micros now) const;
 
  private:
--- a/src/policy/request_dispatcher.cpp
+++ b/src/policy/request_dispatcher.cpp
@@ -105,7 +105,7 @@
 
 void RequestDispatcher::place(PendingRequest& request, EndpointGroup& group) {
   if (context_.now() >= retries_.expiresAt(request)) request.reason = RejectReason::DeadlineTooClose;
-  if (!retries_.mayAttempt(request, nullptr)) request.reason = RejectReason::AttemptsExhausted;
+  if (!retries_.mayAttempt(request, nullptr)) request.reason = RejectReason::NotRetryable;
   if (request.reason >= RejectReason::DeadlineTooClose) return conclude(request);
   if (trySend(request, group)) return;
   if (request.reason == RejectReason::EndpointListExpired) return conclude(request);
@@ -129,7 +129,7 @@
   const std::size_t classIndex = request.request.classIndex;
   const double work = latency_.workOf(classIndex);
   const bool wasUnresponsive = endpoint.isUnresponsive(context_);
-  // An endpoint may have lost its role since it last reported; its own answer tells.
+  // An endpoint may have lost its role since it last reported; its answer to this request shows it.
   const bool isPrimary = &endpoint == primaries_.primaryOf(registry_.groupOf(endpoint.info.group), false);
   const bool asPrimary = request.consistency == Consistency::Strong ||
                          (isPrimary && requiredPosition(request, context_) != kNever);
@@ -190,13 +190,13 @@
   }
 }
 
-// The most valuable of the newest requests of all classes, for its work.
+// The newest request of each class is considered; the one with the highest value for its work comes first.
 PendingRequest* RequestDispatcher::nextQueued(EndpointGroup& group, const std::vector<bool>& blocked) {
   PendingRequest* best = nullptr;
   double bestPriority = 0;
   for (std::size_t classIndex = 0; classIndex < group.queue.classCount(); ++classIndex) {
     if (blocked[classIndex]) continue;
-    dropEndedFromQueue(group, classIndex);
+    expireQueued(group, classIndex);
     if (group.queue.empty(classIndex)) continue;
     PendingRequest& request = requests_.at(group.queue.newest(classIndex));
     const double priority = priorityOf(request);
@@ -207,7 +207,7 @@
   return best;
 }
 
-void RequestDispatcher::dropEndedFromQueue(EndpointGroup& group, std::size_t classIndex) {
+void RequestDispatcher::expireQueued(EndpointGroup& group, std::size_t classIndex) {
   while (!group.queue.empty(classIndex)) {
     const RequestId id = group.queue.newest(classIndex);
     PendingRequest* request = find(id);
@@ -268,7 +268,8 @@
   const RequestClassSettings& entry = context_.classAt(request.request.classIndex);
   const bool mayHaveRun = request.attempts[event.attempt].mayHaveRun;
   if (!mayHaveRun || entry.consistency != Consistency::Write || request.request.session == 0) return;
-  // Without an answer the write may still be begun and committed until the client gives up.
+  // Without an answer the write may still be begun until the client gives up, and then takes its time to
+  // commit.
   const LogPosition latest = event.outcome == AttemptOutcome::Ok
                                  ? event.position.value_or(context_.now())
                                  : request.request.deadline + entry.latencyObjective;
@@ -295,13 +296,13 @@
                        selection_.stillQualifies(*endpoint, *request) &&
                        retries_.mayRun(*request, endpoint, event.attempt);
   if (allowed) return;
-  attempt.recalled = true;
+  attempt.recalled = true;  // it is not written yet, so that cancelling is always allowed
   context_.emit(CancelAttempt{event.request, event.attempt});
 }
 
 // ---- Ends ----
 
-// Work for clients that have left is cancelled where that is allowed.
+// Work for clients that have disconnected is cancelled where that is allowed.
 void RequestDispatcher::observeClientDisconnect(RequestId id) {
   if (const PendingRequest* request = find(id)) cancelInFlight(*request);
   finish(id);
--- a/src/policy/request_dispatcher.h
+++ b/src/policy/request_dispatcher.h
@@ -34,11 +34,12 @@
   void observeExpiryTimer(RequestId id);
   void observeQueueTimer(GroupId id);
 
-  // Sends what is queued and can be sent, the most valuable first.
+  // Sends what is queued and can be sent, the most valuable first. Ends what has waited too long, and what
+  // needs an endpoint that lacks evidence while the list has expired.
   void drainQueue(EndpointGroup& group);
   // What arrives after the deadline is rejected.
   void startShutdown(Micros deadline);
-  // The deadline of the shutdown has come: everything gets its answer.
+  // The deadline of the shutdown has come: everything is rejected or failed.
   void concludeAll();
 
  private:
@@ -49,7 +50,7 @@
   void enqueue(PendingRequest& request, EndpointGroup& group);
   void setQueueTimer(GroupId id, EndpointGroup& group);
   PendingRequest* nextQueued(EndpointGroup& group, const std::vector<bool>& blocked);
-  void dropEndedFromQueue(EndpointGroup& group, std::size_t classIndex);
+  void expireQueued(EndpointGroup& group, std::size_t classIndex);
   double priorityOf(const PendingRequest& request) const;
 
   bool isServable(const Request& request) const;
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -1,5 +1,5 @@
-// Requests of a group that wait for an endpoint, in a line for each class. The newest of a line is served
-// first: it has the best chance to meet its objective, while by age each would be served just too late.
+// Requests of a group that wait for an endpoint: a LIFO queue for each class. The newest has the best chance
+// to meet its objective, while by age each would be served just too late.
 #pragma once
 
 #include <cstddef>
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -28,6 +28,7 @@
     // A key is remembered from the first attempt that may have run, within its scope.
     if (context_.now() + margin >= attempt.sentAt + entry.keyWindow) return false;
     if (target == nullptr || target->info.id == attempt.endpoint) continue;
+    // Which other endpoints of the zone share the keys is not known.
     if (entry.keyScope == KeyScope::Endpoint || entry.keyScope == KeyScope::Zone) return false;
   }
   return true;
@@ -48,18 +49,18 @@
   return std::min(last, request.objectiveEnd - static_cast<Micros>(latency_.boundedLatencyOf(classIndex)));
 }
 
-void RetryPolicy::observeArrival() { credit_ = std::min(kMaxCredit, credit_ + kCreditPerRequest); }
+void RetryPolicy::observeArrival() { budget_ = std::min(kMaxBudget, budget_ + kBudgetPerRequest); }
 
 bool RetryPolicy::takeRetry(const PendingRequest& request, const AttemptRecord& attempt,
                             AttemptOutcome outcome) {
   const PolicySettings& settings = context_.settings();
   const bool idempotent = context_.classAt(request.request.classIndex).idempotency == Idempotency::Idempotent;
-  const bool costsCredit = !neverRan(outcome) || outcome == AttemptOutcome::Overloaded;
+  const bool costsBudget = !neverRan(outcome) || outcome == AttemptOutcome::Overloaded;
   const bool unsendable = outcome == AttemptOutcome::NotSent && !attempt.recalled;
   if (request.partForwarded || unsendable) return false;
   if (context_.now() + settings.timerResolution >= request.request.deadline) return false;
-  if (costsCredit && idempotent && credit_ < 1) return false;
-  if (costsCredit) credit_ -= 1;
+  if (costsBudget && idempotent && budget_ < 1) return false;
+  if (costsBudget) budget_ -= 1;
   return true;
 }
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -24,23 +24,25 @@
   // Whether an attempt may run beside the effects that the others may have had.
   // @param own  the attempt itself, where it has been made already.
   bool mayRun(const PendingRequest& request, const EndpointState* target, std::size_t own) const;
-  // Whether the request may be ended with the promise that it had no effect.
+  // Whether the request may be rejected: it had no effect, or a repeat of it is harmless.
   bool mayReject(const PendingRequest& request) const;
-  // When a request that waits here is worth nothing any more. It is then ended, not at its deadline.
+  // When a queued request is ended: just before its deadline, or, where late answers have no value, once its
+  // objective can't be met.
   Micros expiresAt(const PendingRequest& request) const;
 
-  // Each request earns a part of a retry.
+  // Each request adds to the retry budget, so that retries do not multiply an overload.
   void observeArrival();
-  // Whether a request goes on after an attempt that ended without an answer; takes the credit for its retry.
+  // Whether a request whose last attempt did not serve it goes on. Takes the retry from the budget, also
+  // where no retry follows after all; requests that are not idempotent may overdraw it.
   bool takeRetry(const PendingRequest& request, const AttemptRecord& attempt, AttemptOutcome outcome);
 
  private:
-  static constexpr double kCreditPerRequest = 0.1;
-  static constexpr double kMaxCredit = 10;
+  static constexpr double kBudgetPerRequest = 0.1;
+  static constexpr double kMaxBudget = 10;
 
   const PolicyContext& context_;
   const LatencyEstimator& latency_;
-  double credit_ = kMaxCredit;  // in retries
+  double budget_ = kMaxBudget;  // in retries
 };
 
 // Whether an attempt that ended so never ran at its endpoint.
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -40,7 +40,7 @@
   Micros maxStaleness = 0;               // of Consistency::BoundedStaleness
   Micros latencyObjective = 0;           // an answer within this time has its full value
   double objectivePerEstimatedWork = 0;  // by so much of Request::estimatedWork the objective is longer
-  Micros deadline = 0;                   // the longest time that a client waits
+  Micros deadline = 0;                   // the longest time that a client waits; for the adapters
   double priorityWeight = 1;
   double lateValueShare = 0;  // the share of its value that an answer has after the objective
   Idempotency idempotency = Idempotency::None;
@@ -71,12 +71,13 @@
   Micros maxRetryAfter = 0;
   unsigned maxAttempts = 1;  // of a request
   Micros connectTimeout = 0;
-  Micros responseSlack = 0;
+  Micros responseSlack = 0;          // of a final answer past its deadline; for tests and checks
   double slowStartInitialShare = 1;  // the share of its capacity with which an endpoint starts
   Micros slowStartDuration = 0;      // from its start until it has its full capacity
-  Micros overloadWindow = 0;         // an endpoint in slow start fails when it gets, within this time,
-  double overloadMultiple = 1;       // this multiple of what it can serve
-  Micros initialLatency = 0;         // of a usual request, measured before the start; 0: not known
+  // An endpoint in slow start fails when it gets, within the window, more than this multiple of its capacity.
+  Micros overloadWindow = 0;
+  double overloadMultiple = 1;
+  Micros initialLatency = 0;  // of a usual request, measured before the start; 0: not known
 };
 
 enum class EndpointStatus { Removed, Ready, Draining };
@@ -88,7 +89,7 @@
   EndpointStatus status = EndpointStatus::Ready;
   std::uint32_t zone = 0;
   Micros startedAt = 0;        // 0: long ago
-  double size = 1;             // relative capacity
+  double size = 1;             // relative capacity; not used by the policy
   bool listedPrimary = false;  // the list takes it for the primary
 };
 
@@ -107,9 +108,9 @@
   // A session token: the read has to see what was written so long ago. It binds reads of any class, and is
   // below 0 where it is ahead of this process's clock.
   std::optional<Micros> timeSinceLastWrite;
-  std::optional<Micros> estimatedWork;
-  bool isClientRetry = false;  // marked so by the client
-  Micros deadline = 0;         // when the client gives up
+  std::optional<Micros> estimatedWork;  // the service time that the client expects
+  bool isClientRetry = false;           // marked so by the client
+  Micros deadline = 0;                  // when the client gives up
 };
 
 // How an attempt ended.
@@ -119,9 +120,9 @@
   Overloaded,  // the endpoint rejected the request for want of capacity
   TimedOut,
   ConnectFailed,
-  ConnectionReset,  // the connection broke under the request, which may have run
-  Cancelled,
-  NotSent,
+  ConnectionReset,     // the connection broke under the request, which may have run
+  Cancelled,           // by this gateway; it may have run
+  NotSent,             // cancelled before it was written, or it could not be written
   PreconditionFailed,  // the endpoint is not the primary, or lags too far behind, and did not run the request
   Malformed,           // the answer can't be read; the request may have run
   Abandoned,           // the client let its time go by and did not take the answer
@@ -157,7 +158,7 @@
   std::optional<LogPosition> position;  // of the endpoint, or of the commit when a write succeeded
   LoadReport report;
 };
-// The response is on its way to the client, and nothing more is owed.
+// The response has been handed over to the client's stream: the policy owes the request nothing more.
 struct ResponseStreaming {
   RequestId request = 0;
   std::uint32_t attempt = 0;
@@ -178,7 +179,7 @@
   bool ok = false;
   Micros elapsed = 0;
   LoadReport report;
-  bool rejected = false;        // the endpoint lives, but takes no more health checks at present
+  bool rejected = false;        // the endpoint is alive, but takes no more health checks at present
   bool refusesNewWork = false;  // as the endpoint says: it starts, or drains
   Micros connectionAge = 0;     // of the connection over which it answered
 };
@@ -188,7 +189,7 @@
 struct ClientDisconnected {
   RequestId request = 0;
 };
-// This process ends: what has no answer by the deadline is lost.
+// This process ends: what has no answer by the deadline is rejected or failed then.
 struct ShutdownStarted {
   Micros deadline = 0;
 };
@@ -202,27 +203,29 @@
 struct SendAttempt {
   RequestId request = 0;
   EndpointId endpoint = 0;
-  Micros abandonAt = 0;    // 0: when the client gives up
+  Micros abandonAt = 0;    // always 0: when the client gives up
   bool asPrimary = false;  // an answer counts only while the endpoint does not say that it lost leadership
 };
 struct CancelAttempt {
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
-// What last kept a request from being sent. From DeadlineTooClose on the request is ended at once.
+// What last kept a request from being sent, at the endpoint that was considered last. From DeadlineTooClose
+// on the request is ended at once; for the others it is queued, but for LoadShed on arrival and for a
+// client's retry whose late answer has no value.
 enum class RejectReason {
-  None,      // it was sent, and the attempt failed
-  LoadShed,  // its group serves too little of what it gets
+  None,      // none recorded: its last attempt failed, it was not valid, or came too late
+  LoadShed,  // on arrival: rejected; of a read that would go to the primary: queued
   NoPrimary,
   AwaitingHealthCheck,
   ConcurrencyLimit,  // of this gateway at an endpoint
   Paced,             // a limit below one request in flight spaces requests out
   SlowStart,         // the share of an endpoint that warms up is spent
   DeadlineTooClose,
-  AttemptsExhausted,
-  EndpointListExpired  // and no evidence of the endpoints' own
+  NotRetryable,        // its attempts are used up, it may have run, or its key is no longer remembered
+  EndpointListExpired  // and no health check can show that the endpoint may be used
 };
-// Ends a request with the promise that it had no effect.
+// Ends a request that the client may safely send again: it had no effect, or a repeat of it is harmless.
 struct RejectRequest {
   RequestId request = 0;
   Micros retryAfter = 0;
@@ -234,12 +237,12 @@
   RejectReason reason = RejectReason::None;
 };
 enum class HealthCheckReason {
-  Initial,           // no endpoint of the group has reported its role yet
-  PositionStale,     // the known log position gets too old to be of use
+  Initial,           // no endpoint of the group has reported to be the primary yet
+  PositionStale,     // the log position gets too old to be of use, or nothing but the list names the endpoint
   ReadWaiting,       // a read waits for the log position
-  PrimaryUnknown,    // the group has lost its primary
-  ConnectionBroken,  // something broke, and the check tells whether the endpoint lives
-  Unresponsive       // nothing has come from it for long
+  PrimaryUnknown,    // the group has no primary, or its role has to be confirmed
+  ConnectionBroken,  // something broke, and the check tells whether the endpoint is alive
+  Unresponsive       // nothing has come from it for long, or it lacks evidence while the list has expired
 };
 struct StartHealthCheck {
   EndpointId endpoint = 0;
--- a/src/policy/session_tokens.cpp
+++ b/src/policy/session_tokens.cpp
@@ -26,7 +26,7 @@
     if (old) newestDropped_ = std::max(newestDropped_, entry.second);
     return old;
   });
-  dropAtSize_ = std::max(kAlwaysKept, 2 * positions_.size());
+  dropAtSize_ = std::max(kMinSizeToDrop, 2 * positions_.size());
 }
 
 }  // namespace heathflow::policy
--- a/src/policy/session_tokens.h
+++ b/src/policy/session_tokens.h
@@ -17,14 +17,15 @@
   void observeWrite(std::uint64_t session, LogPosition latest, Micros now);
 
  private:
-  // Bounds memory: old tokens are dropped. A session without one then needs the newest that was dropped.
+  // Bounds memory: tokens past their lifetime are dropped. A session without a token then needs the newest
+  // position that was dropped.
   void dropOldTokens(Micros now);
 
-  static constexpr std::size_t kAlwaysKept = 4096;
+  static constexpr std::size_t kMinSizeToDrop = 4096;
 
   std::unordered_map<std::uint64_t, LogPosition> positions_;
   LogPosition newestDropped_ = kNever;
-  std::size_t dropAtSize_ = kAlwaysKept;
+  std::size_t dropAtSize_ = kMinSizeToDrop;
 };
 
 }  // namespace heathflow::policy
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -32,10 +32,12 @@
   return settings.slowStartInitialShare + (1 - settings.slowStartInitialShare) * progress;
 }
 
-// What endpoints with their full capacity answer for this gateway is its part of what they can do. The work
-// of one in slow start, rejected work included, keeps that proportion to its capacity, however unequal
-// gateways are. Where that is less than a request in the window, or this gateway's even part of what a core
-// can do stands in for it, single light requests are spaced out, the first at a time of each gateway's own.
+// 1. What endpoints with their full capacity answer for this gateway is its part of what they can do. The
+// work
+//    that it sends to one in slow start, rejected work included, keeps that proportion to its capacity.
+// 2. Where that is less than a request in the window, single light requests are spaced out.
+// 3. A gateway that has little traffic uses its even part of what one core of an endpoint can do.
+// 4. The first request comes at a time of each gateway's own.
 bool SlowStart::admits(const EndpointState& endpoint, double work) const {
   const double capacity = capacityShare(endpoint);
   if (capacity >= 1) return true;
@@ -47,8 +49,10 @@
   if (state.sentWork.valueAt(context_.now(), context_.overloadWindow()) + work <= own) return true;
   if (endpoint.inFlight.requests > 0 || work > kHeavyWork) return false;
 
-  const double core = settings.overloadMultiple * capacity * window / latency_.fullCapacityLatency();
-  const double share = state.growth * std::max(own, kAllowanceShare * core / settings.gatewayCount);
+  const double oneCoreCapacity =
+      settings.overloadMultiple * capacity * window / latency_.fullCapacityLatency();
+  const double share =
+      state.growth * std::max(own, kAllowanceShare * oneCoreCapacity / settings.gatewayCount);
   const Micros startedAt = startOf(endpoint);
   const bool first = state.sentWork.updatedAt() < startedAt;
   const Micros sinceLast = context_.now() - std::max(startedAt, state.sentWork.updatedAt());
@@ -76,7 +80,7 @@
   const double sinceAdjusted =
       toDouble(context_.now() - state.adjustedAt) / toDouble(context_.overloadWindow());
   const double step = kGrowthPerWindow * std::min(1.0, sinceAdjusted);
-  if (response == Response::NotServed || response == Response::Late || capacity >= 1)
+  if (response == Response::NotServed || response == Response::Slow || capacity >= 1)
     state.growth = 1;
   else if (response == Response::Failed || latencyRatio > kInTimeMultiple)
     state.growth = std::max(1.0, kGrowthDecreaseFactor * state.growth);
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,5 +1,5 @@
 // Slow start: an endpoint that was just started has a part of its capacity, and fails when all gateways
-// together send it more than that.
+// together send it more than a multiple of that within the overload window.
 #pragma once
 
 #include "policy/endpoint_registry.h"
@@ -23,7 +23,7 @@
   // An endpoint answered.
   void observeAnswer(const EndpointState& endpoint, double work);
 
-  enum class Response { Served, Late, NotServed, Failed };
+  enum class Response { Served, Slow, NotServed, Failed };
   // Adjusts this gateway's part of an endpoint in slow start: it grows while answers come in their time.
   // @param elapsed  in microseconds.
   // @param work     of the request, in usual requests.
--- a/src/stats/enum_names.cpp
+++ b/src/stats/enum_names.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::array<const char*, kRejectReasons> kRejectReasonNames = {
     "none",  "load_shed",  "no_primary",         "awaiting_health_check", "concurrency_limit",
-    "paced", "slow_start", "deadline_too_close", "attempts_exhausted",    "endpoint_list_expired"};
+    "paced", "slow_start", "deadline_too_close", "not_retryable",         "endpoint_list_expired"};
 
 template <typename Enum, std::size_t kSize>
 const char* lookUp(const std::array<const char*, kSize>& names, Enum value) {
