--- a/src/common/startup_backoff.h
+++ b/src/common/startup_backoff.h
@@ -12,10 +12,10 @@
 // DEPLOY, SIGHUP: the new configuration counts 4 s later. The waits of a reload altogether.
 inline constexpr std::int64_t kReloadRetryTime = 3'000'000;
 
-// Whether an error number may mean no more than a short lack of descriptors, memory or ports.
+// Whether the error of a system call may not occur on a retry.
 bool isTransient(int error);
 
-// The waits between the attempts of one start.
+// The waits, in microseconds, between the attempts of one start or reload.
 class StartupBackoff {
  public:
   explicit StartupBackoff(std::int64_t retryTime = kStartupRetryTime) : retryTime_(retryTime) {}
--- a/src/discovery/cached_list_trust.h
+++ b/src/discovery/cached_list_trust.h
@@ -18,11 +18,11 @@
 struct CachedListTrust {
   bool endpoints = false;  // requests may be sent to them
   bool roles = false;      // the listed primary counts; else endpoints have to report their role themselves
-  bool drains = false;     // endpoints listed as draining get no new requests
+  bool drains = false;     // endpoints listed as draining get no new requests; always as `endpoints`
 };
 
-// @param age since the list was known to be true; below 0 where the clock was set back since, and then the
-//        list is not trusted.
+// @param age since the list was known to be true; more than 1 s below 0 where the clock was set back
+//        since, and then the list is not trusted.
 CachedListTrust trustInCachedList(Micros age, const CachedListSettings& settings);
 
 }  // namespace heathflow::discovery
--- a/src/discovery/call_spreading.h
+++ b/src/discovery/call_spreading.h
@@ -12,9 +12,9 @@
 // The gateways that share a list service.
 struct GatewayFleet {
   unsigned gatewayCount = 1;
-  Micros maxPollInterval = 0;  // the longest time between two polls; 0: not limited
+  Micros maxPollInterval = 0;  // the longest time between two polls; 0: not known, watches are the shortest
 
-  // The time that the service needs for one call of each gateway.
+  // The time, in microseconds, that the service needs for one call of each gateway.
   double serviceTime(double callCost) const;
   // Within which a failed call has to be repeated with success: the notification deadline, or the poll
   // interval where that is shorter.
--- a/src/discovery/discovery_backoff.cpp
+++ b/src/discovery/discovery_backoff.cpp
@@ -6,7 +6,10 @@
 namespace {
 
 constexpr Micros kMinDelay = 250'000;
-// The longest delay as a share of the recovery time, which leaves time for a second failure and an answer.
+// After a timeout: the delay is drawn from 0 to this.
+constexpr Micros kMaxSpreadAfterTimeout = 250'000;
+// The longest delay after a broken, unreachable or unreadable call and after the first two rejections, as a
+// share of the recovery time: it leaves time for a second failure and an answer.
 constexpr double kMaxDelayShare = 0.25;
 constexpr int kMaxDoublings = 8;
 
@@ -20,9 +23,9 @@
 Micros DiscoveryBackoff::nextDelay(CallFailure failure, double callCost, std::optional<Micros> retryAfter) {
   ++failures_;
   // A call that timed out has cost its time already, and a dedicated service need not be spared: the delay
-  // only spreads gateways whose watches timed out together.
+  // only spreads gateways whose watches timed out together. Retry-After is ignored.
   if (failure == CallFailure::TimedOut || dedicatedService_)
-    return static_cast<Micros>(random() * static_cast<double>(kMinDelay));
+    return static_cast<Micros>(random() * static_cast<double>(kMaxSpreadAfterTimeout));
   if (failure == CallFailure::Rejected) return delayAfterRejection(callCost, retryAfter.value_or(0));
   const Micros delay = std::min(maxDelay(), kMinDelay << std::min(failures_, kMaxDoublings));
   return static_cast<Micros>((0.5 + 0.5 * random()) * static_cast<double>(delay));
--- a/src/discovery/discovery_backoff.h
+++ b/src/discovery/discovery_backoff.h
@@ -16,7 +16,7 @@
 using stats::kCallFailures;
 using stats::nameOf;
 
-// A call without an answer for so long has timed out. Two such calls in a row and the waits after them leave
+// A call that is not a watch times out after this. Two such calls in a row and the waits after them leave
 // time for a third before the notification deadline.
 inline constexpr Micros kCallTimeout = kNotificationDeadline / 4;
 // The response to a watch is due so long after the end of its wait.
@@ -30,7 +30,8 @@
 
   // The wait after a failed call.
   // @param callCost what one call is assumed to cost the service.
-  // @param retryAfter the wait that the service requested.
+  // @param retryAfter the wait that the service requested; counts only after a rejection, and not for a
+  //        dedicated service.
   Micros nextDelay(CallFailure failure, double callCost, std::optional<Micros> retryAfter);
   // A call has succeeded, or the service has moved.
   void reset() { failures_ = rejections_ = 0; }
@@ -44,7 +45,7 @@
   bool dedicatedService_;
   std::mt19937_64 random_;
   int failures_ = 0;    // in a row
-  int rejections_ = 0;  // in a row, other failures between them not counted
+  int rejections_ = 0;  // since reset(); other failures neither count nor reset it
 };
 
 }  // namespace heathflow::discovery
--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -59,7 +59,7 @@
 
 void DiscoveryCall::onInput() {
   if (!inProgress_ || !response_) {
-    // Guards against unrequested input that would be taken for the next answer.
+    // Unrequested input must not be taken for the next answer.
     stream_->close();
     return;
   }
@@ -76,7 +76,7 @@
     return open();
   }
   if (!response_) return fail(CallFailure::Unreachable, "it can't be reached");
-  // Guards against half a list: a response without a length ends with an orderly close, not with a reset.
+  // Half a list is not used: a response without a length ends with an orderly close, not with a reset.
   if (!response_->begun() || how != transport::StreamEnd::Closed)
     return fail(CallFailure::ConnectionReset, "its connection broke");
   response_->ended();
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -8,10 +8,11 @@
 
 using stats::Topic;
 using transport::kMicrosPerMilli;
-// PROTOCOL, Discovery: a watch lasts as long as the next call comes within 200 ms. Guards against a tight
-// loop with a service that answers at once though nothing has changed.
-constexpr Micros kMinWatchPause = 50'000;
-// The first call, and one after a failure, requests what has changed and does not wait.
+// PROTOCOL, Discovery: the service counts calls no more than 200 ms apart as one watch. After an unchanged
+// list before half of the wait there is this pause, so that there is no tight loop.
+constexpr Micros kPauseAfterEarlyAnswer = 50'000;
+// Calls that are not watches (the first, after a failure, after a move) wait for no change. Without a
+// revision they request the complete list.
 constexpr Micros kNoWait = kMicrosPerMilli;
 // So many timed-out calls may be open beside the newest one. Closing one loses its position in the service's
 // queue, while an open one may be dead: the service was restarted, or the path to it is cut.
@@ -97,7 +98,7 @@
   const Micros watchDuration = schedule_.watchDuration();
   const bool early = !changed && elapsed < watchDuration / 2;
   onList_(list);
-  if (!calling_) callAt(loop_.now() + (early ? kMinWatchPause : 0), watchDuration);
+  if (!calling_) callAt(loop_.now() + (early ? kPauseAfterEarlyAnswer : 0), watchDuration);
   // The routing policy uses this list now. An answer that was long delayed may have expired already.
   expired_ = false;
   leaseChanged();
@@ -167,7 +168,7 @@
   callFailed({CallFailure::TimedOut, "no answer in time", {}}, elapsed);
 }
 
-// The list stays as it was.
+// The list is kept, but its lease may end.
 void DiscoveryWatch::callFailed(const CallError& error, Micros elapsed) {
   calling_ = false;
   ++failuresInRow_;
--- a/src/discovery/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -13,7 +13,7 @@
 // STANDING: a gateway counts as notified of a change so long after the service had it and could be reached,
 // whatever calls failed, were rejected or given up.
 inline constexpr Micros kNotificationDeadline = 6'000'000;
-// STANDING: of a watch it is so long after its wait, if that is later.
+// STANDING: during a watch, so long after the end of its wait, where that is later.
 inline constexpr Micros kNotificationAfterWatch = 2'000'000;
 // STANDING: after a move of the service (SIGHUP) the gateway counts as notified of its list so much later.
 inline constexpr Micros kNotificationAfterMove = 4'000'000;
@@ -24,13 +24,13 @@
 // The longest time until the list service has recorded an endpoint's return (BENCH, site files: 'add_s').
 inline constexpr Micros kMaxReturnRecordingDelay = 2'000'000;
 
-// A lease on the list. Until it ends, the gateway counts as notified of a change no earlier than the service
-// sends it over a call that works. After its end the list may lack a change that counts.
+// A lease on the list. Until it ends, the list lacks no change that the gateway counts as notified of;
+// afterwards it may.
 class ListLease {
  public:
   // For a process that starts with a cached list.
-  // @param pushed changes count as soon as the service has them; else the cached list may be used until a
-  //        call has failed.
+  // @param pushed changes count as soon as the service has them, so the cached list has no lease; else it may
+  //        be used for the notification deadline, or until a call has failed before the first answer.
   ListLease(Micros now, bool pushed) : endsAt_(pushed ? now : now + kNotificationDeadline) {}
 
   // The service has answered. The answer may have been delayed.
@@ -50,7 +50,7 @@
   }
   // A watch had no response after its wait: a change since the last confirmation may count by now.
   void watchTimedOut(Micros now) { endsAt_ = std::max(renewedUntil_, now); }
-  // A call brought no list.
+  // A call failed. Before this process's first answer that ends the lease at once.
   void callFailed(Micros now) {
     if (!wasRenewed_) endsAt_ = std::min(endsAt_, now);
   }
@@ -67,7 +67,7 @@
 
  private:
   bool wasRenewed_ = false;  // by this process
-  Micros renewedUntil_ = 0;  // by the last answer alone, without watches
+  Micros renewedUntil_ = 0;  // by the last answer; extensions by watches not included
   Micros endsAt_;
 };
 
--- a/src/downstream/client_session.cpp
+++ b/src/downstream/client_session.cpp
@@ -141,7 +141,7 @@
       onIncomplete(step.part);
       return false;
     case Kind::Left:
-      close(CloseReason::ShutdownNotified);
+      close(CloseReason::ClientFinished);
       return false;
     case Kind::Fatal:
       if (busy_) cancelRequest();
@@ -340,7 +340,7 @@
 void ClientSession::recordClose(CloseReason why) {
   if (std::exchange(closeRecorded_, true)) return;
   ++observer_.counters.clientsClosed[static_cast<std::size_t>(why)];
-  const bool byGateway = why != CloseReason::ByClient && why != CloseReason::ShutdownNotified;
+  const bool byGateway = why != CloseReason::ByClient && why != CloseReason::ClientFinished;
   router_.checker().connectionClosing(request_, byGateway && busy_);
   if (observer_.tracing) {
     observer_.trace(Topic::Downstream, "closed: " + std::string(nameOf(why)), logContext());
@@ -375,7 +375,7 @@
   if (sentRequest_) {
     closeIfIdle();
   } else if (closeNewcomers && canClose()) {
-    closeWithError(Reason::ShuttingDown, "this gateway ends", CloseReason::IdleEvicted);
+    closeWithError(Reason::ShuttingDown, "this gateway ends", CloseReason::IdleClosed);
   }
 }
 
@@ -389,7 +389,7 @@
 
 bool ClientSession::closeIfIdle() {
   if (!canClose()) return false;
-  linger(CloseReason::IdleEvicted, kReadTimeout);
+  linger(CloseReason::IdleClosed, kReadTimeout);
   return true;
 }
 
--- a/src/emulator/deployment_results.cpp
+++ b/src/emulator/deployment_results.cpp
@@ -98,8 +98,8 @@
       << connectionsTurnedAway << " turned away; " << healthChecks << " probes\n";
   out << "given up by the drivers, by reason:";
   for (const auto& [name, value] : counters) {
-    if (name.starts_with(kRejectedByReasonPrefix) && value > 0)
-      out << ' ' << name.substr(kRejectedByReasonPrefix.size()) << ' ' << value;
+    if (name.starts_with(kUnservedByReasonPrefix) && value > 0)
+      out << ' ' << name.substr(kUnservedByReasonPrefix.size()) << ' ' << value;
   }
   out << "\n";
   for (std::size_t i = 0; i < kRules; ++i) {
--- a/src/invariants/invariant_checker.h
+++ b/src/invariants/invariant_checker.h
@@ -1,6 +1,6 @@
 // Checks the rules of the deployment as invariants of one process: when it sends, retries, answers, closes
 // and starts. The checker keeps its own record of requests, independent of the policy that it checks, and
-// stops and counts every violation. It does no input or output and reads no clock.
+// counts every violation; it prevents those by an attempt. It does no input or output and reads no clock.
 #pragma once
 
 #include <array>
@@ -24,7 +24,8 @@
   ForbiddenHedge,       // a second attempt in flight, where the settings allow none
   RepeatedEffect,       // a retry after an attempt that may have run, where the class allows none
   SecondAnswer,         // a request got two final answers
-  RejectedAfterEffect,  // a rejection promises that there was no effect
+  RejectedAfterEffect,  // a rejection promises that there was no effect; seen while another attempt is in
+                        // flight
   ClosedUnanswered,     // this process closed a connection whose request has no answer
   AcceptedAfterClose,   // a request was accepted on a connection that is closing
   StartedUnready        // clients were accepted before there was an endpoint list
--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -93,7 +93,7 @@
 
 void Detector::improveLocalHealth() { localHealth_ = localHealth_ > 0 ? localHealth_ - 1 : 0; }
 
-// Guards against suspecting others for answers that arrived during the stall.
+// Answers that arrived during the stall must not lead to suspicions.
 void Detector::recoverFromStall(Micros now, Micros stalledFor) {
   worsenLocalHealth();
   setContactLost(true);
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -104,7 +104,7 @@
   RequestId id = 0;
   GroupId group = 0;
   std::uint32_t classIndex = 0;
-  std::uint64_t session = 0;  // 0: none
+  std::uint64_t session = 0;  // hash of its name, not a ClientSession; 0: none
   // A session token: the read has to see what was written so long ago. It binds reads of any class, and is
   // below 0 where it is ahead of this process's clock.
   std::optional<Micros> timeSinceLastWrite;
@@ -119,19 +119,19 @@
   Error,       // the endpoint answered with an error; the request may have run
   Overloaded,  // the endpoint rejected the request for want of capacity
   TimedOut,
-  ConnectFailed,
+  ConnectFailed,       // no usable connection, or it ended before the request could run
   ConnectionReset,     // the connection broke under the request, which may have run
   Cancelled,           // by this gateway; it may have run
   NotSent,             // cancelled before it was written, or it could not be written
   PreconditionFailed,  // the endpoint is not the primary, or lags too far behind, and did not run the request
   Malformed,           // the answer can't be read; the request may have run
-  Abandoned,           // the client let its time go by and did not take the answer
-  LostLeadership       // it ran, but the endpoint that answered as the primary says that it no longer is
+  Abandoned,      // time ran out while the next step was the client's: to send more, or to take the answer
+  LostLeadership  // it ran, but the endpoint that answered as the primary says that it no longer is
 };
 
 // ---- Events ----
 
-// A new endpoint list, a change to it, or the failure to get one.
+// A new endpoint list, a change to it, or (Failed) a call that brought none and changes nothing.
 struct EndpointsChanged {
   enum class Scope { Delta, Full, Failed } scope = Scope::Full;
   std::vector<Endpoint> endpoints;
@@ -151,7 +151,7 @@
   EndpointId endpoint = 0;
   AttemptOutcome outcome = AttemptOutcome::Error;
   Micros elapsed = 0;              // without the time for which it waited for its client
-  bool requestFinished = false;    // the client has its answer
+  bool requestFinished = false;    // this is its answer, or it ended before
   bool rolledBack = false;         // whatever it did has had no effect
   bool mayLackConnections = true;  // of a failed connect: the endpoint may have no connection to spare
   std::optional<Role> role;
@@ -163,8 +163,8 @@
   RequestId request = 0;
   std::uint32_t attempt = 0;
 };
-// A part of the response has reached the client: no other attempt may serve the request any more, and an end
-// that is not Ok still needs the final answer.
+// A first part of the response is about to be forwarded to the client: no other attempt may serve the request
+// any more, and an end that is not Ok still needs the final answer.
 struct ResponsePartForwarded {
   RequestId request = 0;
   std::uint32_t attempt = 0;
@@ -179,7 +179,7 @@
   bool ok = false;
   Micros elapsed = 0;
   LoadReport report;
-  bool rejected = false;        // the endpoint is alive, but takes no more health checks at present
+  bool rejected = false;        // no result, but no sign that the endpoint is down either
   bool refusesNewWork = false;  // as the endpoint says: it starts, or drains
   Micros connectionAge = 0;     // of the connection over which it answered
 };
@@ -204,7 +204,7 @@
   RequestId request = 0;
   EndpointId endpoint = 0;
   Micros abandonAt = 0;    // always 0: when the client gives up
-  bool asPrimary = false;  // an answer counts only while the endpoint does not say that it lost leadership
+  bool asPrimary = false;  // an answer of an endpoint that reports that it is not the primary does not count
 };
 struct CancelAttempt {
   RequestId request = 0;
@@ -228,7 +228,7 @@
 // Ends a request that the client may safely send again: it had no effect, or a repeat of it is harmless.
 struct RejectRequest {
   RequestId request = 0;
-  Micros retryAfter = 0;
+  Micros retryAfter = 0;  // 0: none
   RejectReason reason = RejectReason::None;
 };
 // Ends a request that may have had an effect.
@@ -253,7 +253,7 @@
 struct CloseIdleConnections {
   EndpointId endpoint = 0;
 };
-// Opens a watch on the endpoint list.
+// Begins to poll and watch the endpoint list.
 struct SubscribeToEndpoints {};
 struct SetTimer {
   std::uint64_t token = 0;  // comes back in TimerFired
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -99,7 +99,7 @@
   traceEnd(action.request, "rejected", action.reason);
   RequestOwner* owner = finish(action.request, observer_.counters.requestsRejected);
   if (owner == nullptr) return;
-  observer_.upstreamStats.requestRejected(action.reason);
+  observer_.upstreamStats.requestUnserved(action.reason);
   checker_.requestAnswered(action.request, InvariantChecker::FinalAnswer::Rejected);
   owner->onRejected(action.retryAfter);
 }
@@ -108,7 +108,7 @@
   traceEnd(action.request, "failed", action.reason);
   RequestOwner* owner = finish(action.request, observer_.counters.requestsFailed);
   if (owner == nullptr) return;
-  observer_.upstreamStats.requestRejected(action.reason);
+  observer_.upstreamStats.requestUnserved(action.reason);
   checker_.requestAnswered(action.request, InvariantChecker::FinalAnswer::Failed);
   owner->onFailed();
 }
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -174,7 +174,7 @@
   for (int attempts = 1; attempts < kReadAttempts && !file.bytes && file.error != ENOENT; ++attempts)
     file = files::read(path, kMaxFileSize);
   if (file.error == ENOENT) return {};
-  // Guards against losing a good file to a disk that fails for a moment.
+  // A disk that fails for a moment must not cost a good file.
   if (!file.bytes && file.error != EFBIG) {
     problem = "the snapshot " + path + " can't be read: " + std::strerror(file.error);
     return {};
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -1,6 +1,6 @@
-// What a gateway keeps on disk for its next start, where the settings name a file: the endpoint list and when
-// it was true, what calls cost the list service, and how often the gateway has crashed early. It holds no
-// log position, and roles are not used after the poll interval.
+// What a gateway keeps on disk for its next start, where the settings name a file: the endpoint list with its
+// source and when it was true, what calls cost the list service, the usual latency, and how often the gateway
+// has crashed early. It holds no log position. How long its parts are used: trustInCachedList().
 #pragma once
 
 #include <cstdint>
--- a/src/stats/call_failure.h
+++ b/src/stats/call_failure.h
@@ -6,7 +6,7 @@
 namespace heathflow::stats {
 
 enum class CallFailure {
-  Rejected,         // the service answered that it is overloaded
+  Rejected,         // a status other than 200, treated as overload
   ConnectionReset,  // the connection broke during the call
   TimedOut,
   Unreachable,  // no connection could be opened
--- a/src/stats/enum_names.cpp
+++ b/src/stats/enum_names.cpp
@@ -13,8 +13,8 @@
     "cancelled", "not_sent", "precondition_failed", "malformed", "abandoned",      "lost_leadership"};
 
 constexpr std::array<const char*, kCloseReasons> kCloseReasonNames = {
-    "by_client",        "idle_evicted", "shutdown_notified", "slow_reader", "incomplete_request",
-    "too_many_clients", "no_memory",    "protocol_error",    "linger_ended"};
+    "by_client",        "idle_closed", "client_finished", "slow_reader", "incomplete_request",
+    "too_many_clients", "no_memory",   "protocol_error",  "linger_ended"};
 
 constexpr std::array<const char*, kHealthCheckReasons> kHealthCheckReasonNames = {
     "initial", "position_stale", "read_waiting", "primary_unknown", "connection_broken", "unresponsive"};
--- a/src/stats/upstream_stats.cpp
+++ b/src/stats/upstream_stats.cpp
@@ -35,10 +35,10 @@
 }
 
 std::string describeRejections(const UpstreamStats& upstreamStats) {
-  std::string out = "rejected_by_reason:";
+  std::string out = "unserved_by_reason:";
   for (std::size_t i = 0; i < kRejectReasons; ++i) {
     const auto reason = static_cast<RejectReason>(i);
-    add(out, nameOf(reason), upstreamStats.rejectedFor(reason));
+    add(out, nameOf(reason), upstreamStats.unservedFor(reason));
   }
   return out + '\n';
 }
--- a/src/stats/upstream_stats.h
+++ b/src/stats/upstream_stats.h
@@ -22,7 +22,7 @@
 struct HealthCheckCounts {
   std::uint64_t started = 0;
   std::uint64_t answered = 0;
-  std::uint64_t used = 0;  // a request was sent to the endpoint before its next health check
+  std::uint64_t used = 0;  // an attempt was started there before the next health check
 };
 
 // What one connection has carried so far.
@@ -35,21 +35,21 @@
   std::array<std::uint64_t, kTrafficTypes> opened{};  // by the traffic that each was opened for
   std::array<std::uint64_t, kTrafficTypes> reused{};  // by the traffic of the further use
   std::uint64_t closed = 0;
-  std::uint64_t closedUnused = 0;           // carried no request
-  std::uint64_t closedAfterOneRequest = 0;  // carried a single request
+  std::uint64_t closedUnused = 0;           // was never given a request
+  std::uint64_t closedAfterOneRequest = 0;  // was given one request, written or not
 };
 
 class UpstreamStats {
  public:
   void healthCheckStarted(EndpointId endpoint, HealthCheckReason reason);
   void healthCheckEnded(EndpointId endpoint, bool answered);
-  // A request is sent to the endpoint: the result of its last health check was of use.
+  // An attempt is started there, written or not: the result of the last health check was of use.
   void requestSent(EndpointId endpoint);
   void endpointRemoved(EndpointId endpoint) { endpoints_.erase(endpoint); }
 
-  // A request was rejected or failed without an answer of an endpoint.
-  void requestRejected(RejectReason reason) { ++rejected_[static_cast<std::size_t>(reason)]; }
-  std::uint64_t rejectedFor(RejectReason reason) const { return rejected_[static_cast<std::size_t>(reason)]; }
+  // A request was rejected or failed: what last kept it from being sent, or None.
+  void requestUnserved(RejectReason reason) { ++unserved_[static_cast<std::size_t>(reason)]; }
+  std::uint64_t unservedFor(RejectReason reason) const { return unserved_[static_cast<std::size_t>(reason)]; }
 
   ConnectionUsage connectionOpened(TrafficType traffic);
   void connectionReused(ConnectionUsage& usage, TrafficType traffic);
@@ -74,7 +74,7 @@
   }
 
   std::array<HealthCheckCounts, kHealthCheckReasons> healthChecks_{};
-  std::array<std::uint64_t, kRejectReasons> rejected_{};
+  std::array<std::uint64_t, kRejectReasons> unserved_{};
   ConnectionCounts connections_;
   std::unordered_map<EndpointId, EndpointRecord> endpoints_;
 };
--- a/src/wallclock/endpoint_time.h
+++ b/src/wallclock/endpoint_time.h
@@ -11,12 +11,12 @@
 
 using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
-// PROTOCOL, Discovery: all machines read one clock. Guards against a position far in the future that would
+// PROTOCOL, Discovery: all machines read one clock. A position far in the future would
 // make a replica look current, or an endpoint the primary, for ever.
 inline constexpr Micros kMaxClockLead = 1'000'000;
 
 // Estimates how far the endpoints' clocks lead this machine's clock: a position is never from the future of
-// the machine that wrote it, so that one ahead of this clock shows a lead. Guards against reads that look
+// the machine that wrote it, so that one ahead of this clock shows a lead. Otherwise reads would look
 // fresher than they are, at a gateway whose clock is behind. A clock of this machine that leads makes
 // positions look old, which keeps reads from replicas and breaks nothing.
 class EndpointTime {
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -366,7 +366,7 @@
   EXPECT_EQ(lastCounter.substr(0, lastCounter.find('.') + 1), "upstream_connections.");
   EXPECT_NE(lastLine.find(" " + lastCounter.substr(lastCounter.find('.') + 1) + "="), std::string::npos);
   const std::string group(
-      emulator::kRejectedByReasonPrefix.substr(0, emulator::kRejectedByReasonPrefix.size() - 1));
+      emulator::kUnservedByReasonPrefix.substr(0, emulator::kUnservedByReasonPrefix.size() - 1));
   EXPECT_NE(text.find(group + ":"), std::string::npos);
   EXPECT_EQ(std::string("invariants: ") + invariants::kViolated, emulator::kInvariantViolated);
 }
--- a/tests/upstream_stats_test.cpp
+++ b/tests/upstream_stats_test.cpp
@@ -45,7 +45,7 @@
 TEST(UpstreamStats, ForgetsRemovedEndpointsAndNamesEveryCount) {
   UpstreamStats upstreamStats;
   upstreamStats.healthCheckStarted(1, HealthCheckReason::Unresponsive);
-  upstreamStats.requestRejected(RejectReason::SlowStart);
+  upstreamStats.requestUnserved(RejectReason::SlowStart);
   EXPECT_EQ(upstreamStats.healthCheckedEndpoints(), 1U);
   upstreamStats.endpointRemoved(1);
   upstreamStats.healthCheckEnded(1, true);
