--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -53,6 +53,7 @@
 if grep -nE 'sys/|<unistd|<fstream|<iostream|<cstdio|<chrono>|<thread>|<ctime>' -r src/policy; then
   fail "the policy reaches for input, output or a clock"
 fi
+if grep -rnE "^.{111,}" src/policy; then fail "a line of the policy is wider than 110"; fi
 # Protocol handling knows no socket and no clock; transport knows no protocol.
 if grep -nE 'sys/socket|sys/epoll|<chrono>|transport/(event_loop|socket|stream|clock)' -r src/protocol; then
   fail "protocol handling reaches for a socket or a clock"
--- a/src/discovery/discovery_backoff.h
+++ b/src/discovery/discovery_backoff.h
@@ -13,7 +13,6 @@
 namespace heathflow::discovery {
 
 using stats::CallFailure;
-using stats::kCallFailures;
 using stats::nameOf;
 
 // A call that is not a watch times out after this. Two such calls in a row and the waits after them leave
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -29,7 +29,6 @@
 
   EndpointState* find(EndpointId id);
   EndpointState& at(EndpointId id) { return endpoints_.at(id); }
-  const EndpointState& at(EndpointId id) const { return endpoints_.at(id); }
   bool hasGroup(GroupId id) const { return groups_.contains(id); }
   EndpointGroup& groupOf(GroupId id);
   std::map<GroupId, EndpointGroup>& groups() { return groups_; }
