--- a/src/downstream/client_connection.h
+++ b/src/downstream/client_connection.h
@@ -67,7 +67,7 @@
   Micros idleSince() const { return idleSince_; }
 
   std::string_view requestBytes() const override;
-  std::string_view requestName() const override { return requestName_; }
+  std::string_view clientRequestId() const override { return requestName_; }
   bool canTakeResponse(std::size_t size) const override;
   bool onResponsePart(const protocol::Answer& answer, std::string_view bytes) override;
   void onRequestWritable() override { process(); }
--- a/src/routing/attempt.h
+++ b/src/routing/attempt.h
@@ -1,4 +1,4 @@
-// One attempt of a request at one endpoint.
+// One attempt to serve a request at one endpoint.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 namespace heathflow::routing {
 
 struct Attempt final : upstream::Exchange {
-  Attempt(AttemptManager& owner, transport::EventLoop& loop, PendingRequest& of, std::uint32_t number,
-          EndpointId to)
-      : manager(owner),
-        request(of),
-        index(number),
-        endpoint(to),
+  Attempt(AttemptManager& attemptManager, transport::EventLoop& loop, PendingRequest& pendingRequest,
+          std::uint32_t attemptIndex, EndpointId endpointId)
+      : manager(attemptManager),
+        request(pendingRequest),
+        index(attemptIndex),
+        endpoint(endpointId),
         startedAt(loop.now()),
         timeout(loop, [this] { manager.onTimeout(*this); }) {}
 
@@ -28,7 +28,8 @@
     return manager.onResponsePart(*this, answer, bytes);
   }
   bool canTakeResponse(std::size_t size) const override {
-    return request.responding != this || request.owner == nullptr || request.owner->canTakeResponse(size);
+    return request.respondingAttempt != this || request.owner == nullptr ||
+           request.owner->canTakeResponse(size);
   }
   void onWritable() override {
     if (request.owner != nullptr) request.owner->onRequestWritable();
@@ -37,18 +38,18 @@
 
   AttemptManager& manager;
   PendingRequest& request;
-  std::uint32_t index;  // among the request's attempts
+  std::uint32_t index;  // in PendingRequest::attempts
   EndpointId endpoint;
   Micros startedAt;
-  Micros abandonAt = 0;
-  bool asPrimary = false;      // see SendAttempt
-  Micros clientWaitSince = 0;  // since when the next step is the client's; 0: it is not
-  Micros clientWaitTotal = 0;  // of the waits that are over
-  upstream::EndpointConnection* connection = nullptr;  // null once it has ended
+  Micros deadline = 0;
+  bool asPrimary = false;      // see SendAttempt::asPrimary
+  Micros clientWaitSince = 0;  // since when the next step is the client's; 0: it isn't
+  Micros clientWaitTotal = 0;  // the total time of completed waits for the client
+  upstream::EndpointConnection* connection = nullptr;  // null once the attempt has ended
   bool ended = false;
-  AttemptOutcome outcome = AttemptOutcome::Cancelled;  // once it has ended
-  bool confirmingWrite = false;                        // AttemptConnected is with the policy
-  bool writeRevoked = false;                           // the policy cancelled it meanwhile
+  AttemptOutcome outcome = AttemptOutcome::Cancelled;  // valid once the attempt has ended
+  bool confirmingWrite = false;                        // while the policy handles AttemptConnected
+  bool writeRevoked = false;                           // the policy cancelled the attempt meanwhile
   transport::Timer timeout;
 };
 
--- a/src/routing/attempt_manager.cpp
+++ b/src/routing/attempt_manager.cpp
@@ -21,30 +21,30 @@
   request->attempts.push_back(std::make_unique<Attempt>(*this, env_.loop, *request, index, action.endpoint));
   Attempt& attempt = *request->attempts.back();
   ++request->attemptsInFlight;
-  count(*request);
+  countAttempt(*request);
   if (env_.observer.tracing) {
     trace(env_.observer, *request,
           "attempt " + std::to_string(attempt.index) + " at " + env_.pool.addressText(action.endpoint) +
-              ", by " + env_.listStatus.describe(env_.loop.now()));
+              ", using " + env_.listStatus.describe(env_.loop.now()));
   }
-  env_.observer.upstreamStats.requestSent(action.endpoint);
+  env_.observer.upstreamStats.attemptStarted(action.endpoint);
   attempt.asPrimary = action.asPrimary;
-  attempt.abandonAt =
+  attempt.deadline =
       action.abandonAt == 0 ? request->deadline : std::min(action.abandonAt, request->deadline);
-  if (request->owner == nullptr || attempt.abandonAt <= env_.loop.now()) {
+  if (request->owner == nullptr || attempt.deadline <= env_.loop.now()) {
     return end(attempt, AttemptOutcome::NotSent, nullptr);
   }
-  attempt.timeout.arm(attempt.abandonAt);
+  attempt.timeout.arm(attempt.deadline);
   connect(attempt);
 }
 
 // Counts the newest attempt of the request.
-void AttemptManager::count(const PendingRequest& request) {
+void AttemptManager::countAttempt(const PendingRequest& request) {
   stats::Counters& counters = env_.observer.counters;
   ++counters.attemptsStarted;
   if (request.attempts.size() > 1) {
-    const AttemptOutcome before = request.attempts[request.attempts.size() - 2]->outcome;
-    ++counters.retriedAfter[static_cast<std::size_t>(before)];
+    const AttemptOutcome previousOutcome = request.attempts[request.attempts.size() - 2]->outcome;
+    ++counters.retriedAfter[static_cast<std::size_t>(previousOutcome)];
   }
   if (env_.listStatus.expired) ++counters.attemptsOnExpiredList;
 }
@@ -55,26 +55,29 @@
     case StartResult::Started:
       return;
     case StartResult::NoDescriptor:
-      env_.observer.note(stats::Topic::Limits, "an attempt was not sent: no descriptor is left for it");
+      env_.observer.note(stats::Topic::Limits, "attempt " + std::to_string(attempt.index) + " at " +
+                                                   env_.pool.addressText(attempt.endpoint) +
+                                                   " was not sent: no socket can be opened for it");
       return end(attempt, AttemptOutcome::NotSent, nullptr);
     case StartResult::Unreachable:
       return end(attempt, AttemptOutcome::ConnectFailed, nullptr);
   }
 }
 
-// The request is written as it came, but for its timeout, which becomes the time that is left. Where the
-// attempt had to wait for its connection the policy confirms it first.
+// Writes the request as received, but with its timeout replaced by the time that is left. If the attempt had
+// to wait for its connection, the policy confirms it first.
+// @return false if the request must not be written any more.
 bool AttemptManager::write(Attempt& attempt, protocol::EndpointSide& side, transport::Buffer& out) {
   const PendingRequest& request = attempt.request;
   const Micros now = env_.loop.now();
-  // The client's disconnect or the timeout may have come in the same turn.
-  if (request.owner == nullptr || attempt.abandonAt <= now) return false;
+  // The client may have disconnected, or the deadline passed, in the same turn of the event loop.
+  if (request.owner == nullptr || attempt.deadline <= now) return false;
   if (now > attempt.startedAt) {
     const ScopedFlag confirming(attempt.confirmingWrite);
     env_.policy.post(AttemptConnected{request.id, attempt.index});
     if (attempt.writeRevoked || request.owner == nullptr) return false;
   }
-  const Micros leftMs = std::max<Micros>(1, (attempt.abandonAt - now) / kMicrosPerMilli);
+  const Micros leftMs = std::max<Micros>(1, (attempt.deadline - now) / kMicrosPerMilli);
   if (!env_.checker.maySend(now, {request.id, attempt.index, attempt.endpoint, leftMs * kMicrosPerMilli}))
     return false;
   ++env_.observer.counters.attemptsWritten;
@@ -104,21 +107,23 @@
 
 void AttemptManager::resumeResponse(RequestId id) {
   const PendingRequest* request = env_.requests.find(id);
-  if (request == nullptr || request->responding == nullptr) return;
-  upstream::EndpointConnection* connection = request->responding->connection;
+  if (request == nullptr || request->respondingAttempt == nullptr) return;
+  upstream::EndpointConnection* connection = request->respondingAttempt->connection;
   if (connection != nullptr) connection->resumeResponse();
 }
 
-// With its first part the request is bound to this attempt, for its client has seen some of the response.
+// Forwards a part of the response. The first part binds the request to this attempt, because its client has
+// then seen some of the response.
+// @return false while the owner can't take the part.
 bool AttemptManager::onResponsePart(Attempt& attempt, const protocol::Answer& answer,
                                     std::string_view bytes) {
   PendingRequest& request = attempt.request;
-  // The part is dropped where nobody waits for it, or another attempt responds.
+  // The part is dropped if the request has ended or another attempt is responding.
   if (request.owner == nullptr) return true;
-  if (request.responding != nullptr && request.responding != &attempt) return true;
+  if (request.respondingAttempt != nullptr && request.respondingAttempt != &attempt) return true;
   if (!request.owner->canTakeResponse(answer.size())) return false;
-  if (request.responding == nullptr) {
-    request.responding = &attempt;
+  if (request.respondingAttempt == nullptr) {
+    request.respondingAttempt = &attempt;
     env_.policy.post(ResponsePartForwarded{request.id, attempt.index});
     if (request.owner == nullptr) return true;
   }
@@ -133,8 +138,8 @@
 }
 
 void AttemptManager::onTimeout(Attempt& attempt) {
-  const bool withClient = attempt.clientWaitSince != 0 || attempt.connection->paused();
-  abort(attempt, withClient ? AttemptOutcome::Abandoned : AttemptOutcome::TimedOut);
+  const bool waitsForClient = attempt.clientWaitSince != 0 || attempt.connection->paused();
+  abort(attempt, waitsForClient ? AttemptOutcome::Abandoned : AttemptOutcome::TimedOut);
 }
 
 void AttemptManager::cancel(const CancelAttempt& action) {
@@ -143,19 +148,19 @@
   Attempt& attempt = *request->attempts[action.attempt];
   if (attempt.ended) return;
   if (attempt.confirmingWrite) {
-    // Its connection is ready and unused, and is kept for other requests.
+    // The connection is ready and nothing of the request was written to it, so it is kept for other requests.
     attempt.writeRevoked = true;
     return;
   }
   abort(attempt, AttemptOutcome::Cancelled);
 }
 
-// The connection closes before anything else is sent.
+// The connection is closed before the policy can start another attempt.
 void AttemptManager::abort(Attempt& attempt, AttemptOutcome outcome) {
   const bool written = attempt.connection->requestWritten();
   const bool rolledBack = attempt.connection->rolledBackByClose();
   attempt.connection->abort();
-  // What was not written completely has not run.
+  // If too little of the request was written for it to run, the attempt counts as not sent.
   end(attempt, written ? outcome : AttemptOutcome::NotSent, nullptr, rolledBack);
 }
 
@@ -172,8 +177,8 @@
   attempt.outcome = event.outcome;
   recordEnd(attempt, event);
   --request.attemptsInFlight;
-  // Once another attempt responds, the response of this one is dropped.
-  const bool dropped = request.responding != nullptr && request.responding != &attempt;
+  // Once another attempt is responding, the response of this one is dropped.
+  const bool dropped = request.respondingAttempt != nullptr && request.respondingAttempt != &attempt;
   RequestOwner* owner = dropped ? nullptr : request.owner;
   const bool served = event.outcome == AttemptOutcome::Ok && owner != nullptr;
   if (served) {
@@ -182,7 +187,8 @@
     env_.requests.finish(request);
   }
   event.requestFinished = !dropped && (owner == nullptr || event.outcome == AttemptOutcome::Ok);
-  // The policy comes before the client, whose next request is then decided with this known.
+  // The policy is told before the client, so that it knows this result when it decides on the client's next
+  // request.
   env_.policy.post(event);
   if (served) owner->onResponse(*exchangeEnd->answer, exchangeEnd->bytes);
   env_.requests.removeIfDone(id);
@@ -201,9 +207,9 @@
     event.rolledBack = exchangeEnd->rolledBack;
     event.mayLackConnections = exchangeEnd->cause == upstream::ExchangeEnd::Cause::ConnectionRejected;
   }
-  // A response that was forwarded in part can't be taken back.
+  // A response that has been forwarded in part can't be discarded any more.
   const bool lostLeadership =
-      attempt.asPrimary && event.role == Role::Replica && attempt.request.responding != &attempt;
+      attempt.asPrimary && event.role == Role::Replica && attempt.request.respondingAttempt != &attempt;
   event.outcome = outcome == AttemptOutcome::Ok && lostLeadership ? AttemptOutcome::LostLeadership : outcome;
   if (attempt.clientWaitSince != 0) attempt.clientWaitTotal += now - attempt.clientWaitSince;
   event.elapsed = now - attempt.startedAt - attempt.clientWaitTotal;
--- a/src/routing/attempt_manager.h
+++ b/src/routing/attempt_manager.h
@@ -1,4 +1,5 @@
-// Starts attempts, forwards their responses, and reports their ends to the policy.
+// Starts attempts, forwards their responses to the owner of the request and reports how they ended to the
+// policy.
 #pragma once
 
 #include <cstddef>
@@ -19,7 +20,7 @@
 
 class AttemptManager {
  public:
-  // What attempts need of their gateway. All of it outlives the manager.
+  // The objects of the gateway that attempts use. All of them outlive the manager.
   struct Environment {
     transport::EventLoop& loop;
     const settings::InstanceSettings& settings;
@@ -37,7 +38,7 @@
   void start(const SendAttempt& action);
   void cancel(const CancelAttempt& action);
 
-  // ---- On behalf of the request's owner; see Router ----
+  // ---- For the owner of the request; see Router ----
   bool canWriteMore(RequestId request, std::size_t size);
   void writeMore(RequestId request, std::string_view message);
   void resumeResponse(RequestId request);
@@ -45,18 +46,19 @@
   // ---- Called by attempts ----
   bool write(Attempt& attempt, protocol::EndpointSide& side, transport::Buffer& out);
   bool onResponsePart(Attempt& attempt, const protocol::Answer& answer, std::string_view bytes);
-  void onExchangeEnd(Attempt& attempt, const upstream::ExchangeEnd& end);
+  void onExchangeEnd(Attempt& attempt, const upstream::ExchangeEnd& exchangeEnd);
   void onTimeout(Attempt& attempt);
 
  private:
-  void count(const PendingRequest& request);
+  void countAttempt(const PendingRequest& request);
   void connect(Attempt& attempt);
-  // Aborts an attempt in flight.
+  // Closes the connection of an attempt in flight and ends the attempt.
   void abort(Attempt& attempt, AttemptOutcome outcome);
-  // @param end  null where the attempt ended without an end of its exchange.
-  void end(Attempt& attempt, AttemptOutcome outcome, const upstream::ExchangeEnd* end,
+  // @param exchangeEnd  null if the attempt ended without an end of its exchange.
+  void end(Attempt& attempt, AttemptOutcome outcome, const upstream::ExchangeEnd* exchangeEnd,
            bool rolledBack = false);
-  AttemptEnded describeEnd(Attempt& attempt, AttemptOutcome outcome, const upstream::ExchangeEnd* end);
+  AttemptEnded describeEnd(Attempt& attempt, AttemptOutcome outcome,
+                           const upstream::ExchangeEnd* exchangeEnd);
   void recordEnd(const Attempt& attempt, const AttemptEnded& event);
 
   Environment env_;
--- a/src/routing/attempt_result.cpp
+++ b/src/routing/attempt_result.cpp
@@ -13,13 +13,14 @@
 using upstream::ExchangeStage;
 
 using transport::kMicrosPerMilli;
-constexpr std::int64_t kOne = 1'000'000;  // in the millionths of a Decimal
-// A position beyond this would overflow in microseconds.
+constexpr std::int64_t kDecimalOne = 1'000'000;  // 1 in the millionths of a protocol::Decimal
+// A larger position would overflow when converted to microseconds.
 constexpr std::int64_t kMaxPositionMs = std::numeric_limits<std::int64_t>::max() / kMicrosPerMilli;
 
-// @param index  of the report's field; below 0: the settings have none.
-std::optional<protocol::Decimal> numberAt(const settings::ReportLayout& layout, int index,
-                                          std::string_view text) {
+// Returns the number in a field of a load report; nothing if there is none.
+// @param index  of the field in the layout; negative: the settings define no such field.
+std::optional<protocol::Decimal> parseField(const settings::ReportLayout& layout, int index,
+                                            std::string_view text) {
   if (index < 0) return std::nullopt;
   const auto field = protocol::reportField(text, layout.fields[static_cast<std::size_t>(index)]);
   return field ? protocol::parseDecimal(*field) : std::nullopt;
@@ -35,7 +36,7 @@
       return AttemptOutcome::PreconditionFailed;
     case AnswerKind::None:
     case AnswerKind::Empty:   // the request may have run
-    case AnswerKind::NotNow:  // does not say whether the request has run
+    case AnswerKind::NotNow:  // doesn't tell whether the request has run
     case AnswerKind::Error:
       break;
   }
@@ -51,7 +52,7 @@
 
 AttemptOutcome outcomeOf(const upstream::ExchangeEnd& end) {
   if (end.cause == Cause::Cancelled) return AttemptOutcome::NotSent;
-  // The request runs only after its last byte was written.
+  // Too little of the request was written for it to run.
   if (end.stage == ExchangeStage::Connecting || end.stage == ExchangeStage::PartlyWritten)
     return AttemptOutcome::ConnectFailed;
   if (end.cause == Cause::Malformed) return AttemptOutcome::Malformed;
@@ -63,19 +64,19 @@
                            wallclock::EndpointTime& endpointTime) {
   const settings::ReportLayout& layout = settings.report;
   LoadReport report;
-  if (const auto role = numberAt(layout, layout.role, text);
-      role && role->micros >= 0 && role->micros <= kOne) {
-    report.role = role->micros * 2 >= kOne ? Role::Primary : Role::Replica;
+  if (const auto role = parseField(layout, layout.role, text);
+      role && role->micros >= 0 && role->micros <= kDecimalOne) {
+    report.role = role->micros * 2 >= kDecimalOne ? Role::Primary : Role::Replica;
   }
-  if (const auto position = numberAt(layout, layout.position, text); position && position->micros > 0) {
-    // It may have been rounded up by as much as its last digit.
+  if (const auto position = parseField(layout, layout.position, text); position && position->micros > 0) {
+    // The endpoint may have rounded it up by as much as one unit of its last digit.
     const bool byPrimary = report.role == Role::Primary;
     report.position = endpointTime.observe(position->micros - position->step, now, byPrimary);
-    // A report with a position in the future is not trusted at all.
+    // If the position is too far in the future, nothing in the report is trusted.
     if (!report.position) return {};
   }
-  if (const auto inFlight = numberAt(layout, layout.inFlight, text)) {
-    report.inFlight = static_cast<double>(inFlight->micros) / static_cast<double>(kOne);
+  if (const auto inFlight = parseField(layout, layout.inFlight, text)) {
+    report.inFlight = static_cast<double>(inFlight->micros) / static_cast<double>(kDecimalOne);
   }
   return report;
 }
@@ -96,7 +97,7 @@
                                      const upstream::ExchangeEnd& end, Micros now,
                                      wallclock::EndpointTime& endpointTime) {
   HealthCheckEnded event;
-  // The endpoint's host responds, though not with a result.
+  // The endpoint or its host responded, though without a result.
   event.rejected =
       end.brokenAfterConnect || (end.cause == Cause::Malformed && end.stage != ExchangeStage::Connecting);
   if (end.answer == nullptr) return event;
--- a/src/routing/endpoint_list_status.h
+++ b/src/routing/endpoint_list_status.h
@@ -1,4 +1,4 @@
-// How far the endpoint list can be trusted.
+// The age of the endpoint list, and whether it has expired.
 #pragma once
 
 #include <string>
@@ -9,12 +9,12 @@
 namespace heathflow::routing {
 
 struct EndpointListStatus {
-  bool expired = false;  // not confirmed in time
+  bool expired = false;  // it was not confirmed in time
   Micros receivedAt = 0;
 
-  // For the log.
+  // Returns a phrase for the log, such as "an endpoint list received 20 ms ago".
   std::string describe(Micros now) const {
-    return std::string(expired ? "an expired list" : "a list") + " of " +
+    return std::string(expired ? "an expired endpoint list" : "an endpoint list") + " received " +
            std::to_string((now - receivedAt) / transport::kMicrosPerMilli) + " ms ago";
   }
 };
--- a/src/routing/health_check_manager.cpp
+++ b/src/routing/health_check_manager.cpp
@@ -9,11 +9,11 @@
 using Selection = upstream::ConnectionPool::Selection;
 
 struct HealthCheckManager::HealthCheck final : upstream::Exchange {
-  HealthCheck(HealthCheckManager& owner, EndpointId to)
-      : manager(owner),
-        endpoint(to),
-        startedAt(owner.env_.loop.now()),
-        timeout(owner.env_.loop, [this] { manager.onTimeout(*this); }) {}
+  HealthCheck(HealthCheckManager& healthCheckManager, EndpointId endpointId)
+      : manager(healthCheckManager),
+        endpoint(endpointId),
+        startedAt(healthCheckManager.env_.loop.now()),
+        timeout(healthCheckManager.env_.loop, [this] { manager.onTimeout(*this); }) {}
 
   stats::TrafficType trafficType() const override { return stats::TrafficType::HealthCheck; }
   bool write(protocol::EndpointSide& side, transport::Buffer& out) override {
@@ -39,7 +39,7 @@
   env_.observer.upstreamStats.healthCheckStarted(endpoint, action.reason);
   HealthCheck& check =
       *checks_.emplace(endpoint, std::make_unique<HealthCheck>(*this, endpoint)).first->second;
-  // The settings have no timeout for health checks; that of connections serves.
+  // The settings define no timeout for health checks, so the connect timeout is used.
   check.timeout.arm(env_.loop.now() + env_.settings.policy.connectTimeout);
   connect(check, action.onOldestConnection ? Selection::OldestIdle : Selection::NewestIdle);
 }
@@ -51,7 +51,7 @@
     case StartResult::Started:
       return;
     case StartResult::NoDescriptor: {
-      // The gateway's own lack of descriptors says nothing about the endpoint.
+      // That the gateway can't open a socket says nothing about the endpoint.
       HealthCheckEnded rejected;
       rejected.rejected = true;
       return end(check, rejected);
@@ -62,7 +62,8 @@
 }
 
 void HealthCheckManager::onExchangeEnd(HealthCheck& check, const upstream::ExchangeEnd& exchangeEnd) {
-  // A connection that breaks says nothing about its endpoint: one retry on a new connection.
+  // A broken connection does not show that its endpoint is down, so the check is retried once, on a new
+  // connection.
   if (exchangeEnd.brokenAfterConnect && !std::exchange(check.retried, true))
     return connect(check, Selection::NewConnection);
   HealthCheckEnded event =
@@ -72,8 +73,8 @@
 }
 
 void HealthCheckManager::onTimeout(HealthCheck& check) {
-  // Connections to a host that vanished stay open until it is back and resets them. Where not even a health
-  // check gets a byte, the connections that were idle before it are closed too.
+  // Connections to a host that vanished stay open until it is back and resets them. If a health check gets
+  // not a single byte, the connections that have been idle since before its start are closed too.
   const bool noResponse = check.connection->awaitsFirstByte();
   check.connection->abort();
   if (noResponse) env_.pool.closeIdle(check.endpoint, check.startedAt);
--- a/src/routing/health_check_manager.h
+++ b/src/routing/health_check_manager.h
@@ -1,4 +1,4 @@
-// Health checks in flight, at most one for each endpoint.
+// Runs health checks, at most one at a time for each endpoint.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 class HealthCheckManager {
  public:
-  // What health checks need of their gateway. All of it outlives the manager.
+  // The objects of the gateway that health checks use. All of them outlive the manager.
   struct Environment {
     transport::EventLoop& loop;
     const settings::InstanceSettings& settings;
@@ -27,7 +27,7 @@
   explicit HealthCheckManager(const Environment& environment);
   ~HealthCheckManager();
 
-  // Without effect while a health check of the endpoint is in flight.
+  // Starts a health check, unless one of the endpoint is in flight.
   void start(const StartHealthCheck& action);
 
  private:
--- a/src/routing/pending_request.h
+++ b/src/routing/pending_request.h
@@ -20,11 +20,11 @@
 
   RequestId id = 0;
   RequestOwner* owner = nullptr;  // null once the request has its final answer or is cancelled
-  std::string name;               // set only while requests are traced
-  std::size_t protocol = 0;       // the pool's index
+  std::string clientRequestId;    // set only while requests are traced
+  std::size_t protocol = 0;       // index in ConnectionPool::Protocols
   protocol::Slice timeout;        // where the request states it; rewritten for each attempt
   Micros deadline = 0;
-  Attempt* responding = nullptr;  // whose response has been forwarded in part
+  Attempt* respondingAttempt = nullptr;  // its response has been forwarded in part
   std::vector<std::unique_ptr<Attempt>> attempts;
   std::size_t attemptsInFlight = 0;
 };
--- a/src/routing/policy_driver.h
+++ b/src/routing/policy_driver.h
@@ -1,5 +1,6 @@
-// Feeds events to the routing policy, one at a time, and has the router perform the actions. An event that is
-// posted while an action is performed waits until all earlier actions are.
+// Passes events to the routing policy, one at a time, and has the router perform the resulting actions. An
+// event that is posted while an action is being performed is queued until all earlier actions have been
+// performed.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,8 @@
                std::uint64_t seed);
 
   void post(Event event);
-  // Performs the actions that are pending and handles the events that they cause.
+  // Performs the pending actions and handles queued events until there are none. Returns at once if it is
+  // already running.
   void run();
 
  private:
--- a/src/routing/request_table.cpp
+++ b/src/routing/request_table.cpp
@@ -30,7 +30,7 @@
   const PendingRequest& request = *found->second;
   if (request.owner != nullptr || request.attemptsInFlight != 0) return;
   checker_.forget(id);
-  // Kept until the end of the turn, for its own code may be running.
+  // Kept alive until the end of the event loop's turn, because code of its attempts may be running.
   loop_.retire(std::move(found->second));
   requests_.erase(found);
 }
--- a/src/routing/request_table.h
+++ b/src/routing/request_table.h
@@ -16,9 +16,10 @@
       : loop_(loop), checker_(checker) {}
 
   void add(std::unique_ptr<PendingRequest> request);
-  // @return null for a request that is not known any more.
+  // @return null if the request has been removed.
   PendingRequest* find(RequestId id) const;
-  // Ends a request that has its final answer or is cancelled. It stays while attempts are in flight.
+  // Ends a request that has its final answer or is cancelled. It stays in the table while attempts are in
+  // flight.
   void finish(PendingRequest& request);
   // Removes a request that is finished and has no attempt in flight.
   void removeIfDone(RequestId id);
--- a/src/routing/request_trace.h
+++ b/src/routing/request_trace.h
@@ -1,4 +1,4 @@
-// The steps of single requests in the log. Callers check Observer::tracing first.
+// Logs one step of a request. Callers check Observer::tracing first.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 inline void trace(stats::Observer& observer, const PendingRequest& request, const std::string& text) {
   stats::LogContext context;
-  context.request = request.name;
-  observer.trace(stats::Topic::Requests, request.name + ": " + text, context);
+  context.request = request.clientRequestId;
+  observer.trace(stats::Topic::Requests, request.clientRequestId + ": " + text, context);
 }
 
 }  // namespace heathflow::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -14,7 +14,8 @@
 using invariants::InvariantChecker;
 using transport::kMicrosPerMilli;
 
-// A request that was read in the turn in which its endpoint starts to drain may still be written in it.
+// A request that is read in the same turn of the event loop in which its endpoint starts to drain may still
+// be written in that turn.
 constexpr Micros kMinDrainGrace = 50'000;
 
 }  // namespace
@@ -61,10 +62,10 @@
   pending->timeout = timeout;
   pending->deadline = request.deadline;
   if (observer_.tracing) {
-    pending->name = owner.requestName();
+    pending->clientRequestId = owner.clientRequestId();
     trace(observer_, *pending,
           "accepted, class " + settings_.classNames[request.classIndex] + ", " +
-              std::to_string((request.deadline - loop_.now()) / kMicrosPerMilli) + " ms left");
+              std::to_string((request.deadline - loop_.now()) / kMicrosPerMilli) + " ms until its deadline");
   }
   checker_.requestAccepted(request);
   requests_.add(std::move(pending));
@@ -74,7 +75,7 @@
 
 void Router::cancel(RequestId id) {
   const PendingRequest* request = requests_.find(id);
-  if (observer_.tracing && request != nullptr) trace(observer_, *request, "cancelled by its client");
+  if (observer_.tracing && request != nullptr) trace(observer_, *request, "cancelled by the client");
   checker_.requestCancelled(id);
   if (finish(id, observer_.counters.requestsCancelled) != nullptr) policy_.post(ClientDisconnected{id});
 }
@@ -113,8 +114,8 @@
   owner->onFailed();
 }
 
-// Ends a request that no endpoint's response ends.
-// @return its owner, or null where it has ended before.
+// Ends a request without a response of an endpoint.
+// @return its owner, or null if the request has already ended.
 RequestOwner* Router::finish(RequestId id, std::uint64_t& counter) {
   PendingRequest* request = requests_.find(id);
   if (request == nullptr || request->owner == nullptr) return nullptr;
@@ -134,18 +135,18 @@
   if (!timers_.empty()) nextTimer_.arm(timers_.earliest());
 }
 
-void Router::traceEnd(RequestId id, const char* how, RejectReason reason) const {
+void Router::traceEnd(RequestId id, const char* outcome, RejectReason reason) const {
   if (!observer_.tracing) return;
   const PendingRequest* request = requests_.find(id);
   if (request == nullptr || request->owner == nullptr) return;
-  trace(observer_, *request, std::string(how) + ": " + stats::nameOf(reason));
+  trace(observer_, *request, std::string(outcome) + ": " + stats::nameOf(reason));
 }
 
 void Router::onInvariantViolated(invariants::Invariant invariant, RequestId id) {
   ++observer_.counters.invariantViolations[static_cast<std::size_t>(invariant)];
   const PendingRequest* request = requests_.find(id);
   stats::LogContext context;
-  if (request != nullptr && request->owner != nullptr) context.request = request->owner->requestName();
+  if (request != nullptr && request->owner != nullptr) context.request = request->owner->clientRequestId();
   observer_.note(stats::Topic::Invariants,
                  std::string(invariants::kViolated) + ": " + invariants::nameOf(invariant) + " request " +
                      std::string(context.request.empty() ? "unknown" : context.request),
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,5 +1,5 @@
-// The router of one gateway: translates between the routing policy and what happens on connections. It makes
-// no decisions.
+// The router of one gateway: turns requests, connections and timers into events for the routing policy, and
+// performs the policy's actions. It makes no decisions itself.
 #pragma once
 
 #include <cstdint>
@@ -26,35 +26,35 @@
 
 class Router {
  public:
-  // @param seed  of the policy's random draws.
+  // @param seed  for the policy's random numbers.
   Router(transport::EventLoop& loop, settings::InstanceSettings settings, std::uint64_t seed,
          upstream::ConnectionPool& pool, stats::Observer& observer);
   ~Router();
 
-  // @param subscribe  called when the policy wants to watch the endpoint list.
+  // @param subscribe  called when the policy requests updates of the endpoint list.
   void onSubscribe(std::function<void()> subscribe) { subscribe_ = std::move(subscribe); }
-  // Performs the policy's first actions.
+  // Performs the initial actions of the policy.
   void start() { policy_.run(); }
 
   void endpointsChanged(EndpointsChanged event);
   void listExpired(EndpointListExpired event);
 
-  // Submits a request; its answer may come within the call.
-  // @param protocol  the pool's index of the protocol in which endpoints are to get it.
-  // @param timeout   where the request states for how long its client waits; rewritten for each attempt.
-  // @param id        receives the request's id, before anything else happens.
+  // Submits a request. The owner may get its answer within the call.
+  // @param protocol  the index in ConnectionPool::Protocols of the protocol to send it in.
+  // @param timeout   where the request states how long its client waits; rewritten for each attempt.
+  // @param id        receives the request's id before the owner is called.
   void submit(RequestOwner& owner, Request request, std::size_t protocol, protocol::Slice timeout,
               RequestId& id);
-  // @return whether so many further bytes of the request can be written; where not,
-  //         RequestOwner::onRequestWritable() says when.
+  // @return whether 'size' more bytes of the request can be written. If not, the router calls
+  //         RequestOwner::onRequestWritable() once they can.
   bool canWriteMore(RequestId request, std::size_t size) { return attempts_.canWriteMore(request, size); }
-  // @param message  a further part of the request, the last of what RequestOwner::requestBytes() returns.
+  // @param message  a further part of the request, at the end of what RequestOwner::requestBytes() returns.
   void writeMore(RequestId request, std::string_view message) { attempts_.writeMore(request, message); }
-  // The owner can take more of the response.
+  // Called when the owner can take more of the response.
   void resumeResponse(RequestId request) { attempts_.resumeResponse(request); }
-  // The client has disconnected or cancelled the request: the owner gets no answer.
+  // Ends a request whose client has disconnected or cancelled it. The owner gets no answer.
   void cancel(RequestId request);
-  // @param deadline  by which all requests get an answer.
+  // @param deadline  when every request must have its final answer.
   void shutDown(Micros deadline) { policy_.post(ShutdownStarted{deadline}); }
 
   const settings::InstanceSettings& settings() const { return settings_; }
@@ -70,7 +70,7 @@
   void setTimer(const SetTimer& action);
   void fireDueTimers();
   RequestOwner* finish(RequestId id, std::uint64_t& counter);
-  void traceEnd(RequestId id, const char* how, RejectReason reason) const;
+  void traceEnd(RequestId id, const char* outcome, RejectReason reason) const;
   void onInvariantViolated(invariants::Invariant invariant, RequestId request);
 
   transport::EventLoop& loop_;
--- a/src/routing/scoped_flag.h
+++ b/src/routing/scoped_flag.h
@@ -2,7 +2,7 @@
 
 namespace heathflow::routing {
 
-// Sets a flag for as long as it lives, also where an exception ends its scope.
+// Sets a flag and clears it at the end of the scope, also when an exception leaves it.
 class ScopedFlag {
  public:
   explicit ScopedFlag(bool& flag) : flag_(flag) { flag_ = true; }
--- a/src/routing/timer_queue.h
+++ b/src/routing/timer_queue.h
@@ -1,5 +1,5 @@
-// The policy's pending timers, the earliest first; those of the same time in the order in which they were
-// set.
+// The policy's pending timers in the order in which they are due; timers due at the same time are in the
+// order in which they were set.
 #pragma once
 
 #include <cstdint>
@@ -22,14 +22,14 @@
 
 class TimerQueue {
  public:
-  // @return whether it is now the earliest.
+  // @return whether the new timer is the earliest.
   bool schedule(Micros at, std::uint64_t token) {
     timers_.push({at, ++lastSequence_, token});
     return timers_.top().sequence == lastSequence_;
   }
   bool empty() const { return timers_.empty(); }
   Micros earliest() const { return timers_.top().at; }
-  // Removes the earliest timer. @return its token.
+  // Removes the earliest timer and returns its token.
   std::uint64_t pop() {
     const std::uint64_t token = timers_.top().token;
     timers_.pop();
--- a/src/stats/upstream_stats.cpp
+++ b/src/stats/upstream_stats.cpp
@@ -15,7 +15,7 @@
   ++(traffic == TrafficType::Request ? usage.requests : usage.healthChecks);
 }
 
-void add(std::string& out, const std::string& name, std::uint64_t value) {
+void appendValue(std::string& out, const std::string& name, std::uint64_t value) {
   out += ' ' + name + '=' + std::to_string(value);
 }
 
@@ -25,33 +25,33 @@
     const auto reason = static_cast<HealthCheckReason>(i);
     const HealthCheckCounts& counts = upstreamStats.healthChecks(reason);
     const std::string name(nameOf(reason));
-    add(out, name, counts.started);
-    add(out, name + "_answered", counts.answered);
-    add(out, name + "_used", counts.used);
+    appendValue(out, name, counts.started);
+    appendValue(out, name + "_answered", counts.answered);
+    appendValue(out, name + "_used", counts.used);
   }
-  add(out, "endpoints", upstreamStats.healthCheckedEndpoints());
-  add(out, "max_per_endpoint", upstreamStats.maxHealthChecksPerEndpoint());
+  appendValue(out, "endpoints", upstreamStats.healthCheckedEndpoints());
+  appendValue(out, "max_per_endpoint", upstreamStats.maxHealthChecksPerEndpoint());
   return out + '\n';
 }
 
-std::string describeRejections(const UpstreamStats& upstreamStats) {
+std::string describeUnserved(const UpstreamStats& upstreamStats) {
   std::string out = "unserved_by_reason:";
   for (std::size_t i = 0; i < kRejectReasons; ++i) {
     const auto reason = static_cast<RejectReason>(i);
-    add(out, nameOf(reason), upstreamStats.unservedFor(reason));
+    appendValue(out, nameOf(reason), upstreamStats.unservedFor(reason));
   }
   return out + '\n';
 }
 
 std::string describeConnections(const ConnectionCounts& connections) {
   std::string out = "upstream_connections:";
-  add(out, "opened_for_requests", connections.opened[kForRequests]);
-  add(out, "opened_for_health_checks", connections.opened[kForHealthChecks]);
-  add(out, "reused_for_requests", connections.reused[kForRequests]);
-  add(out, "reused_for_health_checks", connections.reused[kForHealthChecks]);
-  add(out, "closed", connections.closed);
-  add(out, "closed_unused", connections.closedUnused);
-  add(out, "closed_after_one_request", connections.closedAfterOneRequest);
+  appendValue(out, "opened_for_requests", connections.opened[kForRequests]);
+  appendValue(out, "opened_for_health_checks", connections.opened[kForHealthChecks]);
+  appendValue(out, "reused_for_requests", connections.reused[kForRequests]);
+  appendValue(out, "reused_for_health_checks", connections.reused[kForHealthChecks]);
+  appendValue(out, "closed", connections.closed);
+  appendValue(out, "closed_unused", connections.closedUnused);
+  appendValue(out, "closed_after_one_request", connections.closedAfterOneRequest);
   return out + '\n';
 }
 
@@ -72,7 +72,7 @@
   found->second.unusedAnswer = true;
 }
 
-void UpstreamStats::requestSent(EndpointId endpoint) {
+void UpstreamStats::attemptStarted(EndpointId endpoint) {
   const auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end() || !std::exchange(found->second.unusedAnswer, false)) return;
   ++countsOf(found->second.lastReason).used;
@@ -99,13 +99,13 @@
 std::size_t UpstreamStats::healthCheckedEndpoints() const { return endpoints_.size(); }
 
 std::uint64_t UpstreamStats::maxHealthChecksPerEndpoint() const {
-  std::uint64_t most = 0;
-  for (const auto& [endpoint, record] : endpoints_) most = std::max(most, record.healthChecks);
-  return most;
+  std::uint64_t highest = 0;
+  for (const auto& [endpoint, record] : endpoints_) highest = std::max(highest, record.healthChecks);
+  return highest;
 }
 
 std::string describe(const UpstreamStats& upstreamStats) {
-  return describeHealthChecks(upstreamStats) + describeRejections(upstreamStats) +
+  return describeHealthChecks(upstreamStats) + describeUnserved(upstreamStats) +
          describeConnections(upstreamStats.connections());
 }
 
--- a/src/stats/upstream_stats.h
+++ b/src/stats/upstream_stats.h
@@ -1,5 +1,5 @@
-// Counts health checks by reason, with how many were of use, connections by what they carried, and requests
-// that got no answer from an endpoint by reason. It does no input or output and reads no clock.
+// Counts health checks by reason and how many of their results were used, connections by the traffic that
+// they carried, and requests that no endpoint served by reason. It does no I/O and reads no clock.
 #pragma once
 
 #include <array>
@@ -12,20 +12,20 @@
 
 namespace heathflow::stats {
 
-inline constexpr std::size_t kHealthCheckReasons = 6;  // values of HealthCheckReason
-inline constexpr std::size_t kRejectReasons = 10;      // values of RejectReason
+inline constexpr std::size_t kHealthCheckReasons = 6;  // the number of values of HealthCheckReason
+inline constexpr std::size_t kRejectReasons = 10;      // the number of values of RejectReason
 
-// What a connection is used for.
+// The traffic for which a connection is used.
 enum class TrafficType { Request, HealthCheck };
 inline constexpr std::size_t kTrafficTypes = 2;
 
 struct HealthCheckCounts {
   std::uint64_t started = 0;
   std::uint64_t answered = 0;
-  std::uint64_t used = 0;  // an attempt was started there before the next health check
+  std::uint64_t used = 0;  // answered, and an attempt was started there before the next one
 };
 
-// What one connection has carried so far.
+// The traffic that one connection has carried so far.
 struct ConnectionUsage {
   std::uint64_t requests = 0;
   std::uint64_t healthChecks = 0;
@@ -43,11 +43,13 @@
  public:
   void healthCheckStarted(EndpointId endpoint, HealthCheckReason reason);
   void healthCheckEnded(EndpointId endpoint, bool answered);
-  // An attempt is started there, written or not: the result of the last health check was of use.
-  void requestSent(EndpointId endpoint);
+  // Called when an attempt is started at the endpoint, written or not. The result of the last health check
+  // then counts as used.
+  void attemptStarted(EndpointId endpoint);
   void endpointRemoved(EndpointId endpoint) { endpoints_.erase(endpoint); }
 
-  // A request was rejected or failed: what last kept it from being sent, or None.
+  // Counts a request that was rejected or failed.
+  // @param reason  what last kept it from being sent, or None.
   void requestUnserved(RejectReason reason) { ++unserved_[static_cast<std::size_t>(reason)]; }
   std::uint64_t unservedFor(RejectReason reason) const { return unserved_[static_cast<std::size_t>(reason)]; }
 
@@ -59,15 +61,16 @@
     return healthChecks_[static_cast<std::size_t>(reason)];
   }
   const ConnectionCounts& connections() const { return connections_; }
-  // How many of the known endpoints had a health check, and how many health checks any one of them had.
+  // Returns how many of the known endpoints have had a health check.
   std::size_t healthCheckedEndpoints() const;
+  // Returns the highest number of health checks that any known endpoint has had.
   std::uint64_t maxHealthChecksPerEndpoint() const;
 
  private:
   struct EndpointRecord {
     std::uint64_t healthChecks = 0;
     HealthCheckReason lastReason = HealthCheckReason::Initial;
-    bool unusedAnswer = false;  // the last health check was answered, and no request was sent since
+    bool unusedAnswer = false;  // the last health check was answered, and no attempt was started since
   };
   HealthCheckCounts& countsOf(HealthCheckReason reason) {
     return healthChecks_[static_cast<std::size_t>(reason)];
@@ -79,7 +82,7 @@
   std::unordered_map<EndpointId, EndpointRecord> endpoints_;
 };
 
-// As lines of "group: name=value ...", like the other counters.
+// Returns lines of the form "group: name=value ...", like those of the other counters.
 std::string describe(const UpstreamStats& upstreamStats);
 
 }  // namespace heathflow::stats
