--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -5,8 +5,8 @@
 namespace heathflow::upstream {
 namespace {
 
-// Idle connections are closed so many connect timeouts before the endpoint closes them, so that neither a
-// late timer nor a slow network lets a request cross the endpoint's close.
+// Idle connections are closed this many connect timeouts before the endpoint closes them, so that no request
+// is sent on a connection that the endpoint is closing, even with a late timer or a slow network.
 constexpr Micros kIdleMarginConnectTimeouts = 4;
 
 Micros maxIdleTime(const ConnectionPool::Timeouts& timeouts) {
@@ -29,33 +29,33 @@
 
 void ConnectionPool::setAddresses(EndpointId endpoint,
                                   std::vector<std::optional<transport::SocketAddress>> addresses) {
-  Routes& routes = routes_[endpoint];
-  routes.resize(protocols_.size());
+  ProtocolPools& pools = pools_[endpoint];
+  pools.resize(protocols_.size());
   addresses.resize(protocols_.size());
-  for (std::size_t i = 0; i < routes.size(); ++i) {
-    if (routes[i].address == addresses[i]) continue;
-    routes[i].address = addresses[i];
-    closeIdle(routes[i], std::numeric_limits<Micros>::max());
+  for (std::size_t i = 0; i < pools.size(); ++i) {
+    if (pools[i].address == addresses[i]) continue;
+    pools[i].address = addresses[i];
+    closeIdle(pools[i], std::numeric_limits<Micros>::max());
   }
 }
 
 void ConnectionPool::remove(EndpointId endpoint) {
   closeIdle(endpoint);
-  routes_.erase(endpoint);
+  pools_.erase(endpoint);
   observer_.upstreamStats.endpointRemoved(endpoint);
 }
 
 std::size_t ConnectionPool::firstProtocol(EndpointId endpoint) const {
-  const auto found = routes_.find(endpoint);
-  if (found == routes_.end()) return 0;
+  const auto found = pools_.find(endpoint);
+  if (found == pools_.end()) return 0;
   const auto at = std::find_if(found->second.begin(), found->second.end(),
-                               [](const Route& route) { return route.address.has_value(); });
+                               [](const ProtocolPool& pool) { return pool.address.has_value(); });
   return at == found->second.end() ? 0 : static_cast<std::size_t>(at - found->second.begin());
 }
 
 std::string ConnectionPool::addressText(EndpointId endpoint) const {
-  const auto found = routes_.find(endpoint);
-  if (found == routes_.end()) return "an unknown address";
+  const auto found = pools_.find(endpoint);
+  if (found == pools_.end()) return "an unknown address";
   const auto& address = found->second[firstProtocol(endpoint)].address;
   return address ? toText(*address) : "an unknown address";
 }
@@ -63,29 +63,30 @@
 ConnectionPool::StartResult ConnectionPool::start(EndpointId endpoint, std::size_t protocol,
                                                   Exchange& exchange, EndpointConnection*& connection,
                                                   Selection selection) {
-  const auto found = routes_.find(endpoint);
-  if (found == routes_.end() || protocol >= found->second.size()) return StartResult::Unreachable;
-  Route& route = found->second[protocol];
-  if (!route.address) return StartResult::Unreachable;
-  if (EndpointConnection* idle = takeIdle(route, selection)) {
+  const auto found = pools_.find(endpoint);
+  if (found == pools_.end() || protocol >= found->second.size()) return StartResult::Unreachable;
+  ProtocolPool& pool = found->second[protocol];
+  if (!pool.address) return StartResult::Unreachable;
+  if (EndpointConnection* idle = takeIdle(pool, selection)) {
     ++observer_.counters.connectionsReused;
     observer_.upstreamStats.connectionReused(connections_.at(idle).usage, exchange.trafficType());
     connection = idle;
     idle->start(exchange);
     return StartResult::Started;
   }
-  return startOnNewConnection(endpoint, protocol, exchange, connection, *route.address);
+  return startOnNewConnection(endpoint, protocol, exchange, connection, *pool.address);
 }
 
-// An idle connection that can be used; null where there is none or a new one is wanted.
-EndpointConnection* ConnectionPool::takeIdle(Route& route, Selection selection) {
-  while (selection != Selection::NewConnection && !route.idle.empty()) {
-    EndpointConnection* idle = select(route, selection);
+// Returns an idle connection that can be used, or null if there is none or a new one is requested. Closes the
+// idle connections that it finds unusable.
+EndpointConnection* ConnectionPool::takeIdle(ProtocolPool& pool, Selection selection) {
+  while (selection != Selection::NewConnection && !pool.idle.empty()) {
+    EndpointConnection* idle = select(pool, selection);
     if (idle->reusable()) {
       removeIdle(*idle);
       return idle;
     }
-    // The endpoint has closed it, or it holds bytes that would be taken for a response.
+    // The endpoint has closed it, or it has received bytes that would be taken for a response.
     ++observer_.counters.connectionsStale;
     idle->close();
   }
@@ -115,24 +116,24 @@
   return StartResult::Started;
 }
 
-EndpointConnection* ConnectionPool::select(const Route& route, Selection selection) {
-  if (selection == Selection::NewestIdle) return route.idle.back()->second;
-  const auto oldest =
-      std::max_element(route.idle.begin(), route.idle.end(),
-                       [](const auto& a, const auto& b) { return a->second->age() < b->second->age(); });
+EndpointConnection* ConnectionPool::select(const ProtocolPool& pool, Selection selection) {
+  if (selection == Selection::NewestIdle) return pool.idle.back()->second;
+  const auto oldest = std::max_element(pool.idle.begin(), pool.idle.end(), [](const auto& a, const auto& b) {
+    return a->second->age() < b->second->age();
+  });
   return (*oldest)->second;
 }
 
 void ConnectionPool::closeIdle(EndpointId endpoint, Micros idleSince) {
-  const auto found = routes_.find(endpoint);
-  if (found == routes_.end()) return;
-  for (Route& route : found->second) closeIdle(route, idleSince);
+  const auto found = pools_.find(endpoint);
+  if (found == pools_.end()) return;
+  for (ProtocolPool& pool : found->second) closeIdle(pool, idleSince);
 }
 
-void ConnectionPool::closeIdle(Route& route, Micros idleSince) {
-  while (!route.idle.empty() && route.idle.front()->first <= idleSince) {
+void ConnectionPool::closeIdle(ProtocolPool& pool, Micros idleSince) {
+  while (!pool.idle.empty() && pool.idle.front()->first <= idleSince) {
     ++observer_.counters.idleConnectionsClosed;
-    route.idle.front()->second->close();
+    pool.idle.front()->second->close();
   }
 }
 
@@ -143,24 +144,24 @@
   return true;
 }
 
-ConnectionPool::Route* ConnectionPool::routeOf(const EndpointConnection& connection) {
-  const auto found = routes_.find(connection.endpoint());
-  return found == routes_.end() ? nullptr : &found->second[connection.protocol()];
+ConnectionPool::ProtocolPool* ConnectionPool::poolOf(const EndpointConnection& connection) {
+  const auto found = pools_.find(connection.endpoint());
+  return found == pools_.end() ? nullptr : &found->second[connection.protocol()];
 }
 
 void ConnectionPool::onIdle(EndpointConnection& connection) {
-  Route* route = routeOf(connection);
-  // The endpoint was removed, or has another address now.
-  if (route == nullptr || route->address != connection.socketAddress()) return connection.close();
+  ProtocolPool* pool = poolOf(connection);
+  // The endpoint was removed, or its address has changed.
+  if (pool == nullptr || pool->address != connection.socketAddress()) return connection.close();
   idle_.emplace_back(loop_.now(), &connection);
-  route->idle.push_back(std::prev(idle_.end()));
+  pool->idle.push_back(std::prev(idle_.end()));
   if (!expiryTimer_.armed()) expiryTimer_.arm(loop_.now() + maxIdleTime_);
 }
 
 void ConnectionPool::removeIdle(EndpointConnection& connection) {
-  Route* route = routeOf(connection);
-  if (route == nullptr) return;
-  auto& idle = route->idle;
+  ProtocolPool* pool = poolOf(connection);
+  if (pool == nullptr) return;
+  auto& idle = pool->idle;
   const auto at = std::find_if(idle.rbegin(), idle.rend(),
                                [&](const auto& entry) { return entry->second == &connection; });
   if (at == idle.rend()) return;
@@ -181,8 +182,8 @@
 
 void ConnectionPool::onProtocolError(EndpointConnection& connection) {
   ++observer_.counters.endpointProtocolErrors;
-  observer_.note(stats::Topic::Upstream,
-                 "a response from " + toText(connection.socketAddress()) + " can't be read");
+  observer_.note(stats::Topic::Upstream, "closing the connection to " + toText(connection.socketAddress()) +
+                                             ": its response can't be read");
 }
 
 void ConnectionPool::onConnectFailed(EndpointConnection&) { ++observer_.counters.connectionsFailed; }
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,4 +1,5 @@
-// The connections to all endpoints: the addresses of each endpoint by protocol, and its idle connections.
+// Opens, reuses and closes the connections to endpoints. It keeps the address of each endpoint by protocol,
+// and the idle connections to it.
 #pragma once
 
 #include <limits>
@@ -21,45 +22,45 @@
 class ConnectionPool final : private EndpointConnectionOwner {
  public:
   struct Timeouts {
-    Micros connect;  // until a connection has to be ready
-    Micros idle;     // after which endpoints close an idle one
+    Micros connect;  // for a new connection to become ready
+    Micros idle;     // after which endpoints close an idle connection
   };
 
-  // By index. They outlive the pool.
+  // The index of a protocol identifies it. The protocols outlive the pool.
   using Protocols = std::vector<const protocol::Protocol*>;
 
   ConnectionPool(transport::EventLoop& loop, Protocols protocols, Timeouts timeouts, DescriptorBudget& budget,
                  stats::Observer& observer);
   ~ConnectionPool() override;
 
-  // Idle connections to an address that changes are closed.
-  // @param addresses  of the endpoint, by protocol; nothing where it does not speak that protocol.
+  // Sets the addresses of an endpoint, and closes the idle connections to an address that has changed.
+  // @param addresses  by protocol; nothing for a protocol that the endpoint does not speak.
   void setAddresses(EndpointId endpoint, std::vector<std::optional<transport::SocketAddress>> addresses);
   void remove(EndpointId endpoint);
 
   enum class StartResult { Started, NoDescriptor, Unreachable };
   enum class Selection { NewestIdle, OldestIdle, NewConnection };
-  // Starts an exchange over an idle connection, or a new one where there is none that can be used.
-  // @param connection  receives the connection; it is set before the exchange gets its first call.
+  // Starts an exchange on an idle connection, or on a new one if no idle connection can be used.
+  // @param connection  receives the connection, before the exchange is called for the first time.
   StartResult start(EndpointId endpoint, std::size_t protocol, Exchange& exchange,
                     EndpointConnection*& connection, Selection selection = Selection::NewestIdle);
-  // The first protocol that the endpoint has an address for.
+  // Returns the first protocol for which the endpoint has an address, or 0 if there is none.
   std::size_t firstProtocol(EndpointId endpoint) const;
-  // Of the first protocol, for the log.
+  // Returns the endpoint's address in its first protocol, for the log.
   std::string addressText(EndpointId endpoint) const;
-  // Closes the connections to an endpoint that became idle at that time or before.
+  // Closes the connections to an endpoint that became idle at 'idleSince' or before.
   void closeIdle(EndpointId endpoint, Micros idleSince = std::numeric_limits<Micros>::max());
-  // Frees a descriptor. @return false when no connection is idle.
+  // Closes the connection that has been idle longest, to free its descriptor. Returns false if none is idle.
   bool evictLongestIdle();
 
  private:
   using IdleList = std::list<std::pair<Micros, EndpointConnection*>>;  // the longest idle first
-  // How an endpoint is reached in one protocol.
-  struct Route {
+  // An endpoint's address in one protocol, and the idle connections to it.
+  struct ProtocolPool {
     std::optional<transport::SocketAddress> address;
-    std::vector<IdleList::iterator> idle;  // the newest last
+    std::vector<IdleList::iterator> idle;  // the last to become idle last
   };
-  using Routes = std::vector<Route>;  // by protocol
+  using ProtocolPools = std::vector<ProtocolPool>;  // by protocol
   struct PooledConnection {
     std::unique_ptr<EndpointConnection> connection;
     stats::ConnectionUsage usage;
@@ -69,12 +70,12 @@
   void onClosed(EndpointConnection& connection, bool whileIdle) override;
   void onProtocolError(EndpointConnection& connection) override;
   void onConnectFailed(EndpointConnection& connection) override;
-  EndpointConnection* takeIdle(Route& route, Selection selection);
+  EndpointConnection* takeIdle(ProtocolPool& pool, Selection selection);
   StartResult startOnNewConnection(EndpointId endpoint, std::size_t protocol, Exchange& exchange,
                                    EndpointConnection*& connection, const transport::SocketAddress& address);
-  static EndpointConnection* select(const Route& route, Selection selection);
-  Route* routeOf(const EndpointConnection& connection);
-  void closeIdle(Route& route, Micros idleSince);
+  static EndpointConnection* select(const ProtocolPool& pool, Selection selection);
+  ProtocolPool* poolOf(const EndpointConnection& connection);
+  void closeIdle(ProtocolPool& pool, Micros idleSince);
   void removeIdle(EndpointConnection& connection);
   void closeExpired();
 
@@ -84,7 +85,7 @@
   Micros maxIdleTime_;
   DescriptorBudget& budget_;
   stats::Observer& observer_;
-  std::unordered_map<EndpointId, Routes> routes_;
+  std::unordered_map<EndpointId, ProtocolPools> pools_;
   std::unordered_map<EndpointConnection*, PooledConnection> connections_;
   IdleList idle_;
   transport::Timer expiryTimer_;
--- a/src/upstream/descriptor_budget.h
+++ b/src/upstream/descriptor_budget.h
@@ -1,4 +1,5 @@
-// Limits the sockets that are open to clients and endpoints, so that the rest of the process keeps its own.
+// Limits the sockets that are open to clients and endpoints, so that the rest of the process has descriptors
+// left.
 #pragma once
 
 #include <algorithm>
@@ -10,22 +11,24 @@
 
 class DescriptorBudget {
  public:
-  // For standard streams, epoll, signals, listeners, discovery, and what the system opens.
-  static constexpr std::size_t kReserved = 24;
-  // So many clients beyond their share are accepted at a time, to be sent an error.
+  // For standard streams, epoll, signals, listeners, discovery, and descriptors that the system opens.
+  static constexpr std::size_t kReservedDescriptors = 24;
+  // How many clients beyond their share may be connected at a time, so that they can be sent an error.
   static constexpr std::size_t kMaxRejectedClients = 16;
 
-  // @param limit  of descriptors for the whole process.
+  // @param limit  the number of descriptors that the whole process may open.
   DescriptorBudget(std::size_t limit, stats::Counters& counters)
-      : limit_(std::max(limit, 2 * (kReserved + kMaxRejectedClients)) - kReserved - kMaxRejectedClients),
+      : limit_(std::max(limit, 2 * (kReservedDescriptors + kMaxRejectedClients)) - kReservedDescriptors -
+               kMaxRejectedClients),
         counters_(counters) {}
 
-  // Clients get half of all descriptors: each of their requests needs a connection to an endpoint as well.
+  // Clients get half of the descriptors, since each of their requests needs a connection to an endpoint too.
   bool canServeClient() const { return clients_ < limit_ / 2; }
-  // Whether one more client may be accepted to be sent an error.
+  // Returns whether one more client may be accepted in order to send it an error.
   bool canRejectClient() const { return clients_ < limit_ / 2 + kMaxRejectedClients; }
-  // Whether clients use more than half of their share, so that idle ones are evicted before new ones have to
-  // be rejected. Lingering connections don't count: they are closed as soon as a descriptor is needed.
+  // Returns whether clients use more than half of their share. Idle ones are then evicted, before new ones
+  // have to be rejected. Lingering connections don't count, because they are closed as soon as a descriptor
+  // is needed.
   bool shouldEvictIdleClients() const { return clients_ - lingering_ > limit_ / 4; }
   bool canOpenUpstream() const { return std::min(clients_, limit_ / 2) + endpoints_ < limit_; }
 
@@ -46,7 +49,7 @@
 
   std::size_t limit_;
   std::size_t clients_ = 0;
-  std::size_t lingering_ = 0;  // of the clients
+  std::size_t lingering_ = 0;  // clients whose connection lingers; included in clients_
   std::size_t endpoints_ = 0;
   stats::Counters& counters_;
 };
--- a/src/upstream/endpoint_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -5,11 +5,12 @@
 namespace heathflow::upstream {
 namespace {
 
-// A request is as long as its client may send it, plus the rewritten timeout.
+// Room for a rewritten timeout, which may make a request longer than the longest that a client may send.
 constexpr std::size_t kRewrittenTimeoutBytes = 1024;
-// A request and its attempt together never hold more than both limits, which bounds the process's memory.
-constexpr transport::Stream::Limits kLimits = {protocol::kEndpointAnswerLimit,
-                                               protocol::kClientMessageLimit + kRewrittenTimeoutBytes};
+// A request and its attempt together never hold more than both limits, which bounds the memory of the
+// process.
+constexpr transport::Stream::Limits kStreamLimits = {protocol::kEndpointAnswerLimit,
+                                                     protocol::kClientMessageLimit + kRewrittenTimeoutBytes};
 
 }  // namespace
 
@@ -20,7 +21,7 @@
       owner_(owner),
       endpoint_(endpoint),
       protocol_(protocol),
-      stream_(loop, *this, kLimits),
+      stream_(loop, *this, kStreamLimits),
       connectTimer_(loop, [this] { onEnd(transport::StreamEnd::NotConnected); }),
       side_(std::move(side)) {}
 
@@ -48,7 +49,8 @@
 void EndpointConnection::writeMore(std::string_view message) {
   if (!requestStarted_) return;
   const std::size_t before = stream_.output().size();
-  // Without memory for the part the connection ends, so that no request runs without it.
+  // If there is no memory for the part, the timer ends the connection, so that the request can't run without
+  // it.
   if (!side_->more(message, stream_.output())) return connectTimer_.arm(loop_.now());
   requestBytes_ += stream_.output().size() - before;
   stream_.flush();
@@ -104,31 +106,31 @@
 }
 
 void EndpointConnection::readInput() {
-  Next next = Next::ReadOn;
-  while (next == Next::ReadOn) {
+  ReadAction action = ReadAction::Continue;
+  while (action == ReadAction::Continue) {
     const std::string_view bytes = stream_.input().view();
     const std::size_t before = stream_.output().size();
     const protocol::EndpointSide::Event event = side_->feed(bytes, inputFull_, stream_.output());
     if (stream_.output().size() != before) stream_.flush();
-    next = handle(event, bytes);
+    action = handle(event, bytes);
   }
-  if (next == Next::Wait) return;
+  if (action == ReadAction::Wait) return;
   if (exchange_ != nullptr) owner_.onProtocolError(*this);
   finish(ExchangeEnd::Cause::Malformed, nullptr);
 }
 
-EndpointConnection::Next EndpointConnection::handle(protocol::EndpointSide::Event event,
-                                                    std::string_view bytes) {
+EndpointConnection::ReadAction EndpointConnection::handle(protocol::EndpointSide::Event event,
+                                                          std::string_view bytes) {
   using Event = protocol::EndpointSide::Event;
   switch (event) {
     case Event::NeedMore:
-      // A response beyond the limit, or beyond the memory, would never be complete.
-      return inputFull_ ? Next::ProtocolError : Next::Wait;
+      // A response larger than the limit or the available memory would never become complete.
+      return inputFull_ ? ReadAction::ProtocolError : ReadAction::Wait;
     case Event::Ready:
       return onReady();
     case Event::Rejected:
       finish(ExchangeEnd::Cause::ConnectionRejected, &side_->answer());
-      return Next::Wait;
+      return ReadAction::Wait;
     case Event::Part:
       return onPart(bytes);
     case Event::Answered:
@@ -136,44 +138,44 @@
     case Event::Broken:
       break;
   }
-  return Next::ProtocolError;
+  return ReadAction::ProtocolError;
 }
 
-EndpointConnection::Next EndpointConnection::onReady() {
+EndpointConnection::ReadAction EndpointConnection::onReady() {
   connectTimer_.disarm();
   ready_ = true;
   readySince_ = loop_.now();
   consumeInput();
-  if (!stream_.input().empty()) return Next::ProtocolError;
+  if (!stream_.input().empty()) return ReadAction::ProtocolError;
   if (exchange_ == nullptr) {
     owner_.onIdle(*this);
   } else {
     writeRequest();
   }
-  return Next::Wait;
+  return ReadAction::Wait;
 }
 
-EndpointConnection::Next EndpointConnection::onPart(std::string_view bytes) {
-  if (exchange_ == nullptr) return Next::ProtocolError;
+EndpointConnection::ReadAction EndpointConnection::onPart(std::string_view bytes) {
+  if (exchange_ == nullptr) return ReadAction::ProtocolError;
   if (!exchange_->onResponsePart(side_->answer(), bytes)) {
     paused_ = true;
-    return Next::Wait;
+    return ReadAction::Wait;
   }
-  // The call may have aborted the connection.
-  if (stream_.closed() || exchange_ == nullptr) return Next::Wait;
+  // The exchange may have aborted the connection.
+  if (stream_.closed() || exchange_ == nullptr) return ReadAction::Wait;
   consumeInput();
   inputFull_ = false;
   stream_.resume();
-  return stream_.input().empty() ? Next::Wait : Next::ReadOn;
+  return stream_.input().empty() ? ReadAction::Wait : ReadAction::Continue;
 }
 
-EndpointConnection::Next EndpointConnection::onAnswered() {
+EndpointConnection::ReadAction EndpointConnection::onAnswered() {
   if (exchange_ != nullptr && !exchange_->canTakeResponse(side_->answer().size())) {
     paused_ = true;
   } else {
     finish(ExchangeEnd::Cause::Answered, &side_->answer());
   }
-  return Next::Wait;
+  return ReadAction::Wait;
 }
 
 void EndpointConnection::consumeInput() {
@@ -181,7 +183,7 @@
   side_->dropped();
 }
 
-// Ends the exchange. The connection is kept where it can carry another.
+// Ends the exchange. The connection is kept if it can carry another one.
 void EndpointConnection::finish(ExchangeEnd::Cause cause, const protocol::Answer* answer,
                                 bool brokenAfterConnect) {
   Exchange* exchange = std::exchange(exchange_, nullptr);
@@ -192,18 +194,19 @@
       complete && !stream_.closed() && side_->seen() == stream_.input().size() && stream_.output().empty();
   const bool keep = inSync && side_->usable();
   if (!ready_) owner_.onConnectFailed(*this);
-  // After a request that ended badly the protocol resets the connection, within the connect timeout.
-  const bool resetting = inSync && !keep && ready_ && side_->tidy(stream_.output());
+  // After a failed request the protocol may make the connection usable again, within the connect timeout.
+  const bool recovering = inSync && !keep && ready_ && side_->tidy(stream_.output());
   paused_ = false;
-  // Closed before the exchange ends, which may start the next attempt: no two of them overlap.
-  if (!keep && !resetting) {
+  // The connection is closed before the exchange is told that it has ended, because that may start the next
+  // attempt, and attempts must not overlap.
+  if (!keep && !recovering) {
     connectTimer_.disarm();
     stream_.close();
   }
   if (exchange != nullptr) {
     exchange->onExchangeEnd({cause, reached, answer, stream_.input().view(), brokenAfterConnect, rolledBack});
   }
-  if (!keep && !resetting) return owner_.onClosed(*this, exchange == nullptr && ready_);
+  if (!keep && !recovering) return owner_.onClosed(*this, exchange == nullptr && ready_);
   consumeInput();
   if (keep) return owner_.onIdle(*this);
   requestStarted_ = false;
@@ -212,7 +215,7 @@
 }
 
 void EndpointConnection::onEnd(transport::StreamEnd how) {
-  // A response that was complete before the end counts.
+  // A response that was complete when the connection ended counts.
   if (side_->wholeAtEnd()) return finish(ExchangeEnd::Cause::Answered, &side_->answer());
   finish(ExchangeEnd::Cause::ConnectionBroken, nullptr,
          connected_ && how != transport::StreamEnd::NotConnected);
--- a/src/upstream/endpoint_connection.h
+++ b/src/upstream/endpoint_connection.h
@@ -21,44 +21,43 @@
 struct ExchangeEnd {
   enum class Cause {
     Answered,            // the response is complete
-    ConnectionRejected,  // the endpoint rejected the connection
+    ConnectionRejected,  // the endpoint rejected the connection in its protocol
     ConnectionBroken,
-    Malformed,  // the endpoint violates the protocol
-    Cancelled,  // when the connection was ready, the exchange had nothing to write any more
+    Malformed,  // the endpoint violated the protocol
+    Cancelled,  // the exchange had nothing to write any more when the connection became ready
   } cause = Cause::ConnectionBroken;
   ExchangeStage stage = ExchangeStage::Connecting;
-  const protocol::Answer* answer = nullptr;  // null where there is none
-  std::string_view bytes;                    // that the answer's slices refer to
-  bool brokenAfterConnect = false;           // the endpoint's host had accepted the connection, and broke it
+  const protocol::Answer* answer = nullptr;  // null if there is none
+  std::string_view bytes;                    // to which the slices of the answer refer
+  bool brokenAfterConnect = false;           // the connection broke after the endpoint's host had accepted it
   bool rolledBack = false;                   // any effect of the request has been undone
 };
 
-// What a connection is used for: one request and its response, or one health check.
+// One use of a connection: a request and its response, or a health check.
 class Exchange {
  public:
   virtual ~Exchange() = default;
   virtual stats::TrafficType trafficType() const { return stats::TrafficType::Request; }
-  // Called when the connection is ready.
-  // @return false where nothing is to be written any more.
+  // Writes the request or health check. Called when the connection is ready.
+  // @return false if nothing is to be written any more.
   virtual bool write(protocol::EndpointSide& side, transport::Buffer& out) = 0;
-  // @return false where this part of the response can't be taken at present;
-  // EndpointConnection::resumeResponse()
-  //         then says when it can.
+  // Takes a part of the response.
+  // @return false if it can't be taken now; EndpointConnection::resumeResponse() is called once it can.
   virtual bool onResponsePart(const protocol::Answer&, std::string_view) { return true; }
-  // @return whether so many bytes, the end of the response, can be taken at present.
+  // @return whether the rest of the response, of the given size in bytes, can be taken now.
   virtual bool canTakeResponse(std::size_t) const { return true; }
-  // After EndpointConnection::canWriteMore() has returned false: more of the request can be written.
+  // Called once more of the request can be written, if EndpointConnection::canWriteMore() returned false.
   virtual void onWritable() {}
-  // Called once, unless the connection was aborted.
+  // Called once, unless the connection is aborted.
   virtual void onExchangeEnd(const ExchangeEnd& end) = 0;
 };
 
 class EndpointConnectionOwner {
  public:
   virtual ~EndpointConnectionOwner() = default;
-  // The connection is ready and carries no exchange.
+  // Called when the connection is ready and carries no exchange.
   virtual void onIdle(EndpointConnection& connection) = 0;
-  // @param whileIdle  the endpoint closed it, or sent something, without an exchange in progress.
+  // @param whileIdle  the endpoint closed the connection, or sent something, while there was no exchange.
   virtual void onClosed(EndpointConnection& connection, bool whileIdle) = 0;
   virtual void onProtocolError(EndpointConnection& connection) = 0;
   virtual void onConnectFailed(EndpointConnection& connection) = 0;
@@ -66,47 +65,48 @@
 
 class EndpointConnection final : private transport::StreamOwner {
  public:
-  // @param protocol  the index of the protocol in the pool.
+  // @param protocol  index in ConnectionPool::Protocols.
   EndpointConnection(transport::EventLoop& loop, EndpointConnectionOwner& owner, EndpointId endpoint,
                      std::size_t protocol, std::unique_ptr<protocol::EndpointSide> side);
 
-  // @param timeout  until the connection has to be ready, the protocol's start included.
+  // @param timeout  for the connection to become ready, including the start of its protocol.
   // @param error    receives the error number.
-  // @return false where no socket could be opened or the address can't be reached at all.
+  // @return false if no socket could be opened or the address can't be reached at all.
   bool connect(const transport::SocketAddress& socketAddress, Micros timeout, int& error);
   // Starts an exchange, now or as soon as the connection is ready.
   void start(Exchange& exchange);
-  // @return whether so many further bytes of the request can be written; where not, Exchange::onWritable()
-  //         says when.
+  // @return whether 'size' more bytes of the request can be written. If not, Exchange::onWritable() is called
+  //         once they can.
   bool canWriteMore(std::size_t size);
-  // Writes a further part of the request. Without effect where the request itself is not written yet, for the
-  // part then goes out with it.
+  // Writes a further part of the request. Does nothing if the request itself has not been written yet,
+  // because the part is then sent together with it.
   void writeMore(std::string_view message);
-  // The exchange can take more of the response.
+  // Called when the exchange can take more of the response.
   void resumeResponse();
-  // Closes the connection at once; the exchange gets no further call.
+  // Closes the connection at once. The exchange is not called any more.
   void abort();
   void close();
 
   EndpointId endpoint() const { return endpoint_; }
   std::size_t protocol() const { return protocol_; }
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
-  // Whether an idle connection can be used: nothing has come in since it became idle.
+  // Returns whether an idle connection can be used: no bytes, close or error have come since it became idle.
   bool reusable() const { return side_->usable() && stream_.quiet(); }
   ExchangeStage stage() const;
-  // So much was written that the request may have run.
+  // Returns whether enough of the request was written for it to run.
   bool requestWritten() const {
     return stage() == ExchangeStage::Written || stage() == ExchangeStage::Responding;
   }
-  // The request was written, and no byte of the response has come.
+  // Returns whether the request was written and no byte of the response has come.
   bool awaitsFirstByte() const { return stage() == ExchangeStage::Written && stream_.input().empty(); }
-  // Nothing that was written so far has a lasting effect once the connection closes.
+  // Returns whether closing the connection now undoes everything that the request may have done; false if no
+  // request was started.
   bool rolledBackByClose() const;
-  // The response waits for the exchange to take more of it.
+  // Returns whether the response waits for the exchange to take more of it.
   bool paused() const { return paused_; }
-  // How long ago it became ready.
+  // Returns for how long the connection has been ready.
   Micros age() const { return ready_ ? loop_.now() - readySince_ : 0; }
-  // Whether the next step is the endpoint's, and not the client's with a further part of the request.
+  // Returns whether the next step is the endpoint's; if not, the client has to send more of the request.
   bool awaitsEndpoint() const { return !requestStarted_ || side_->owes(); }
 
  private:
@@ -115,13 +115,13 @@
   void onOutputFlushed() override;
   void onEnd(transport::StreamEnd how) override;
   void writeRequest();
-  // What becomes of the input after one event of the protocol.
-  enum class Next { ReadOn, Wait, ProtocolError };
+  // How reading goes on after one event of the protocol.
+  enum class ReadAction { Continue, Wait, ProtocolError };
   void readInput();
-  Next handle(protocol::EndpointSide::Event event, std::string_view bytes);
-  Next onReady();
-  Next onPart(std::string_view bytes);
-  Next onAnswered();
+  ReadAction handle(protocol::EndpointSide::Event event, std::string_view bytes);
+  ReadAction onReady();
+  ReadAction onPart(std::string_view bytes);
+  ReadAction onAnswered();
   std::size_t bytesWritten() const {
     return requestBytes_ - std::min(requestBytes_, stream_.output().size());
   }
@@ -138,13 +138,13 @@
   transport::Timer connectTimer_;
   std::unique_ptr<protocol::EndpointSide> side_;
   Exchange* exchange_ = nullptr;
-  bool connected_ = false;  // on the transport's level
-  bool ready_ = false;      // the protocol's start is complete
+  bool connected_ = false;  // the transport connection is established
+  bool ready_ = false;      // the start of the protocol is complete
   Micros readySince_ = 0;
   bool requestStarted_ = false;   // the request has been handed to the stream
   bool paused_ = false;           // the response waits for the exchange to take more of it
-  bool inputFull_ = false;        // when it was last read
-  bool writeBlocked_ = false;     // the exchange waits until more of the request can be written
+  bool inputFull_ = false;        // the input had no room left when it was last read
+  bool writeBlocked_ = false;     // the exchange waits to write more of the request
   std::size_t requestBytes_ = 0;  // handed to the stream
 };
 
