--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -108,7 +108,7 @@
   failuresInRow_ = 0;
   if (!expired_) return;
   const Micros lasted = loop_.now() - expiredAt_;
-  observer_.counters.listsExpiredFor += static_cast<std::uint64_t>(lasted);
+  observer_.counters.listExpiredTime += static_cast<std::uint64_t>(lasted);
   observer_.note(Topic::Discovery,
                  "the endpoint list is confirmed again, " + millisecondsOf(lasted) + " after it expired");
 }
@@ -176,7 +176,7 @@
   updateLease(error.failure);
   callAt(schedule_.nextCallAfterFailure(loop_.now(), error.failure, error.retryAfter), kNoWait);
   ++observer_.counters.discoveryFailures;
-  ++observer_.counters.discoveryFailedBy[static_cast<std::size_t>(error.failure)];
+  ++observer_.counters.discoveryFailuresByCause[static_cast<std::size_t>(error.failure)];
   logFailure(error, elapsed);
   onFailure_();
 }
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -95,7 +95,7 @@
 EndpointsChanged EndpointDirectory::apply(const protocol::EndpointList& list, transport::Micros now,
                                           bool confirmed) {
   launches_.beginList(now, confirmed);
-  ++observer_.counters.listsTaken;
+  ++observer_.counters.listUpdatesApplied;
   EndpointsChanged event;
   event.scope = list.complete ? EndpointsChanged::Scope::Full : EndpointsChanged::Scope::Delta;
   if (list.complete) {
--- a/src/program/counters.cpp
+++ b/src/program/counters.cpp
@@ -84,11 +84,11 @@
   addGroup(out, "discovery",
            {{"calls", counters.discoveryCalls},
             {"failures", counters.discoveryFailures},
-            {"lists", counters.listsTaken},
+            {"lists", counters.listUpdatesApplied},
             {"expired", counters.listsExpired},
-            {"expired_for_us", counters.listsExpiredFor},
+            {"expired_for_us", counters.listExpiredTime},
             {"attempts_on_expired", counters.attemptsOnExpiredList}});
-  addGroup(out, "discovery_failures", byName<stats::CallFailure>(counters.discoveryFailedBy));
+  addGroup(out, "discovery_failures", byName<stats::CallFailure>(counters.discoveryFailuresByCause));
 }
 
 }  // namespace
--- a/src/program/gateway.h
+++ b/src/program/gateway.h
@@ -51,7 +51,7 @@
   // @return what the next incarnation should know.
   snapshot::Snapshot currentSnapshot() const;
   // How many endpoint lists have been received, to see whether there is a new one to store.
-  std::uint64_t listsTaken() const { return observer_.counters.listsTaken; }
+  std::uint64_t listUpdatesApplied() const { return observer_.counters.listUpdatesApplied; }
   // Closes all clients between their requests. Requests without an answer get one before the platform kills
   // the process.
   // @param done  called when all are closed.
--- a/src/program/snapshot_writer.cpp
+++ b/src/program/snapshot_writer.cpp
@@ -56,7 +56,8 @@
   if (ranLongEnough) earlyCrashes_ = 0;
   writePending_ = writePending_ || ranLongEnough;
   // Requests are in flight, and waiting for the disk would delay them.
-  if (writePending_ || gateway_.listsTaken() != listsWritten_) writePending_ = !write(files::Durable::No);
+  if (writePending_ || gateway_.listUpdatesApplied() != listsWritten_)
+    writePending_ = !write(files::Durable::No);
   nextWrite_.arm(loop_.now() + settings_.every * kMicrosPerSecond);
 }
 
@@ -68,7 +69,7 @@
   // Logged once, until a write succeeds again.
   if (!written && !lastWriteFailed_) logLine(problem);
   lastWriteFailed_ = !written;
-  if (written) listsWritten_ = gateway_.listsTaken();
+  if (written) listsWritten_ = gateway_.listUpdatesApplied();
   return written;
 }
 
--- a/src/program/snapshot_writer.h
+++ b/src/program/snapshot_writer.h
@@ -35,7 +35,7 @@
   const Gateway& gateway_;
   transport::Micros startedAt_ = 0;
   unsigned earlyCrashes_ = 0;
-  std::uint64_t listsWritten_ = 0;  // Gateway::listsTaken() of the newest file
+  std::uint64_t listsWritten_ = 0;  // Gateway::listUpdatesApplied() of the newest file
   bool writePending_ = false;       // something besides a list has changed since then
   bool lastWriteFailed_ = false;
   transport::Timer nextWrite_;
--- a/src/stats/call_failure.h
+++ b/src/stats/call_failure.h
@@ -1,4 +1,4 @@
-// Why a call to the list service brought no endpoint list.
+// Why a call to the list service returned no endpoint list.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
   ConnectionReset,  // the connection broke during the call
   TimedOut,
   Unreachable,  // no connection could be opened
-  Malformed     // the answer can't be read
+  Malformed     // the response can't be parsed
 };
 inline constexpr std::size_t kCallFailures = 5;
 const char* nameOf(CallFailure failure);
--- a/src/stats/enum_names.cpp
+++ b/src/stats/enum_names.cpp
@@ -7,7 +7,7 @@
 namespace heathflow::stats {
 namespace {
 
-// Each table is in the order of its enumeration.
+// The names in each table are in the order of the values of its enum.
 constexpr std::array<const char*, kAttemptOutcomes> kAttemptOutcomeNames = {
     "ok",        "error",    "overloaded",          "timed_out", "connect_failed", "connection_reset",
     "cancelled", "not_sent", "precondition_failed", "malformed", "abandoned",      "lost_leadership"};
@@ -24,15 +24,15 @@
     "paced", "slow_start", "deadline_too_close", "not_retryable",         "endpoint_list_expired"};
 
 template <typename Enum, std::size_t kSize>
-const char* lookUp(const std::array<const char*, kSize>& names, Enum value) {
+const char* nameAt(const std::array<const char*, kSize>& names, Enum value) {
   return names.at(static_cast<std::size_t>(value));
 }
 
 }  // namespace
 
-const char* nameOf(AttemptOutcome outcome) { return lookUp(kAttemptOutcomeNames, outcome); }
-const char* nameOf(CloseReason reason) { return lookUp(kCloseReasonNames, reason); }
-const char* nameOf(HealthCheckReason reason) { return lookUp(kHealthCheckReasonNames, reason); }
-const char* nameOf(RejectReason reason) { return lookUp(kRejectReasonNames, reason); }
+const char* nameOf(AttemptOutcome outcome) { return nameAt(kAttemptOutcomeNames, outcome); }
+const char* nameOf(CloseReason reason) { return nameAt(kCloseReasonNames, reason); }
+const char* nameOf(HealthCheckReason reason) { return nameAt(kHealthCheckReasonNames, reason); }
+const char* nameOf(RejectReason reason) { return nameAt(kRejectReasonNames, reason); }
 
 }  // namespace heathflow::stats
--- a/src/stats/enum_names.h
+++ b/src/stats/enum_names.h
@@ -1,4 +1,4 @@
-// The names of outcomes and reasons as counters and log lines show them.
+// The names of outcomes and reasons in counters and log lines.
 #pragma once
 
 #include <cstddef>
--- a/src/stats/observer.h
+++ b/src/stats/observer.h
@@ -1,4 +1,4 @@
-// Where the gateway counts and logs. The program decides what is written.
+// Receives the counters and log lines of a gateway. The program decides which lines are written.
 #pragma once
 
 #include <cstddef>
@@ -15,10 +15,10 @@
 enum class Topic { Downstream, Upstream, Discovery, Limits, Invariants, Requests };
 inline constexpr std::size_t kTopics = 6;
 
-// What a log line is about, as far as that is known.
+// The subject of a log line, as far as it is known.
 struct LogContext {
-  std::uint64_t connection = 0;  // of a client, counted from 1; 0: none
-  std::string_view request;      // its id
+  std::uint64_t connection = 0;  // the number of the client connection, from 1; 0: none
+  std::string_view request;      // the id that the client gave it
   std::string_view protocol;
   std::optional<std::uint32_t> family;
 };
@@ -28,8 +28,8 @@
   virtual ~Observer() = default;
   virtual void note(Topic topic, const std::string& text, const LogContext& context) = 0;
   void note(Topic topic, const std::string& text) { note(topic, text, {}); }
-  // Each step of each request and each change of an endpoint's state. Callers check 'tracing' first, so that
-  // no text is built where it is off.
+  // Logs a step of a request or a change of an endpoint's state. Callers check 'tracing' first, so that no
+  // text is built while it is off.
   virtual void trace(Topic, const std::string&, const LogContext&) {}
   bool tracing = false;
 
--- a/tests/announced_drain_test.cpp
+++ b/tests/announced_drain_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "crossing.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
@@ -47,11 +47,11 @@
   for (ClientStandIn* client : {&one, &two, &three}) ASSERT_TRUE(client->answered());
   ASSERT_TRUE(waitFor(rig, 2 * kSecond));
   for (int lists = 0; lists < 2; ++lists) {
-    const std::uint64_t before = rig.counters().listsTaken;
+    const std::uint64_t before = rig.counters().listUpdatesApplied;
     std::exchange(rig.discovery.waiting, nullptr)
         ->say(DiscoveryStandIn::response(rig.discovery.document(false, "[]")));
-    ASSERT_TRUE(
-        rig.until([&] { return rig.counters().listsTaken > before && rig.discovery.waiting != nullptr; }));
+    ASSERT_TRUE(rig.until(
+        [&] { return rig.counters().listUpdatesApplied > before && rig.discovery.waiting != nullptr; }));
   }
   for (auto& endpoint : rig.endpoints) {
     EXPECT_GE(endpoint->openLines(), 1U);
@@ -74,7 +74,7 @@
     return out;
   }
 };
-INSTANTIATE_TEST_SUITE_P(Protocols, DrainRule, kBoth, nameOf);
+INSTANTIATE_TEST_SUITE_P(Protocols, DrainRule, kBothProtocols, protocolName);
 
 // Both replicas drain while every call is rejected: requests need a health check, and go to the primary.
 TEST_P(DrainRule, DrainingEndpointsGetNoRequestsSixSecondsLater) {
@@ -261,11 +261,11 @@
   ASSERT_EQ(rig.discovery.lines.size(), 2U);
   EXPECT_LE(rig.discovery.calledAt[1], rig.discovery.calledAt[0] + 2 * kSecond);
   EXPECT_FALSE(rig.discovery.lines.front()->ended);
-  const std::uint64_t before = rig.counters().listsTaken;
+  const std::uint64_t before = rig.counters().listUpdatesApplied;
   rig.discovery.silent = false;
   rig.discovery.lines.front()->say(
       DiscoveryStandIn::response(rig.discovery.document(false, "[" + rig.entryOf(1, "Terminating") + "]")));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
   ASSERT_TRUE(rig.until([&] { return rig.discovery.lines.back()->ended; })) << "the later call is closed";
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   EXPECT_EQ(rig.discovery.waiting, rig.discovery.lines.front().get()) << "the connection is kept";
@@ -284,9 +284,9 @@
   EXPECT_LE(rig.discovery.openLines(), 3U);
   for (std::size_t i = 1; i < rig.discovery.calledAt.size(); ++i)
     EXPECT_LE(rig.discovery.calledAt[i] - rig.discovery.calledAt[i - 1], 1750'000);
-  const std::uint64_t before = rig.counters().listsTaken;
+  const std::uint64_t before = rig.counters().listUpdatesApplied;
   rig.discovery.silent = false;
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
 }
 
 // The newest call fails, and an earlier one is answered before the next one is sent.
@@ -297,9 +297,9 @@
   rig.discovery.lines.back()->say(DiscoveryStandIn::response("", 503));
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures == 2; }));
   rig.discovery.silent = false;
-  const std::uint64_t before = rig.counters().listsTaken;
+  const std::uint64_t before = rig.counters().listUpdatesApplied;
   rig.discovery.lines.front()->say(DiscoveryStandIn::response(rig.discovery.document(false, "[]")));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   EXPECT_EQ(rig.discovery.calls.size(), 3U) << "the call that was due is the watch";
 }
@@ -315,9 +315,9 @@
   EXPECT_EQ(rig.counters().discoveryFailures, 1U);
   EXPECT_EQ(rig.discovery.calls.size(), 2U);
   rig.discovery.silent = false;
-  const std::uint64_t before = rig.counters().listsTaken;
+  const std::uint64_t before = rig.counters().listUpdatesApplied;
   rig.discovery.lines.back()->say(DiscoveryStandIn::response(rig.discovery.document(false, "[]")));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
 }
 
 // ---- Health checks of a draining endpoint ----
--- a/tests/attempt_result_test.cpp
+++ b/tests/attempt_result_test.cpp
@@ -1,4 +1,4 @@
-// What the end of an exchange means, at each stage of an attempt, as PROTOCOL lists it.
+// The outcome of an attempt by how, and at which stage, its exchange ended.
 #include "routing/attempt_result.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 
 constexpr Micros kNow = 1767225601000000;
 
-// The clocks of endpoints agree with the gateway's.
+// The clocks of the endpoints agree with the gateway's clock.
 wallclock::EndpointTime& synchronizedClocks() {
   static wallclock::EndpointTime only;
   only = {};
@@ -28,7 +28,7 @@
 
 settings::InstanceSettings socketSettings() { return settings::parseSettings(test::settingsText({})); }
 
-// An endpoint's answer to one query, as the protocol parsed it.
+// An endpoint's response to one query, parsed by the protocol.
 struct ParsedAnswer {
   explicit ParsedAnswer(const std::string& answerBytes) : bytes(answerBytes) {
     transport::Buffer out(1024);
@@ -61,8 +61,9 @@
   }
 }
 
-// Failure: an endpoint gets no requests, and then counts as warming up, for an answer that can't be read.
-TEST(AttemptResult, AMalformedAnswerMayHaveRunAndIsNoConnectionReset) {
+// Guards against an endpoint being taken out of use, and then put into slow start, because one of its
+// responses can't be parsed.
+TEST(AttemptResult, AMalformedResponseMayHaveRunAndIsNotAConnectionReset) {
   for (const ExchangeStage stage : {ExchangeStage::Written, ExchangeStage::Responding}) {
     EXPECT_EQ(outcomeOf({Cause::Malformed, stage, nullptr, {}}), AttemptOutcome::Malformed);
   }
@@ -76,7 +77,7 @@
   EXPECT_TRUE(healthCheck.rejected) << "the endpoint responded";
 }
 
-TEST(AttemptResult, AnswersAreClassifiedByTheirCodes) {
+TEST(AttemptResult, ErrorCodesDetermineTheOutcome) {
   const auto outcome = [](const std::string& bytes) {
     return outcomeOf(ParsedAnswer(bytes + pg::ready()).end());
   };
@@ -86,14 +87,14 @@
   EXPECT_EQ(outcome(pg::error("72000")), AttemptOutcome::PreconditionFailed);
   EXPECT_EQ(outcome(pg::error("53300")), AttemptOutcome::Overloaded);
   EXPECT_EQ(outcome(pg::error("XX000")), AttemptOutcome::Error);
-  // Whatever is not in the table may have run.
+  // A request that failed with any other code may have run.
   for (const char* code : {"57P03", "08P01", "42501", "53301", "", "2500", "99999"}) {
     EXPECT_EQ(outcome(pg::error(code)), AttemptOutcome::Error) << code;
   }
   EXPECT_EQ(outcome(pg::complete("SELECT 0")), AttemptOutcome::Error);
 }
 
-TEST(AttemptResult, AnswersContainRolePositionAndReport) {
+TEST(AttemptResult, ResponsesContainRolePositionAndReport) {
   const settings::InstanceSettings settings = socketSettings();
   const ParsedAnswer read(pg::row("v") + pg::parameter("mode", "read-write") +
                           pg::parameter("wal_time", "1767225600123") +
@@ -111,7 +112,7 @@
   EXPECT_FALSE(without.report.position);
 }
 
-// Failure: a stale read, for a position that was taken for newer than it is.
+// Guards against stale reads caused by a position that is taken for newer than it is.
 TEST(LoadReport, PositionsAreRoundedDown) {
   const settings::InstanceSettings settings = socketSettings();
   EXPECT_EQ(parseLoadReport(settings, "x0=1767225600.123,x1=1", kNow, synchronizedClocks()).position,
@@ -129,7 +130,7 @@
   }
 }
 
-// Failure: an impossible report is used for ever, since positions never go back.
+// Guards against an impossible report that is used forever, because positions never go back.
 TEST(LoadReport, ImpossibleValuesAreIgnored) {
   const settings::InstanceSettings settings = socketSettings();
   for (const char* text :
@@ -138,7 +139,7 @@
     EXPECT_FALSE(report.position) << text;
     EXPECT_FALSE(report.role) << text;
   }
-  // The answer beside it counts all the same.
+  // The response that carries such a report is still used.
   const ParsedAnswer read(pg::row("v") + pg::parameter("mode", "read-write") +
                           pg::parameter("wal_time", "1999999999999") +
                           pg::parameter("stats", "x0=1999999999,x1=0") + pg::ready());
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "crossing.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
@@ -57,7 +57,7 @@
   EXPECT_LE(rig.counters().requestsAccepted, 2U);
 }
 
-INSTANTIATE_TEST_SUITE_P(Protocols, ClientDisconnect, kBoth, nameOf);
+INSTANTIATE_TEST_SUITE_P(Protocols, ClientDisconnect, kBothProtocols, protocolName);
 
 }  // namespace
 }  // namespace heathflow::test
--- a/tests/connect_race_test.cpp
+++ b/tests/connect_race_test.cpp
@@ -1,16 +1,17 @@
-// Attempts that end while they wait for their connection. docs/crossings.md lists the races.
+// Races in which an attempt ends while it waits for its connection.
 #include <gtest/gtest.h>
 
 #include <memory>
 
-#include "crossing.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
 
 class ConnectRace : public ConnectionRace {};
 
-// A request was accepted, and its connection to the first endpoint is open and waits for the handshake.
+// Waits until a request was accepted, and its connection to the first endpoint is open and awaits the
+// handshake.
 bool waitsForHandshake(GatewayRig& rig) {
   return rig.until([&] {
     return rig.counters().requestsAccepted == 1 && rig.endpoints[0]->openLines() > 0 &&
@@ -18,8 +19,9 @@
   });
 }
 
-// The list that reports the replica as draining arrives in the turn in which the connection to it is ready.
-// Read first, it keeps the request away; read second, it is too late for the attempt in flight.
+// The list that reports the replica as draining arrives in the same turn of the event loop in which the
+// connection to the replica becomes ready. If the list is read first, the request is not sent to the replica;
+// if it is read second, it is too late for the attempt in flight.
 TEST_P(ConnectRace, AnEndpointThatStartsToDrainAsItsConnectionIsReady) {
   for (const bool listFirst : {true, false}) {
     GatewayRig rig(speaking(), 2);
@@ -45,8 +47,8 @@
   }
 }
 
-// A client disconnects while its attempt connects, before the handshake ends and in the same turn: nothing is
-// forwarded, and the connection serves the next request.
+// A client disconnects while its attempt connects, either before the handshake ends or in the same turn.
+// Nothing is forwarded to it, and the connection serves the next request.
 TEST_P(ConnectRace, NothingIsForwardedForAClientThatDisconnectedMeanwhile) {
   for (const bool sameTurn : {false, true}) {
     GatewayRig rig(speaking(), 1);
@@ -65,7 +67,7 @@
     ASSERT_TRUE(next.answered());
     EXPECT_EQ(next.value(), "from " + rig.endpoints[0]->address());
     EXPECT_EQ(rig.counters().requestsServed, 1U);
-    // In the same turn it may have been sent before the disconnect was seen, and is then cancelled.
+    // In the same turn the request may have been sent before the disconnect was read; it is then cancelled.
     const std::size_t sent = rig.endpoints[0]->statements.size() - 1;
     EXPECT_LE(sent, sameTurn ? 1U : 0U);
     EXPECT_EQ(rig.outcomes(AttemptOutcome::Cancelled), sent);
@@ -73,7 +75,7 @@
   }
 }
 
-// The request's deadline passes in the turn in which its connection is ready: it is not written any more.
+// A request whose deadline passes in the turn in which its connection becomes ready is not written any more.
 TEST_P(ConnectRace, NothingIsSentInTheTurnOfItsDeadline) {
   GatewayOptions options = speaking();
   options.byHand = true;
@@ -90,8 +92,8 @@
   EXPECT_TRUE(rig.endpoints[0]->statements.empty());
 }
 
-// The connect timeout fires in the turn in which the handshake ends: the connection is used. (Bolt's
-// handshake takes several turns.)
+// A connection whose handshake ends in the turn in which the connect timeout expires is used. This runs on
+// one protocol only, because Bolt's handshake takes several turns.
 TEST(ConnectRaceOverTime, AConnectionThatIsReadyInTheTurnOfItsTimeoutIsUsed) {
   GatewayOptions options = byHand(10'000);
   options.connectTimeoutMs = 1'000;
@@ -107,8 +109,8 @@
   EXPECT_EQ(rig.counters().connectionsFailed, 0U);
 }
 
-// The connect fails in the turn in which the client disconnects: one answer, and the descriptor is free
-// again.
+// If the connect fails in the turn in which the client disconnects, the request ends once and the descriptor
+// is freed.
 TEST_P(ConnectRace, AConnectThatFailsInTheTurnOfTheDisconnectEndsOnce) {
   GatewayRig rig(speaking(), 1);
   rig.endpoints[0]->welcomes = false;
@@ -127,7 +129,7 @@
   EXPECT_TRUE(rig.endpoints[0]->statements.empty());
 }
 
-INSTANTIATE_TEST_SUITE_P(Protocols, ConnectRace, kBoth, nameOf);
+INSTANTIATE_TEST_SUITE_P(Protocols, ConnectRace, kBothProtocols, protocolName);
 
 }  // namespace
 }  // namespace heathflow::test
--- a/tests/connection_close_test.cpp
+++ b/tests/connection_close_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "crossing.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
@@ -113,7 +113,7 @@
   EXPECT_EQ(fresh.types(), "TDCZ");
 }
 
-INSTANTIATE_TEST_SUITE_P(Protocols, ConnectionRace, kBoth, nameOf);
+INSTANTIATE_TEST_SUITE_P(Protocols, ConnectionRace, kBothProtocols, protocolName);
 
 }  // namespace
 }  // namespace heathflow::test
--- a/tests/endpoint_connection_test.cpp
+++ b/tests/endpoint_connection_test.cpp
@@ -1,18 +1,17 @@
-// Connections to endpoints that close, and primaries that lose leadership, while a request is in flight.
-// docs/crossings.md lists the races.
+// Races between a request in flight and a connection that closes, or a primary that loses leadership.
 #include <gtest/gtest.h>
 
 #include <string>
 
-#include "crossing.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
 
 class EndpointRace : public ConnectionRace {};
 
-// The endpoint closes an idle connection, or sends unexpected bytes on it, in the turn in which a request
-// comes: the request runs once, on a new connection.
+// The endpoint closes an idle connection, or sends unexpected bytes on it, in the turn of the event loop in
+// which a request arrives. The request runs once, on a new connection.
 TEST_P(EndpointRace, ARequestDuringTheCloseOfAnIdleConnectionUsesANewOne) {
   enum class How { Close, Reset, Stray };
   for (const How how : {How::Close, How::Reset, How::Stray}) {
@@ -38,7 +37,7 @@
   }
 }
 
-// Failure: the reset of an idle connection counts as a fault of its endpoint.
+// Guards against counting the reset of an idle connection as a fault of its endpoint.
 TEST_P(EndpointRace, AResetOfAnIdleConnectionIsNoFault) {
   GatewayRig rig(speaking(), 1);
   rig.endpoints[0]->resets = true;
@@ -56,7 +55,7 @@
   EXPECT_EQ(rig.outcomes(AttemptOutcome::ConnectionReset), 0U);
 }
 
-// The response arrives in the turn of the request's deadline: it is served.
+// A response that arrives in the turn of the request's deadline is forwarded.
 TEST_P(EndpointRace, AnAnswerInTheTurnOfItsDeadlineIsServed) {
   GatewayOptions options = speaking();
   options.byHand = true;
@@ -72,8 +71,8 @@
   EXPECT_EQ(client.value(), "in time");
 }
 
-// A response and the close of its connection, in order or by a reset, arrive in one turn. A complete response
-// counts; with an incomplete one the write may have run, and fails without a retry.
+// A response and the end of its connection, by a close or a reset, arrive in one turn. A complete response is
+// used. If it is incomplete, the write may have run, and it fails without a retry.
 TEST_P(EndpointRace, AResponseRightBeforeTheCloseCountsIfComplete) {
   for (const bool complete : {true, false}) {
     for (const bool reset : {false, true}) {
@@ -93,8 +92,9 @@
   }
 }
 
-// The primary loses leadership while it serves a read that only a primary may serve, and says so: the
-// response is dropped and the read is retried at the new primary, or fails where it may not run twice.
+// The primary loses leadership while it serves a read that only a primary may serve, and reports that in its
+// response. The response is dropped and the read is retried at the new primary, or fails if it may not run
+// twice.
 TEST_P(EndpointRace, AReadForThePrimaryIsNotServedByOneThatLostLeadership) {
   for (const std::string className : {"status", "view"}) {
     for (const bool unsafe : {false, true}) {
@@ -109,7 +109,7 @@
       ASSERT_TRUE(client.answered());
       rig.endpoints[0]->answer = [&](Line& line, const std::string&) {
         rig.endpoints[0]->primary = false;
-        rig.endpoints[0]->lagMs = 100'000;  // and it replicates nothing any more
+        rig.endpoints[0]->lagMs = 100'000;  // it no longer replicates
         rig.endpoints[1]->primary = true;
         rig.endpoints[1]->lagMs = 0;
         line.say(rig.endpoints[0]->value("stale"));
@@ -129,7 +129,7 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Protocols, EndpointRace, kBoth, nameOf);
+INSTANTIATE_TEST_SUITE_P(Protocols, EndpointRace, kBothProtocols, protocolName);
 
 }  // namespace
 }  // namespace heathflow::test
--- a/tests/endpoint_rules_test.cpp
+++ b/tests/endpoint_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules on endpoints: timeouts, broken connections, drains, failover.
+// Behavior towards endpoints: timeouts, broken connections, draining, failover.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,8 +13,9 @@
 
 class EndpointsRule : public RuleTest {};
 
-// Failure: requests wait for connections to a host that vanished, though others could serve.
-TEST_P(EndpointsRule, ThatVanishedAreNoticedByTheConnectTimeout) {
+// Guards against requests that wait for connections to a host that vanished, although other endpoints could
+// serve them.
+TEST_P(EndpointsRule, AVanishedEndpointIsDetectedByTheConnectTimeout) {
   GatewayOptions options;
   options.connectTimeoutMs = 250;
   GatewayRig rig(options);
@@ -26,8 +27,8 @@
   EXPECT_GE(rig.outcomes(AttemptOutcome::ConnectFailed), 1U);
 }
 
-// Failure: an endpoint counts as dead because a network path drops its connections.
-TEST_P(EndpointsRule, WhoseConnectionsBreakAreStillUsed) {
+// Guards against taking an endpoint for dead because a network path drops its connections.
+TEST_P(EndpointsRule, AnEndpointWhoseConnectionsBreakIsStillUsed) {
   GatewayRig rig({}, 1);
   std::size_t dropped = 0;
   const auto drop = [&](Line& line, const std::string&) {
@@ -53,7 +54,7 @@
   EXPECT_GE(dropped, 15U) << "a request and two health checks each";
 }
 
-TEST_P(EndpointsRule, ThatDrainDuringAConnectGetNothing) {
+TEST_P(EndpointsRule, AnEndpointThatDrainsDuringAConnectGetsNoRequest) {
   GatewayRig rig({}, 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   rig.endpoints[1]->welcomes = false;
@@ -71,7 +72,7 @@
   EXPECT_EQ(rig.outcomes(AttemptOutcome::NotSent), 1U);
 }
 
-// Failure: a request fails, as if it had run, though it timed out before its connection was ready.
+// Guards against failing a request as if it had run, although it timed out before its connection was ready.
 TEST_P(EndpointsRule, ARequestThatTimesOutDuringTheConnectIsRejected) {
   GatewayRig rig({}, 1);
   rig.endpoints[0]->welcomes = false;
@@ -83,7 +84,7 @@
   EXPECT_TRUE(rig.endpoints[0]->statements.empty());
 }
 
-TEST_P(EndpointsRule, ATimeoutClosesTheConnectionAndMayHaveRun) {
+TEST_P(EndpointsRule, ARequestThatTimesOutFailsAndItsConnectionIsClosed) {
   GatewayRig rig({}, 1);
   rig.answerAll([](Line&, const std::string&) {});
   ClientStandIn client(rig.loop, rig.socketAddress);
@@ -98,7 +99,8 @@
   }));
 }
 
-// Failure: a request is sent on an idle connection that the endpoint has closed, or sent unexpected bytes on.
+// Guards against sending a request on an idle connection that the endpoint has closed or sent unexpected
+// bytes on.
 TEST_P(EndpointsRule, ThatCloseAnIdleConnectionCostNoRequest) {
   GatewayRig rig;
   ClientStandIn client(rig.loop, rig.socketAddress);
@@ -120,8 +122,8 @@
   EXPECT_GE(rig.counters().connectionsStale, 2U);
 }
 
-// Failure: idle connections to a host that vanished stay open forever.
-TEST_P(EndpointsRule, ThatVanishedHaveTheirIdleConnectionsClosed) {
+// Guards against idle connections to a host that vanished staying open forever.
+TEST_P(EndpointsRule, IdleConnectionsToAVanishedEndpointAreClosed) {
   GatewayOptions options;
   options.connectTimeoutMs = 250;
   GatewayRig rig(options, 1);
@@ -136,7 +138,7 @@
   for (Line* line : pending) line->say(rig.endpoints[0]->value("v"));
   for (auto& client : clients) ASSERT_TRUE(client->answered());
   ASSERT_GE(rig.endpoints[0]->openLines(), 5U);
-  // From here on the endpoint answers nothing, not even health checks.
+  // From here on the endpoint answers neither requests nor health checks.
   rig.endpoints[0]->answer = rig.endpoints[0]->healthCheck = [](Line&, const std::string&) {};
   rig.endpoints[0]->welcomes = false;
   clients[0]->forget();
@@ -175,8 +177,8 @@
   EXPECT_GE(rig.counters().endpointProtocolErrors, 1U);
 }
 
-// Failure: one malformed answer takes the primary out of use, and with it all writes.
-TEST_P(EndpointsRule, WhoseAnswersAreMalformedAreStillUsed) {
+// Guards against one malformed response taking the primary out of use, which would stop all writes.
+TEST_P(EndpointsRule, AnEndpointWithMalformedResponsesIsStillUsed) {
   GatewayRig rig({}, 1);
   for (const std::string& malformed : rig.endpoints[0]->malformed()) {
     Line* used = nullptr;
@@ -201,8 +203,8 @@
   EXPECT_EQ(rig.counters().requestsRejected, 0U);
 }
 
-// The primary dies with a write in flight: the write fails, and the next goes to the new primary.
-TEST_P(EndpointsRule, ThatDieWithARequestAreReplacedByTheNewPrimary) {
+// The primary dies with a write in flight. The write fails, and the next one goes to the new primary.
+TEST_P(EndpointsRule, WritesGoToTheNewPrimaryAfterTheOldOneDies) {
   GatewayRig rig;
   rig.endpoints[0]->answer = [&](Line&, const std::string&) {
     rig.endpoints[0]->shut();
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "crossing.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
--- a/tests/gateway_rules_test.cpp
+++ b/tests/gateway_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules on the gateway itself: discovery, limits, shutdown.
+// Behavior of the gateway itself: discovery, limits, shutdown.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,12 +15,12 @@
 class LimitsRule : public RuleTest {};
 class ShutdownRule : public RuleTest {};
 
-TEST_P(DiscoveryRule, IsWatchedFromTheKnownRevisionOn) {
+TEST_P(DiscoveryRule, TheListIsWatchedFromTheKnownRevision) {
   GatewayRig rig({}, 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   EXPECT_EQ(rig.discovery.calls[0], "GET /v1/endpoints?since=1&timeout_ms=1 HTTP/1.1");
   EXPECT_EQ(rig.discovery.calls[1].substr(0, 37), "GET /v1/endpoints?since=1&timeout_ms=");
-  // The replica drains: reads go to the primary from then on.
+  // Once the replica drains, reads go to the primary.
   rig.discovery.tell("[" + entry("m1", rig.endpoints[1]->address(), false, "Terminating") + "]");
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   EXPECT_EQ(rig.discovery.calls.back().substr(0, 27), "GET /v1/endpoints?since=2&t");
@@ -49,7 +49,7 @@
   EXPECT_TRUE(rig.until([&] { return rig.endpoints[0]->openLines() == 0; }));
 }
 
-TEST_P(DiscoveryRule, FailuresKeepTheListAndAreRetried) {
+TEST_P(DiscoveryRule, FailedCallsKeepTheListAndAreRetried) {
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   rig.discovery.shut();
@@ -85,9 +85,9 @@
   EXPECT_EQ(rig.counters().clientsRejected, 0U);
 }
 
-// Failure: clients that send one request and stay use up the clients' descriptors.
+// Guards against clients that send one request and stay connected using up the descriptors for clients.
 TEST_P(LimitsRule, IdleClientsAreEvictedOnceManyAreConnected) {
-  // A quarter of the sixty descriptors after the reserve may be used by idle clients.
+  // Idle clients may use a quarter of the sixty descriptors that are not reserved.
   constexpr std::size_t kMaxIdle = 15;
   constexpr std::size_t kConnected = 19;
   GatewayRig rig(fewDescriptors());
@@ -103,34 +103,34 @@
   for (std::size_t i = kConnected - kMaxIdle; i < kConnected; ++i) EXPECT_FALSE(clients[i]->ended());
 }
 
-// Failure: the memory or descriptors of a process grow with the number of endpoints, clients, ids and keys
-// that it has ever seen.
+// Guards against memory or descriptors growing with the number of endpoints, clients, ids and keys that the
+// process has ever seen.
 TEST_P(LimitsRule, ResourcesAreBoundedOverTime) {
   constexpr std::size_t kRounds = 300;
   GatewayRig rig(fewDescriptors(), 1);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const std::string replica = rig.endpoints[0]->address();
-  std::vector<std::unique_ptr<ClientStandIn>> stay;
-  std::size_t most = 0;
+  std::vector<std::unique_ptr<ClientStandIn>> clients;
+  std::size_t maxDescriptors = 0;
   for (std::size_t i = 0; i < kRounds; ++i) {
     const std::string removed =
         i == 0 ? "" : "," + entry("r" + std::to_string(i - 1), replica, false, "Gone");
     rig.discovery.tell("[" + entry("r" + std::to_string(i), replica, false) + removed + "]");
     ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-    stay.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
-    stay.back()->ask(
+    clients.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
+    clients.back()->ask(
         request(i % 3 == 0 ? "save" : "any", "id" + std::to_string(i), ",k=" + std::to_string(i)));
-    ASSERT_TRUE(stay.back()->answered()) << i;
-    ASSERT_NE(stay.back()->types().find("TDCZ"), std::string::npos) << i << " " << stay.back()->code();
-    if (i >= kRounds / 2) most = std::max<std::size_t>(most, rig.counters().descriptors);
+    ASSERT_TRUE(clients.back()->answered()) << i;
+    ASSERT_NE(clients.back()->types().find("TDCZ"), std::string::npos) << i << " " << clients.back()->code();
+    if (i >= kRounds / 2) maxDescriptors = std::max<std::size_t>(maxDescriptors, rig.counters().descriptors);
   }
-  EXPECT_LE(most, 76U) << "a hundred less the reserve";
+  EXPECT_LE(maxDescriptors, 76U) << "a hundred less the reserve";
   EXPECT_EQ(rig.counters().requestsServed, kRounds);
   EXPECT_LT(rig.loop.memory().taken(), 1'000'000U);
-  // Once no more connect, idle clients are evicted too.
+  // Idle clients are evicted even when no more clients connect.
   EXPECT_TRUE(rig.until([&] {
     std::size_t open = 0;
-    for (const auto& client : stay) open += client->ended() ? 0 : 1;
+    for (const auto& client : clients) open += client->ended() ? 0 : 1;
     return open <= 15;
   }));
 }
@@ -148,7 +148,7 @@
   bool done = false;
   rig.gateway->beginShutdown([&] { done = true; });
   EXPECT_TRUE(idle.gone());
-  // New clients still connect for a while and are served.
+  // New clients can still connect for a while and are served.
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("late")); });
   ClientStandIn late(rig.loop, rig.socketAddress);
   late.ask(request("any", "3"));
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <utility>
 
-#include "crossing.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
@@ -29,16 +29,16 @@
   auto call = service.next();
   ASSERT_TRUE(call && call->reads("\r\n\r\n"));
   // The list lacks two endpoints. Body and reset arrive before the next turn of the event loop.
-  const std::uint64_t before = rig.counters().listsTaken;
+  const std::uint64_t before = rig.counters().listUpdatesApplied;
   ASSERT_TRUE(call->send(withoutLength(rig.discovery.document(true, "[" + rig.entryOf(0) + "]"))));
   call->resetNow();
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures == 1; }));
-  EXPECT_EQ(rig.counters().listsTaken, before);
+  EXPECT_EQ(rig.counters().listUpdatesApplied, before);
   call = service.next();
   ASSERT_TRUE(call && call->reads("\r\n\r\n"));
   ASSERT_TRUE(call->send(withoutLength(rig.discovery.document(true, "[" + rig.entryOf(0) + "]"))));
   call->hangUp();
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken == before + 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied == before + 1; }));
   EXPECT_EQ(rig.counters().discoveryFailures, 1U);
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
@@ -60,13 +60,13 @@
     ASSERT_TRUE(call && call->reads("\r\n\r\n"));
     const std::string body = rig.discovery.document(true, "[" + entries + "]");
     ASSERT_GT(body.size(), 200'000U);
-    const std::uint64_t before = rig.counters().listsTaken;
+    const std::uint64_t before = rig.counters().listUpdatesApplied;
     const std::string length = "Content-Length: " + std::to_string(body.size()) + "\r\n";
     ASSERT_TRUE(
         call->send("HTTP/1.1 200 OK\r\nConnection: close\r\n" + (withLength ? length : "") + "\r\n" + body));
     call->hangUp();
     ASSERT_TRUE(rig.until(
-        [&] { return rig.counters().listsTaken > before || rig.counters().discoveryFailures > 0; }));
+        [&] { return rig.counters().listUpdatesApplied > before || rig.counters().discoveryFailures > 0; }));
     EXPECT_EQ(rig.counters().discoveryFailures, 0U);
   }
 }
@@ -78,7 +78,7 @@
   GatewayRig rig(options);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "," + rig.entryOf(2, "Terminating") + "]");
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken >= 3; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied >= 3; }));
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
@@ -127,12 +127,12 @@
   ++rig.discovery.revision;
   const std::string complete =
       DiscoveryStandIn::response(rig.discovery.document(false, "[" + rig.entryOf(1, "Terminating") + "]"));
-  const std::uint64_t before = rig.counters().listsTaken;
+  const std::uint64_t before = rig.counters().listUpdatesApplied;
   line->say(complete.substr(0, complete.size() - 1));
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures == 1; }));
-  EXPECT_EQ(rig.counters().listsTaken, before);
+  EXPECT_EQ(rig.counters().listUpdatesApplied, before);
   line->say(complete.substr(complete.size() - 1));
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
   EXPECT_EQ(rig.counters().discoveryFailures, 1U);
   EXPECT_NE(rig.discovery.calls[rig.discovery.calls.size() - 2].find("since=1&"), std::string::npos)
       << "the revision of the incomplete list is not used";
@@ -142,10 +142,10 @@
 TEST(EndpointListResponses, ThatArriveTogetherWithTheirTimeoutAreTaken) {
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  const std::uint64_t before = rig.counters().listsTaken;
+  const std::uint64_t before = rig.counters().listUpdatesApplied;
   rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "]");
   rig.loop.clock().moveTo(rig.loop.now() + 10 * kSecond);
-  ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
+  ASSERT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
   EXPECT_EQ(rig.counters().discoveryFailures, 0U);
 }
 
--- a/tests/race_test.h
+++ b/tests/race_test.h
@@ -1,6 +1,6 @@
-// Shared by the tests of races between two events: each brings one event into an exact state, makes the other
-// happen there, and checks what the client read, what endpoints received and how connections ended.
-// docs/crossings.md lists the races.
+// Shared by the tests of races between two events. Each test brings the system to the point at which one
+// event is about to take effect, causes the other event there, and checks what the client read, what the
+// endpoints received and how the connections ended.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 
 namespace heathflow::test {
 
-// Runs on every protocol. The suites of single subjects derive from it.
+// The base of suites that run on every protocol.
 class ConnectionRace : public testing::TestWithParam<Speaks> {
  protected:
   static GatewayOptions speaking() {
@@ -21,14 +21,14 @@
   }
 };
 
-inline const auto kBoth = testing::Values(Speaks::Postgres, Speaks::Bolt);
-inline std::string nameOf(const testing::TestParamInfo<Speaks>& spoken) {
-  return spoken.param == Speaks::Postgres ? "Postgres" : "Bolt";
+inline const auto kBothProtocols = testing::Values(Speaks::Postgres, Speaks::Bolt);
+inline std::string protocolName(const testing::TestParamInfo<Speaks>& info) {
+  return info.param == Speaks::Postgres ? "Postgres" : "Bolt";
 }
 
 constexpr transport::Micros kSecond = 1'000'000;
 
-// A gateway whose clock is moved by hand.
+// Returns the options of a gateway whose clock the test moves.
 // @param maxPollIntervalMs  the longest time between two calls to discovery.
 inline GatewayOptions byHand(long maxPollIntervalMs) {
   GatewayOptions out;
--- a/tests/request_rules_test.cpp
+++ b/tests/request_rules_test.cpp
@@ -1,4 +1,4 @@
-// The rules on requests: routing, effects and answers.
+// Behavior towards requests: routing, side effects and answers.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -29,8 +29,8 @@
   EXPECT_EQ(rig.counters().requestsServed, 20U);
 }
 
-// Failure: two open requests with the same id are mixed up by endpoints.
-TEST_P(ClientsRule, ThatUseTheIdOfAnOpenRequestGetAnError) {
+// Guards against two open requests with the same id, which endpoints can't tell apart.
+TEST_P(ClientsRule, ARequestWithTheIdOfAnOpenRequestGetsAnError) {
   GatewayRig rig;
   Line* pending = nullptr;
   rig.answerAll([&](Line& line, const std::string&) { pending = &line; });
@@ -59,8 +59,8 @@
   EXPECT_EQ(owner.value(1), "again");
 }
 
-// After a disconnect the attempt is cancelled and its connection closes.
-TEST_P(ClientsRule, ThatDisconnectCancelTheirAttempt) {
+// When a client disconnects, the attempt is cancelled and its connection is closed.
+TEST_P(ClientsRule, ADisconnectCancelsTheAttempt) {
   GatewayRig rig;
   rig.answerAll([](Line&, const std::string&) {});
   ClientStandIn client(rig.loop, rig.socketAddress);
@@ -79,8 +79,8 @@
   GatewayOptions options;
   options.aimMs = options.requestTimeoutMs = 300;
   GatewayRig rig(options);
-  // An overloaded endpoint has not run the request: it is rejected. After an error a request that is not
-  // idempotent may have run: it fails.
+  // An overloaded endpoint has not run the request, so the request is rejected. After an error a request that
+  // is not idempotent may have run, so it fails.
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->error("53300")); });
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("save", "1"));
@@ -100,8 +100,8 @@
   EXPECT_EQ(rig.counters().requestsFailed, 1U);
 }
 
-// Failure: a request that is not idempotent is retried after its connection broke, though it may have run.
-TEST_P(AnswersRule, AFragileRequestIsSentOnceThoughItsConnectionBreaks) {
+// Guards against the retry of a request that is not idempotent and may have run, after its connection broke.
+TEST_P(AnswersRule, ANonIdempotentRequestIsSentOnceWhenItsConnectionBreaks) {
   GatewayRig rig;
   rig.answerAll([](Line& line, const std::string&) { line.hangUp(); });
   ClientStandIn client(rig.loop, rig.socketAddress);
@@ -127,21 +127,21 @@
   EXPECT_EQ(rig.counters().requestsServed, 1U);
 }
 
-// Failure: a retry starts while the attempt before it is still in flight.
+// Guards against a retry that starts while the previous attempt is still in flight.
 TEST_P(AnswersRule, NoAttemptsOverlap) {
   GatewayRig rig;
   std::size_t open = 0;
-  std::size_t most = 0;
+  std::size_t maxOpen = 0;
   rig.answerAll([&](Line& line, const std::string&) {
     ++open;
-    most = std::max(most, open);
+    maxOpen = std::max(maxOpen, open);
     line.say(rig.endpoints[0]->error("XX000"));
     --open;
   });
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "1"));
   ASSERT_TRUE(client.answered());
-  EXPECT_EQ(most, 1U);
+  EXPECT_EQ(maxOpen, 1U);
   EXPECT_GE(rig.statements().size(), 2U);
 }
 
--- a/tests/resource_shortage_test.cpp
+++ b/tests/resource_shortage_test.cpp
@@ -2,8 +2,8 @@
 // failure of an endpoint or a client.
 #include <gtest/gtest.h>
 
-#include "crossing.h"
 #include "faults.h"
+#include "race_test.h"
 #include "snapshot/snapshot.h"
 #include "standins/gateway_rig.h"
 #include "standins/temporary_file.h"
--- a/tests/rule_test.h
+++ b/tests/rule_test.h
@@ -1,6 +1,6 @@
-// Shared by the tests of the routing rules on every protocol: whole gateways between stand-ins for clients,
-// endpoints and discovery. The tests are the same for all protocols; the stand-ins translate requests and
-// answers.
+// Shared by the tests of routing behavior that run on every protocol. They connect a whole gateway to
+// stand-ins for clients, endpoints and discovery. The tests are the same for all protocols; the stand-ins
+// translate requests and responses.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/short_transfer_test.cpp
+++ b/tests/short_transfer_test.cpp
@@ -2,17 +2,17 @@
 #include <gtest/gtest.h>
 #include <signal.h>
 
-#include "crossing.h"
 #include "faults.h"
 #include "program/signals.h"
 #include "program_process.h"
+#include "race_test.h"
 #include "standins/gateway_rig.h"
 
 namespace heathflow::test {
 namespace {
 
 class ShortTransfer : public ConnectionRace {};
-INSTANTIATE_TEST_SUITE_P(Protocols, ShortTransfer, kBoth, nameOf);
+INSTANTIATE_TEST_SUITE_P(Protocols, ShortTransfer, kBothProtocols, protocolName);
 
 // Failure: the rest of a short read is never read, since the loop is edge-triggered.
 TEST_P(ShortTransfer, AnswersEveryRequestWhereEveryTransferIsShort) {
@@ -42,10 +42,10 @@
 TEST(ShortRead, LosesNoChangeOfTheList) {
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  const auto before = rig.counters().listsTaken;
+  const auto before = rig.counters().listUpdatesApplied;
   const InForce faults(planOf("seed=2;short-read=1"));
   rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "]");
-  EXPECT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
+  EXPECT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
 }
 
 // Failure: a signal is lost, since its descriptor is edge-triggered.
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "crossing.h"
 #include "program_process.h"
+#include "race_test.h"
 
 namespace heathflow::test {
 namespace {
--- a/tests/snapshot_source_test.cpp
+++ b/tests/snapshot_source_test.cpp
@@ -1,7 +1,7 @@
 // A snapshot with the list of another list service: revisions of two services are not comparable.
 #include <gtest/gtest.h>
 
-#include "crossing.h"
+#include "race_test.h"
 #include "standins/gateway_rig.h"
 #include "standins/temporary_file.h"
 
--- a/tests/upstream_stats_test.cpp
+++ b/tests/upstream_stats_test.cpp
@@ -1,4 +1,4 @@
-// The counters of health checks, connections and rejections.
+// The counters of health checks, connections and unserved requests.
 #include "stats/upstream_stats.h"
 
 #include <gtest/gtest.h>
@@ -11,16 +11,16 @@
 TEST(UpstreamStats, AHealthCheckIsUsedByARequestBeforeTheNextHealthCheck) {
   UpstreamStats upstreamStats;
   upstreamStats.healthCheckStarted(1, HealthCheckReason::ReadWaiting);
-  upstreamStats.requestSent(1);  // without a result yet
+  upstreamStats.attemptStarted(1);  // without a result yet
   upstreamStats.healthCheckEnded(1, true);
-  upstreamStats.requestSent(2);
+  upstreamStats.attemptStarted(2);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 0U);
-  upstreamStats.requestSent(1);
-  upstreamStats.requestSent(1);
+  upstreamStats.attemptStarted(1);
+  upstreamStats.attemptStarted(1);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::ReadWaiting).used, 1U);
   upstreamStats.healthCheckStarted(1, HealthCheckReason::PrimaryUnknown);
   upstreamStats.healthCheckEnded(1, false);
-  upstreamStats.requestSent(1);
+  upstreamStats.attemptStarted(1);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).started, 1U);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).answered, 0U);
   EXPECT_EQ(upstreamStats.healthChecks(HealthCheckReason::PrimaryUnknown).used, 0U);
@@ -42,7 +42,7 @@
   EXPECT_EQ(upstreamStats.connections().closedAfterOneRequest, 1U);
 }
 
-TEST(UpstreamStats, ForgetsRemovedEndpointsAndNamesEveryCount) {
+TEST(UpstreamStats, RemovedEndpointsAreForgottenAndCountersArePrintedByName) {
   UpstreamStats upstreamStats;
   upstreamStats.healthCheckStarted(1, HealthCheckReason::Unresponsive);
   upstreamStats.requestUnserved(RejectReason::SlowStart);
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,8 +1,8 @@
 // A wall clock that is stepped: deadlines and timers do not depend on it.
 #include <gtest/gtest.h>
 
-#include "crossing.h"
 #include "faults.h"
+#include "race_test.h"
 #include "standins/gateway_rig.h"
 
 namespace heathflow::test {
--- a/tests/wrong_clock_test.cpp
+++ b/tests/wrong_clock_test.cpp
@@ -2,7 +2,7 @@
 // fresher than they are.
 #include <gtest/gtest.h>
 
-#include "crossing.h"
+#include "race_test.h"
 #include "standins/gateway_rig.h"
 
 namespace heathflow::test {
