--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -109,8 +109,8 @@
   if (!expired_) return;
   const Micros lasted = loop_.now() - expiredAt_;
   observer_.counters.listExpiredTime += static_cast<std::uint64_t>(lasted);
-  observer_.note(Topic::Discovery,
-                 "the endpoint list is confirmed again, " + millisecondsOf(lasted) + " after it expired");
+  observer_.log(Topic::Discovery,
+                "the endpoint list is confirmed again, " + millisecondsOf(lasted) + " after it expired");
 }
 
 void DiscoveryWatch::traceList(const DiscoveryCall& call, bool changed) {
@@ -148,11 +148,11 @@
   expired_ = true;
   expiredAt_ = loop_.now();
   ++observer_.counters.listsExpired;
-  observer_.note(Topic::Discovery,
-                 "the endpoint list expired: only endpoints with current evidence of their own get requests "
-                 "(revision " +
-                     std::to_string(revision_) + ", " + std::to_string(failuresInRow_) +
-                     " failed calls in a row)");
+  observer_.log(Topic::Discovery,
+                "the endpoint list expired: only endpoints with current evidence of their own get requests "
+                "(revision " +
+                    std::to_string(revision_) + ", " + std::to_string(failuresInRow_) +
+                    " failed calls in a row)");
   onLeaseEnd_(lease_.connectedBefore());
 }
 
@@ -190,10 +190,10 @@
 }
 
 void DiscoveryWatch::logFailure(const CallError& error, Micros elapsed) {
-  observer_.note(Topic::Discovery, "a call to the list service failed: " + error.message + ", " +
-                                       nameOf(error.failure) + " after " + millisecondsOf(elapsed) +
-                                       ", revision " + std::to_string(revision_) + ", the list expires in " +
-                                       millisecondsOf(lease_.endsAt() - loop_.now()));
+  observer_.log(Topic::Discovery, "a call to the list service failed: " + error.message + ", " +
+                                      nameOf(error.failure) + " after " + millisecondsOf(elapsed) +
+                                      ", revision " + std::to_string(revision_) + ", the list expires in " +
+                                      millisecondsOf(lease_.endsAt() - loop_.now()));
 }
 
 // The remaining call is the newest from then on.
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -110,7 +110,7 @@
     if (!removed) {
       const auto address = transport::parseSocketAddress(listed.hostPort);
       if (!address) {
-        observer_.note(Topic::Discovery, "an endpoint's address can't be read: " + listed.hostPort);
+        observer_.log(Topic::Discovery, "an endpoint's address can't be read: " + listed.hostPort);
         continue;
       }
       pool_.setAddresses(entry.id, addressesOf(listed, *address));
--- a/src/downstream/client_connection.cpp
+++ b/src/downstream/client_connection.cpp
@@ -406,7 +406,7 @@
 }
 
 void ClientConnection::note(Topic topic, const std::string& text) const {
-  observer_.note(topic, text, logContext());
+  observer_.log(topic, text, logContext());
 }
 
 }  // namespace heathflow::downstream
--- a/src/downstream/client_listener.cpp
+++ b/src/downstream/client_listener.cpp
@@ -94,7 +94,7 @@
 // @return whether to go on accepting.
 bool ClientListener::onAcceptFailed(int error) {
   if (error == ECONNABORTED || error == EPROTO) return true;
-  observer_.note(stats::Topic::Limits, "a client can't be accepted: error " + std::to_string(error));
+  observer_.log(stats::Topic::Limits, "a client can't be accepted: error " + std::to_string(error));
   // An idle connection to an endpoint is closed before a client is rejected.
   if ((error == EMFILE || error == ENFILE) && pool_.evictLongestIdle()) return true;
   acceptRetry_.arm(loop_.now() + kAcceptRetryDelay);
@@ -123,7 +123,7 @@
   if (!connection->adopt(std::move(fd))) return false;
   if (!serve) {
     ++observer_.counters.clientsRejected;
-    observer_.note(stats::Topic::Limits, "a client is rejected: no descriptor is left for it");
+    observer_.log(stats::Topic::Limits, "a client is rejected: no descriptor is left for it");
     connection->rejectConnection();
   }
   if (shuttingDown_) connection->closeWhenIdle(false);
--- a/src/emulator/protocol_only_gateway.h
+++ b/src/emulator/protocol_only_gateway.h
@@ -29,8 +29,8 @@
  private:
   class Silent final : public stats::Observer {
    public:
-    using Observer::note;
-    void note(stats::Topic, const std::string&, const stats::LogContext&) override {}
+    using Observer::log;
+    void log(stats::Topic, const std::string&, const stats::LogContext&) override {}
   };
 
   transport::EventLoop& loop_;
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -169,7 +169,7 @@
   write(Level::trace, kTopicNames[static_cast<std::size_t>(topic)], text, context);
 }
 
-void Log::note(stats::Topic topic, const std::string& text, const stats::LogContext& context) {
+void Log::log(stats::Topic topic, const std::string& text, const stats::LogContext& context) {
   const auto index = static_cast<std::size_t>(topic);
   Bucket& bucket = buckets_[index];
   const std::int64_t second = seconds_();
--- a/src/program/log.h
+++ b/src/program/log.h
@@ -26,8 +26,8 @@
 
   // Beyond the limit lines are only counted, so that an overloaded process does not spend its CPU and disk on
   // them.
-  using Observer::note;
-  void note(stats::Topic topic, const std::string& text, const stats::LogContext& context) override;
+  using Observer::log;
+  void log(stats::Topic topic, const std::string& text, const stats::LogContext& context) override;
   // Not limited.
   void trace(stats::Topic topic, const std::string& text, const stats::LogContext& context) override;
 
--- a/src/routing/attempt_manager.cpp
+++ b/src/routing/attempt_manager.cpp
@@ -55,9 +55,9 @@
     case StartResult::Started:
       return;
     case StartResult::NoDescriptor:
-      env_.observer.note(stats::Topic::Limits, "attempt " + std::to_string(attempt.index) + " at " +
-                                                   env_.pool.addressText(attempt.endpoint) +
-                                                   " was not sent: no socket can be opened for it");
+      env_.observer.log(stats::Topic::Limits, "attempt " + std::to_string(attempt.index) + " at " +
+                                                  env_.pool.addressText(attempt.endpoint) +
+                                                  " was not sent: no socket can be opened for it");
       return end(attempt, AttemptOutcome::NotSent, nullptr);
     case StartResult::Unreachable:
       return end(attempt, AttemptOutcome::ConnectFailed, nullptr);
@@ -66,7 +66,7 @@
 
 // Writes the request as received, but with its timeout replaced by the time that is left. If the attempt had
 // to wait for its connection, the policy confirms it first.
-// @return false if the request must not be written any more.
+// @return false if the request must not be written any more or could not be written.
 bool AttemptManager::write(Attempt& attempt, protocol::EndpointSide& side, transport::Buffer& out) {
   const PendingRequest& request = attempt.request;
   const Micros now = env_.loop.now();
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -147,10 +147,10 @@
   const PendingRequest* request = requests_.find(id);
   stats::LogContext context;
   if (request != nullptr && request->owner != nullptr) context.request = request->owner->clientRequestId();
-  observer_.note(stats::Topic::Invariants,
-                 std::string(invariants::kViolated) + ": " + invariants::nameOf(invariant) + " request " +
-                     std::string(context.request.empty() ? "unknown" : context.request),
-                 context);
+  observer_.log(stats::Topic::Invariants,
+                std::string(invariants::kViolated) + ": " + invariants::nameOf(invariant) + " request " +
+                    std::string(context.request.empty() ? "unknown" : context.request),
+                context);
 }
 
 }  // namespace heathflow::routing
--- a/src/standins/gateway_rig.h
+++ b/src/standins/gateway_rig.h
@@ -105,8 +105,8 @@
 
 class Notes final : public stats::Observer {
  public:
-  using Observer::note;
-  void note(stats::Topic, const std::string& text, const stats::LogContext&) override {
+  using Observer::log;
+  void log(stats::Topic, const std::string& text, const stats::LogContext&) override {
     lines.push_back(text);
   }
   std::vector<std::string> lines;
--- a/src/stats/observer.h
+++ b/src/stats/observer.h
@@ -26,8 +26,8 @@
 class Observer {
  public:
   virtual ~Observer() = default;
-  virtual void note(Topic topic, const std::string& text, const LogContext& context) = 0;
-  void note(Topic topic, const std::string& text) { note(topic, text, {}); }
+  virtual void log(Topic topic, const std::string& text, const LogContext& context) = 0;
+  void log(Topic topic, const std::string& text) { log(topic, text, {}); }
   // Logs a step of a request or a change of an endpoint's state. Callers check 'tracing' first, so that no
   // text is built while it is off.
   virtual void trace(Topic, const std::string&, const LogContext&) {}
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -182,8 +182,8 @@
 
 void ConnectionPool::onProtocolError(EndpointConnection& connection) {
   ++observer_.counters.endpointProtocolErrors;
-  observer_.note(stats::Topic::Upstream, "closing the connection to " + toText(connection.socketAddress()) +
-                                             ": its response can't be read");
+  observer_.log(stats::Topic::Upstream, "closing the connection to " + toText(connection.socketAddress()) +
+                                            ": its response can't be read");
 }
 
 void ConnectionPool::onConnectFailed(EndpointConnection&) { ++observer_.counters.connectionsFailed; }
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -13,10 +13,10 @@
   std::int64_t second = 100;
   Log log([&] { return second; });
   testing::internal::CaptureStderr();
-  for (int i = 0; i < 1000; ++i) log.note(stats::Topic::Upstream, "line " + std::to_string(i));
-  log.note(stats::Topic::Discovery, "another topic");
+  for (int i = 0; i < 1000; ++i) log.log(stats::Topic::Upstream, "line " + std::to_string(i));
+  log.log(stats::Topic::Discovery, "another topic");
   ++second;
-  log.note(stats::Topic::Upstream, "the next second");
+  log.log(stats::Topic::Upstream, "the next second");
   EXPECT_EQ(testing::internal::GetCapturedStderr(),
             "heathflow: upstream: line 0\nheathflow: upstream: line 1\nheathflow: upstream: line 2\n"
             "heathflow: upstream: line 3\nheathflow: upstream: line 4\nheathflow: discovery: another topic\n"
