--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -95,7 +95,7 @@
 EndpointsChanged EndpointDirectory::apply(const protocol::EndpointList& list, transport::Micros now,
                                           bool confirmed) {
   launches_.beginList(now, confirmed);
-  ++observer_.counters.listsTaken;
+  ++observer_.counters.listUpdatesApplied;
   EndpointsChanged event;
   event.scope = list.complete ? EndpointsChanged::Scope::Full : EndpointsChanged::Scope::Delta;
   if (list.complete) {
@@ -110,7 +110,7 @@
     if (!removed) {
       const auto address = transport::parseSocketAddress(listed.hostPort);
       if (!address) {
-        observer_.note(Topic::Discovery, "an endpoint's address can't be read: " + listed.hostPort);
+        observer_.log(Topic::Discovery, "an endpoint's address can't be read: " + listed.hostPort);
         continue;
       }
       pool_.setAddresses(entry.id, addressesOf(listed, *address));
