--- a/src/downstream/client_connection.cpp
+++ b/src/downstream/client_connection.cpp
@@ -14,18 +14,19 @@
 using stats::Topic;
 
 using transport::kMicrosPerMilli;
-// One message and what may be pipelined behind it; one response and the protocol's messages around it.
+// Input: one message and pipelined bytes behind it. Output: one response and the protocol messages around it.
 constexpr transport::Stream::Limits kLimits = {protocol::kClientMessageLimit + 4 * 1024,
                                                protocol::kEndpointAnswerLimit + 16 * 1024};
-// For a client that is not waited for any more: to read its last answer, to notice the close, or to go on
-// with an incomplete message while its descriptor is needed.
-constexpr Micros kReadTimeout = 1'000'000;
-// LATER, Bad clients: a client that sends nothing that can be read gets an error or a close within 3 s of its
-// connect. Incomplete messages get the same time.
-constexpr Micros kRequestTimeout = 2'500'000;
-// For how long a client that was sent a fatal error may go on sending (6 s are counted with 60 MB).
+// The time that a client has to read its last answer, to notice the close, or to continue an incomplete
+// message while its descriptor is needed.
+constexpr Micros kReactionTimeout = 1'000'000;
+// A client that sends no valid message has to get an error, or its connection closed, within 3 s of
+// connecting. Incomplete messages get the same time.
+constexpr Micros kMessageTimeout = 2'500'000;
+// How long a client that was sent a fatal error may keep sending. Below the 3 s within which a misbehaving
+// client has to see an error or a close (6 s if it floods 60 MB).
 constexpr Micros kLingerTimeout = 2'500'000;
-// So many messages are handled in a turn, so that a client that pipelines many does not hold up the others.
+// Limits the work per loop turn, so that a client that pipelines many messages does not delay the others.
 constexpr int kMaxMessagesPerTurn = 16;
 
 }  // namespace
@@ -40,8 +41,8 @@
       context_(context),
       observer_(observer),
       stream_(loop, *this, kLimits),
-      readTimeout_(loop, [this] { onReadTimeout(); }),
-      requestTimeout_(loop, [this] { onRequestTimeout(); }),
+      reactionTimeout_(loop, [this] { onReactionTimeout(); }),
+      messageTimeout_(loop, [this] { onMessageTimeout(); }),
       nextTurn_(loop, [this] { process(); }),
       protocol_(protocol),
       protocolName_(protocolName),
@@ -52,26 +53,27 @@
 
 bool ClientConnection::adopt(transport::UniqueFd&& fd) {
   idleSince_ = loop_.now();
-  requestTimeout_.arm(loop_.now() + kRequestTimeout);
+  messageTimeout_.arm(loop_.now() + kMessageTimeout);
   return stream_.adopt(std::move(fd));
 }
 
 // ---- Input ----
 
 void ClientConnection::onInput() {
-  // A client that has closed waits for no answer: its last request is not begun.
+  // A client that has closed its connection waits for no answer, so its last request is not started.
   if (stream_.hungUp()) return close(CloseReason::ByClient);
   recordArrivals();
   process();
-  // A message for which there is no memory ends its connection, so that others get the memory.
+  // A message that does not fit into the memory budget ends its connection, which frees memory for others.
   if (!stream_.stalled() || incompleteSince_ == 0 || busy_ || closed_ || lingering_) return;
   ++observer_.counters.memoryRejections;
-  note(Topic::Limits, "a request was rejected: no memory is left for it");
+  note(Topic::Limits, "closing the connection: out of buffer memory for its request");
   closeWithError(Reason::NoMemory, "no memory is left", CloseReason::NoMemory);
 }
 
-// Records when the bytes that were just read arrived. Those for which the input had no room may have waited
-// in the socket since it filled up, and count from then: no request is kept longer than its client waits.
+// Records the arrival time of the bytes that were just read. Bytes for which the input buffer had no room may
+// have waited in the socket since it filled up, and count from then, so that no request outlives its client's
+// timeout.
 void ClientConnection::recordArrivals() {
   const Micros arrivedAt = inputFullSince_ != 0 ? inputFullSince_ : loop_.now();
   arrivals_.add(stream_.input().size() - arrivals_.waiting(), arrivedAt);
@@ -88,12 +90,12 @@
 }
 
 void ClientConnection::onOutputFlushed() {
-  readTimeout_.disarm();
+  reactionTimeout_.disarm();
   if (busy_ && responding_) router_.resumeResponse(request_);
   process();
 }
 
-// A client that closes its connection has disconnected, whatever it had requested.
+// A closed connection counts as a disconnect, whether or not a request is open.
 void ClientConnection::onEnd(transport::StreamEnd) {
   if (lingering_ && !stream_.output().empty()) ++observer_.counters.slowReadersClosed;
   close(CloseReason::ByClient);
@@ -102,7 +104,7 @@
 void ClientConnection::process() {
   if (processing_) return;
   processing_ = true;
-  // The next request waits until the answer before it is written, so that output stays bounded.
+  // The next request waits until the previous answer is flushed, which bounds the output.
   for (int handled = 0; !closed_ && !lingering_ && (busy_ || stream_.output().empty()); ++handled) {
     if (handled == kMaxMessagesPerTurn) {
       nextTurn_.arm(loop_.now() + 1);
@@ -116,27 +118,27 @@
   processing_ = false;
 }
 
-// Whether what stands behind the open request can't be handled at present.
+// Returns whether the input behind the open request can't be handled at present.
 bool ClientConnection::mustWait() {
   if (!busy_) return false;
   if (!side_->takesParts() || stream_.input().size() == requestSize_) {
-    requestTimeout_.disarm();
+    messageTimeout_.disarm();
     incompleteSince_ = 0;
     return true;
   }
-  // A further part of the request waits until the connection to its endpoint can take it.
+  // The next part of the request waits until the connection to its endpoint has room for it.
   return !side_->interrupted(stream_.input().view(), requestSize_) &&
          !router_.canWriteMore(request_, stream_.input().size() - requestSize_);
 }
 
-// @return false where nothing more can be handled at present.
+// Acts on one step of the protocol's state machine. Returns false if nothing more can be handled at present.
 bool ClientConnection::handle(const protocol::ClientSide::Step& step) {
   using Kind = protocol::ClientSide::Step::Kind;
   if (step.violation) {
     ++observer_.counters.clientProtocolErrors;
-    note(Topic::Downstream, "a client violates the protocol");
+    note(Topic::Downstream, "the client violated the protocol");
   }
-  if (side_->introduced()) introduced_ = true;
+  if (side_->introduced()) identified_ = true;
   switch (step.kind) {
     case Kind::NeedMore:
       onIncomplete(step.part);
@@ -167,13 +169,14 @@
   return false;
 }
 
-// @param part  a message has begun and is incomplete.
-void ClientConnection::onIncomplete(bool part) {
-  if (part) {
-    if (incompleteSince_ == 0 && !requestTimeout_.armed()) requestTimeout_.arm(loop_.now() + kRequestTimeout);
+// Updates the message timeout after all complete messages were handled.
+// @param partial  whether the input ends with an incomplete message.
+void ClientConnection::onIncomplete(bool partial) {
+  if (partial) {
+    if (incompleteSince_ == 0 && !messageTimeout_.armed()) messageTimeout_.arm(loop_.now() + kMessageTimeout);
     if (incompleteSince_ == 0) incompleteSince_ = loop_.now();
   } else {
-    if (introduced_ || busy_) requestTimeout_.disarm();
+    if (identified_ || busy_) messageTimeout_.disarm();
     incompleteSince_ = 0;
   }
   if (closeWhenIdle_ && sentRequest_ && stream_.input().empty()) closeIfIdle();
@@ -181,37 +184,37 @@
 
 // ---- Requests ----
 
-// Submits the request at the front of the input. One that can't be read fails.
+// Submits the request at the front of the input, or rejects it as malformed.
 void ClientConnection::beginRequest() {
   sentRequest_ = true;
   owner_.onConnectionBusy(*this);
   if (rejecting_) return closeWithError(Reason::TooMany, "too many clients", CloseReason::TooManyClients);
   std::string_view problem;
   group_.reset();
-  const auto asked = side_->read(requestBytes(), problem);
-  if (!asked) return failMalformed(problem);
-  group_ = asked->group;
-  problem = findProblem(*asked, context_, router_.settings(), protocol_);
+  const auto parsed = side_->read(requestBytes(), problem);
+  if (!parsed) return failMalformed(problem);
+  group_ = parsed->group;
+  problem = findProblem(*parsed, context_, router_.settings(), protocol_);
   if (!problem.empty()) return failMalformed(problem);
-  // Endpoints know a request by its id, so no two open requests may have the same.
-  if (!context_.openRequests.emplace(asked->id).second) {
+  // Endpoints identify a request by its id, so the ids of all open requests differ.
+  if (!context_.openRequestIds.emplace(parsed->id).second) {
     return failMalformed("the request has the id of one that is open");
   }
-  requestName_ = asked->id;
-  introduced_ = true;
+  requestName_ = parsed->id;
+  identified_ = true;
   ++requestCount_;
-  requestTimeout_.disarm();
+  messageTimeout_.disarm();
   busy_ = true;
   responding_ = false;
   request_ = 0;
-  const Request request = toRequest(*asked, context_, router_.settings(), router_.endpointTime(),
+  const Request request = toRequest(*parsed, context_, router_.settings(), router_.endpointTime(),
                                     arrivals_.lastOf(requestSize_), loop_.now());
   deadline_ = request.deadline;
   router_.checker().requestAcceptedOn(request_, lingering_ || closed_);
-  router_.submit(*this, request, protocol_, asked->timeout, request_);
+  router_.submit(*this, request, protocol_, parsed->timeout, request_);
 }
 
-// Forwards a further part of the open request, which stands behind the bytes before it.
+// Forwards the next part of the open request, which starts at 'requestSize_' in the input.
 void ClientConnection::writeMore(std::size_t size) {
   incompleteSince_ = 0;
   router_.writeMore(request_, stream_.input().view().substr(requestSize_, size));
@@ -219,31 +222,32 @@
   if (responding_) consumeInput(std::exchange(requestSize_, 0));
 }
 
+// Answers a request that can't be submitted with 'problem' as its error.
 void ClientConnection::failMalformed(std::string_view problem) {
   ++observer_.counters.requestsMalformed;
-  note(Topic::Downstream, std::string(problem));
+  note(Topic::Downstream, "malformed request rejected: " + std::string(problem));
   side_->rejected(problem, stream_.output());
   busy_ = true;
   onAnswered();
 }
 
-// The client has cancelled the open request: it gets no answer.
+// Cancels the open request; its client gets no answer.
 void ClientConnection::cancelRequest() {
   router_.cancel(request_);
   finishRequest();
 }
 
-// No request is open any more.
+// Releases the open request after its answer or its cancellation.
 void ClientConnection::finishRequest() {
   consumeInput(std::exchange(requestSize_, 0));
-  context_.openRequests.erase(requestName_);
+  context_.openRequestIds.erase(requestName_);
   requestName_.clear();
   busy_ = responding_ = false;
   idleSince_ = loop_.now();
   owner_.onConnectionIdle(*this);
   stream_.flush();
-  // A client that never reads must not keep its descriptor: once its deadline has passed the connection ends.
-  if (!stream_.output().empty()) readTimeout_.arm(std::max(loop_.now(), deadline_) + kReadTimeout);
+  // A client that never reads must not keep its descriptor, so the connection is closed after its deadline.
+  if (!stream_.output().empty()) reactionTimeout_.arm(std::max(loop_.now(), deadline_) + kReactionTimeout);
 }
 
 std::string_view ClientConnection::requestBytes() const {
@@ -257,12 +261,13 @@
   return out.empty() || out.size() + size + protocol::ClientSide::kHeadroom <= kLimits.output;
 }
 
-// Reserves memory for the whole answer before any of it is written, so that a client never gets half of one.
+// Reserves memory for the complete answer, so that a client never gets a truncated one. Returns false if
+// there is not enough.
 bool ClientConnection::reserveOutput(const protocol::Answer& answer) {
   transport::Buffer& out = stream_.output();
   if (out.reserve(out.size() + answer.size() + protocol::ClientSide::kHeadroom)) return true;
   ++observer_.counters.memoryRejections;
-  note(Topic::Limits, "a response was not forwarded: no memory is left for it");
+  note(Topic::Limits, "response not forwarded: out of buffer memory");
   return false;
 }
 
@@ -277,13 +282,13 @@
   if (!responding_) consumeInput(std::exchange(requestSize_, 0));
   responding_ = true;
   stream_.flush();
-  // The client may have sent a further part of the request already.
+  // The next part of the request may already be in the input.
   if (!stream_.input().empty() || stream_.stalled()) nextTurn_.arm(loop_.now());
   return true;
 }
 
 void ClientConnection::onResponse(const protocol::Answer& answer, std::string_view bytes) {
-  // The request has run, so where there is no memory for its response it has failed.
+  // The request may have had an effect, so without memory for its response it fails and is not rejected.
   if (!reserveOutput(answer)) return onFailed();
   writeAnswer(answer, bytes);
   side_->served(stream_.output());
@@ -313,13 +318,14 @@
   linger(why, kLingerTimeout);
 }
 
-// Closes the connection in order: the client can still read the output, and a request that crosses the close
-// is neither forwarded nor answered by a reset, so that its client can send it again on another connection.
+// Closes the connection gracefully: the client can still read the output, and a request that crosses the
+// close is neither forwarded nor answered by a reset, so that its client can send it again on another
+// connection.
 void ClientConnection::linger(CloseReason why, Micros timeout) {
   recordClose(why);
   lingering_ = true;
-  requestTimeout_.disarm();
-  readTimeout_.disarm();
+  messageTimeout_.disarm();
+  reactionTimeout_.disarm();
   owner_.onConnectionLingering(*this);
   stream_.linger(timeout);
 }
@@ -329,10 +335,10 @@
   closed_ = true;
   recordClose(why);
   stream_.close();
-  readTimeout_.disarm();
-  requestTimeout_.disarm();
+  reactionTimeout_.disarm();
+  messageTimeout_.disarm();
   nextTurn_.disarm();
-  context_.openRequests.erase(requestName_);
+  context_.openRequestIds.erase(requestName_);
   if (busy_) router_.cancel(request_);
   busy_ = false;
   owner_.onConnectionClosed(*this);
@@ -344,22 +350,23 @@
   const bool byGateway = why != CloseReason::ByClient && why != CloseReason::ClientFinished;
   router_.checker().connectionClosing(request_, byGateway && busy_);
   if (observer_.tracing) {
-    observer_.trace(Topic::Downstream, "closed: " + std::string(nameOf(why)), logContext());
+    observer_.trace(Topic::Downstream, "client connection closed: " + std::string(nameOf(why)), logContext());
   }
 }
 
-// The client has sent no request, or only a part of a message, in time.
-void ClientConnection::onRequestTimeout() {
+// Closes the connection of a client that has sent no request, or only a part of a message, in time.
+void ClientConnection::onMessageTimeout() {
   if (lingering_ || closed_ || (busy_ && incompleteSince_ == 0)) return;
-  if (stream_.input().empty()) return linger(CloseReason::IncompleteRequest, kReadTimeout);
+  if (stream_.input().empty()) return linger(CloseReason::IncompleteRequest, kReactionTimeout);
   if (busy_) cancelRequest();
   ++observer_.counters.clientProtocolErrors;
-  note(Topic::Downstream, "a message was not complete in time");
+  note(Topic::Downstream, "closing the connection: a message was not complete in time");
   closeWithError(Reason::Unfinished, "the message was not finished in time", CloseReason::IncompleteRequest);
 }
 
-// The client has not read its last answer, or, where it is to be rejected, has sent no request in time.
-void ClientConnection::onReadTimeout() {
+// Closes the connection of a client that has not read its last answer, or that is to be rejected and has sent
+// no request, in time.
+void ClientConnection::onReactionTimeout() {
   const bool unread = !stream_.output().empty();
   if (unread) ++observer_.counters.slowReadersClosed;
   close(unread ? CloseReason::SlowReader : CloseReason::TooManyClients);
@@ -367,30 +374,31 @@
 
 void ClientConnection::rejectConnection() {
   rejecting_ = closeWhenIdle_ = true;
-  // A client that sends nothing must not keep others from getting their error.
-  readTimeout_.arm(loop_.now() + kReadTimeout);
+  // A client that sends nothing must not occupy a descriptor that other rejected clients need.
+  reactionTimeout_.arm(loop_.now() + kReactionTimeout);
 }
 
-void ClientConnection::closeWhenIdle(bool closeNewcomers) {
+void ClientConnection::closeWhenIdle(bool closeUnused) {
   closeWhenIdle_ = true;
   if (sentRequest_) {
     closeIfIdle();
-  } else if (closeNewcomers && canClose()) {
+  } else if (closeUnused && canClose()) {
     closeWithError(Reason::ShuttingDown, "this gateway ends", CloseReason::IdleClosed);
   }
 }
 
-// Whether no request is open and nothing is unread or unsent.
+// Returns whether no request is open, all output is sent, and the input is empty or has been incomplete for
+// too long.
 bool ClientConnection::canClose() const {
   if (busy_ || lingering_ || closed_ || !stream_.output().empty()) return false;
-  // An incomplete message that does not go on keeps neither a descriptor nor the process.
-  const bool stuck = incompleteSince_ != 0 && loop_.now() - incompleteSince_ > kReadTimeout;
-  return stuck || stream_.quiet();
+  // An incomplete message that is not continued delays neither an eviction nor the shutdown.
+  const bool stalled = incompleteSince_ != 0 && loop_.now() - incompleteSince_ > kReactionTimeout;
+  return stalled || stream_.quiet();
 }
 
 bool ClientConnection::closeIfIdle() {
   if (!canClose()) return false;
-  linger(CloseReason::IdleClosed, kReadTimeout);
+  linger(CloseReason::IdleClosed, kReactionTimeout);
   return true;
 }
 
--- a/src/downstream/client_connection.h
+++ b/src/downstream/client_connection.h
@@ -1,4 +1,4 @@
-// One client's connection, in any protocol: reads its requests one at a time and writes their answers in
+// A connection from a client, in any protocol: reads requests one at a time and writes their answers in
 // order.
 #pragma once
 
@@ -19,51 +19,52 @@
 
 class ClientConnection;
 
-// Owns the connections and follows their states.
+// Owns client connections and is notified of changes of their state.
 class ClientConnectionOwner {
  public:
   virtual ~ClientConnectionOwner() = default;
-  // The connection has ended; the owner may release the connection, but not within the call.
+  // The connection is closed. The owner must not destroy it within the call.
   virtual void onConnectionClosed(ClientConnection& connection) = 0;
-  // A request has begun.
+  // A request has started.
   virtual void onConnectionBusy(ClientConnection& connection) = 0;
-  // The open request has its answer, or was cancelled.
+  // The open request was answered or cancelled.
   virtual void onConnectionIdle(ClientConnection& connection) = 0;
-  // No further request is read: the output is still written, then the connection ends.
+  // No further request is read: the output is flushed, then the connection is closed.
   virtual void onConnectionLingering(ClientConnection& connection) = 0;
 };
 
-// Requests are answered strictly in the order in which they came: the next one is read when the one before it
-// has its final answer. The deadline of each counts from its own last byte.
+// Answers requests strictly in the order of their arrival: the next one is read after the final answer of the
+// previous one. The timeout of each request counts from the arrival of its last byte.
 class ClientConnection final : public routing::RequestOwner, private transport::StreamOwner {
  public:
-  // All references outlive the connection.
-  // @param protocol      the pool's index of the protocol.
-  // @param protocolName  of the same protocol.
+  // All references must outlive the connection.
+  // @param protocol      the connection pool's index of the client's protocol.
+  // @param protocolName  the name of the same protocol, for the log.
   ClientConnection(transport::EventLoop& loop, ClientConnectionOwner& owner, routing::Router& router,
                    ClientConnectionContext& context, stats::Observer& observer, std::size_t protocol,
                    std::string_view protocolName, std::unique_ptr<protocol::ClientSide> side);
   ~ClientConnection() override;
 
   // Takes over an accepted connection.
-  // @return false where it can't be watched; it then stays with the listener.
+  // @return false if it can't be watched; 'fd' then stays with the caller.
   bool adopt(transport::UniqueFd&& fd);
-  // There are too many clients: the first request gets a fatal error, and the connection ends.
+  // Rejects a client beyond the limit: its first request gets a fatal error, and the connection is closed.
   void rejectConnection();
   // Closes the connection as soon as it is idle.
-  // @param closeNewcomers  also close the connection of a client that has sent no request yet, with an error
-  //                        that says that the gateway shuts down.
-  void closeWhenIdle(bool closeNewcomers);
-  // Closes the connection in order if it is idle with nothing unread, or with an incomplete message that does
-  // not go on. @return whether it did.
+  // @param closeUnused  also close the connection of a client that has sent no request yet, with an error
+  // that
+  //                     says that the gateway shuts down.
+  void closeWhenIdle(bool closeUnused);
+  // Closes the connection gracefully if it is idle with nothing unread, or with an incomplete message that is
+  // not continued. @return whether it did.
   bool closeIfIdle();
   // Closes a lingering connection at once, to free its descriptor.
   void closeLingering() { close(stats::CloseReason::LingerEnded); }
-  // Whether the client has ever sent something that could be read.
-  bool introduced() const { return introduced_; }
-  // Whether it has sent more than one request that could be read.
-  bool hasReturned() const { return requestCount_ > 1; }
-  // Since when no request is open.
+  // Returns whether the client has completed the protocol's logon, if it has one, or sent a valid request.
+  bool identified() const { return identified_; }
+  // Returns whether the client has sent more than one valid request.
+  bool isReused() const { return requestCount_ > 1; }
+  // The time since which no request has been open.
   Micros idleSince() const { return idleSince_; }
 
   std::string_view requestBytes() const override;
@@ -85,7 +86,7 @@
   void process();
   bool mustWait();
   bool handle(const protocol::ClientSide::Step& step);
-  void onIncomplete(bool part);
+  void onIncomplete(bool partial);
   // ---- Requests ----
   void beginRequest();
   void writeMore(std::size_t size);
@@ -97,14 +98,14 @@
   bool reserveOutput(const protocol::Answer& answer);
   void onAnswered();
   // ---- Closing ----
-  void onRequestTimeout();
-  void onReadTimeout();
-  // Sends a fatal error and closes the connection in order.
+  void onMessageTimeout();
+  void onReactionTimeout();
+  // Sends a fatal error and closes the connection gracefully.
   void closeWithError(protocol::ClientSide::Reason reason, std::string_view message, stats::CloseReason why);
   void linger(stats::CloseReason why, Micros timeout);
   bool canClose() const;
   void close(stats::CloseReason why);
-  // Counts the close and has the invariants checked.
+  // Counts and traces the first close, and reports it to the invariant checker.
   void recordClose(stats::CloseReason why);
   // ---- Log ----
   stats::LogContext logContext() const;
@@ -116,17 +117,17 @@
   ClientConnectionContext& context_;
   stats::Observer& observer_;
   transport::Stream stream_;
-  transport::Timer readTimeout_;     // until the client has read the output
-  transport::Timer requestTimeout_;  // until the first request, or the rest of an incomplete message
-  transport::Timer nextTurn_;        // continues with the input
-  std::size_t protocol_;
+  transport::Timer reactionTimeout_;  // until the output is read, or a client to be rejected sends a request
+  transport::Timer messageTimeout_;   // until the first request, or the rest of an incomplete message
+  transport::Timer nextTurn_;         // continues to process the input
+  std::size_t protocol_;              // index in the connection pool
   std::string_view protocolName_;
   std::uint64_t connectionNumber_;
-  std::optional<GroupId> group_;  // of the open request, or the last one
+  std::optional<GroupId> group_;  // of the open request, or the previous one
   std::unique_ptr<protocol::ClientSide> side_;
   transport::ArrivalTimes arrivals_;  // of the bytes in the input
-  Micros inputFullSince_ = 0;   // since when the socket may hold more than the input has room for; 0: no
-  Micros incompleteSince_ = 0;  // since when the input is a part of a message; 0: it is not
+  Micros inputFullSince_ = 0;  // when the input became full with the socket not read to its end; 0: it is not
+  Micros incompleteSince_ = 0;  // when the input became a part of a message; 0: it is not
   RequestId request_ = 0;
   std::size_t requestSize_ = 0;  // the bytes of the open request at the front of the input
   std::string requestName_;      // the client's id of the open request
@@ -135,11 +136,11 @@
   bool busy_ = false;               // a request is open
   bool responding_ = false;         // a part of its response has been written
   bool processing_ = false;         // process() is running
-  bool sentRequest_ = false;        // the client has sent a request, though it may have been malformed
-  bool introduced_ = false;         // the client has sent something that could be read
-  std::uint64_t requestCount_ = 0;  // that could be read
+  bool sentRequest_ = false;        // the client has sent a request, valid or malformed
+  bool identified_ = false;         // the client has logged on or sent a valid request
+  std::uint64_t requestCount_ = 0;  // valid requests
   bool closeWhenIdle_ = false;
-  bool rejecting_ = false;  // no request is served
+  bool rejecting_ = false;  // the first request gets an error
   bool lingering_ = false;  // nothing more is read; the output is still written
   bool closed_ = false;
   bool closeRecorded_ = false;
--- a/src/downstream/client_connection_context.h
+++ b/src/downstream/client_connection_context.h
@@ -1,4 +1,4 @@
-// What all client connections of a gateway share.
+// State that all client connections of a gateway share.
 #pragma once
 
 #include <cstddef>
@@ -21,9 +21,9 @@
   }
   std::vector<std::string> classNames;
   std::unordered_map<std::string_view, std::uint32_t> classIndexes;
-  std::unordered_set<std::string> openRequests;  // ids
-  std::uint64_t connectionCount = 0;             // accepted so far
-  // The protocols, by index, in which a group is served; groups that are missing are served in all.
+  std::unordered_set<std::string> openRequestIds;
+  std::uint64_t connectionCount = 0;  // accepted so far
+  // For each group, whether it is served in a protocol, by index. A group without an entry is served in all.
   std::unordered_map<GroupId, std::vector<bool>> servedProtocols;
 };
 
--- a/src/downstream/client_connection_registry.cpp
+++ b/src/downstream/client_connection_registry.cpp
@@ -7,15 +7,15 @@
 namespace heathflow::downstream {
 namespace {
 
-// So many connections that can't be closed yet are passed over in search of one that can.
-constexpr int kMaxPassedOver = 8;
+// Bounds the search for a connection that can be closed.
+constexpr int kMaxSkipped = 8;
 
 }  // namespace
 
 void ClientConnectionRegistry::add(std::unique_ptr<ClientConnection> connection) {
   ClientConnection* key = connection.get();
-  newcomers_.push_back(std::move(connection));
-  index_.emplace(key, Entry{&newcomers_, std::prev(newcomers_.end())});
+  unidentified_.push_back(std::move(connection));
+  index_.emplace(key, Entry{&unidentified_, std::prev(unidentified_.end())});
 }
 
 ClientConnectionRegistry::Removed ClientConnectionRegistry::remove(ClientConnection& connection) {
@@ -29,14 +29,14 @@
 }
 
 void ClientConnectionRegistry::setIdle(ClientConnection& connection) {
-  if (!connection.introduced()) return move(connection, newcomers_);
-  move(connection, connection.hasReturned() ? returning_ : singleRequest_);
+  if (!connection.identified()) return move(connection, unidentified_);
+  move(connection, connection.isReused() ? reused_ : singleRequest_);
 }
 
 std::vector<ClientConnection*> ClientConnectionRegistry::all() const {
   std::vector<ClientConnection*> out;
   out.reserve(index_.size());
-  for (const Connections* list : {&returning_, &singleRequest_, &newcomers_, &lingering_, &busy_}) {
+  for (const Connections* list : {&reused_, &singleRequest_, &unidentified_, &lingering_, &busy_}) {
     for (const auto& connection : *list) out.push_back(connection.get());
   }
   return out;
@@ -50,24 +50,24 @@
   });
 }
 
-// The lists of idle connections in the order of eviction: newcomers, then those with a single request, then
-// those that return. A list is spared while the lists before it are larger: many newcomers don't evict
-// clients that have proved useful.
+// Returns the lists of idle connections in the order of eviction: unidentified clients, then clients with a
+// single request, then reused connections. A list is left out while the lists before it are larger, so that
+// many new connections don't evict clients that send requests.
 std::vector<ClientConnectionRegistry::Connections*> ClientConnectionRegistry::evictable() {
-  std::vector<Connections*> lists = {&newcomers_};
-  if (singleRequest_.size() >= newcomers_.size()) lists.push_back(&singleRequest_);
-  const auto busyReturning = static_cast<std::size_t>(std::count_if(
-      busy_.begin(), busy_.end(), [](const auto& connection) { return connection->hasReturned(); }));
-  const std::size_t others = newcomers_.size() + singleRequest_.size() + busy_.size() - busyReturning;
-  if (returning_.size() + busyReturning > others) lists.push_back(&returning_);
+  std::vector<Connections*> lists = {&unidentified_};
+  if (singleRequest_.size() >= unidentified_.size()) lists.push_back(&singleRequest_);
+  const auto busyReused = static_cast<std::size_t>(std::count_if(
+      busy_.begin(), busy_.end(), [](const auto& connection) { return connection->isReused(); }));
+  const std::size_t others = unidentified_.size() + singleRequest_.size() + busy_.size() - busyReused;
+  if (reused_.size() + busyReused > others) lists.push_back(&reused_);
   return lists;
 }
 
 bool ClientConnectionRegistry::closeOneOf(Connections& connections) {
-  for (int passed = 0; !connections.empty() && passed < kMaxPassedOver; ++passed) {
+  for (int skipped = 0; !connections.empty() && skipped < kMaxSkipped; ++skipped) {
     ClientConnection& oldest = *connections.front();
     if (oldest.closeIfIdle()) return true;
-    // It has something unread: it is about to be busy, or is looked at again later.
+    // Its input or output is not empty: it becomes busy soon, or is tried again later.
     move(oldest, connections);
   }
   return false;
--- a/src/downstream/client_connection_registry.h
+++ b/src/downstream/client_connection_registry.h
@@ -1,4 +1,4 @@
-// The connections of a listener by their states, and the order in which idle ones are evicted.
+// Tracks the connections of a listener by their state, and decides the order in which idle ones are evicted.
 #pragma once
 
 #include <list>
@@ -13,10 +13,10 @@
 
 class ClientConnectionRegistry {
  public:
-  // The new connection counts as idle.
+  // Adds a new connection as idle.
   void add(std::unique_ptr<ClientConnection> connection);
   struct Removed {
-    std::unique_ptr<ClientConnection> connection;  // null where it is not registered
+    std::unique_ptr<ClientConnection> connection;  // null if it was not registered
     bool lingered = false;
   };
   Removed remove(ClientConnection& connection);
@@ -27,13 +27,13 @@
 
   bool empty() const { return index_.empty(); }
   std::vector<ClientConnection*> all() const;
-  // @return the connection that has lingered longest, or null.
+  // Returns the connection that has lingered longest, or null.
   ClientConnection* oldestLingering() const {
     return lingering_.empty() ? nullptr : lingering_.front().get();
   }
-  // Closes one idle connection in order.
-  // @param idleSince  only one that became idle at that time or before.
-  // @return false where none can be closed.
+  // Closes one idle connection gracefully.
+  // @param idleSince  if given, only a connection that has been idle since then or longer.
+  // @return false if none can be closed.
   bool evictOne(std::optional<Micros> idleSince = {});
 
  private:
@@ -48,10 +48,10 @@
   void move(ClientConnection& connection, Connections& to);
 
   Connections busy_;           // with an open request
-  Connections returning_;      // idle, have sent more than one request; the longest idle first
-  Connections singleRequest_;  // idle, have sent one request; the longest idle first
-  Connections newcomers_;      // nothing they sent could be read so far; the oldest first
-  Connections lingering_;      // are closing; the oldest first
+  Connections reused_;         // idle after more than one valid request; the longest idle first
+  Connections singleRequest_;  // idle after one valid request; the longest idle first
+  Connections unidentified_;   // idle, neither logon nor valid request when they became so; the oldest first
+  Connections lingering_;      // closing; the oldest first
   std::unordered_map<ClientConnection*, Entry> index_;
 };
 
--- a/src/downstream/client_listener.cpp
+++ b/src/downstream/client_listener.cpp
@@ -10,17 +10,16 @@
 
 constexpr int kBacklog = 1024;
 constexpr int kMaxAcceptsPerTurn = 64;
-// While the system has no descriptor or memory to give.
+// Used while the process has no descriptor left, or the system no descriptor or memory.
 constexpr Micros kAcceptRetryDelay = 50'000;
-// PROTOCOL, Figures: after SIGTERM new connections keep coming for 0.2 to 0.4 s.
+// New connections keep coming for 0.2 to 0.4 s after SIGTERM.
 constexpr Micros kListenAfterShutdownStart = 450'000;
-// PROTOCOL, Figures: the process is killed no sooner than 0.7 s after SIGTERM. Clients without a request are
-// closed before that.
-constexpr Micros kCloseNewcomersAfterShutdownStart = 600'000;
+// The process is killed no sooner than 0.7 s after SIGTERM. Clients without a request are closed before that.
+constexpr Micros kCloseUnusedAfterShutdownStart = 600'000;
 constexpr Micros kShutdownCheckInterval = 250'000;
-// For a queue of new connections that could not be emptied before the listener closes.
+// Used while the accept queue is not empty when the listener is due to close.
 constexpr Micros kAcceptQueueRetryDelay = 5'000;
-// A client is never evicted sooner after its last request, for it may be about to send the next one.
+// A client is not evicted sooner after its last request, because it may be about to send the next one.
 constexpr Micros kMinIdleTime = 250'000;
 
 }  // namespace
@@ -39,7 +38,7 @@
       context_(context),
       acceptRetry_(loop, [this] { (void)acceptAll(); }),
       stopListening_(loop, [this] { stopListening(); }),
-      closeNewcomers_(loop, [this] { checkShutdown(); }),
+      closeUnused_(loop, [this] { checkShutdown(); }),
       eviction_(loop, [this] { evictIdle(); }) {}
 
 ClientListener::~ClientListener() {
@@ -62,11 +61,12 @@
 
 void ClientListener::onReady(std::uint32_t) { (void)acceptAll(); }
 
-// @return whether no connection waits to be accepted any more.
+// Accepts waiting connections, up to a limit per loop turn.
+// @return whether the accept queue is empty.
 bool ClientListener::acceptAll() {
   for (int i = 0; i < kMaxAcceptsPerTurn && listener_; ++i) {
-    // Beyond the budget clients wait in the queue, where a request that they have sent is not lost.
-    if (!budget_.canRejectClient() && !makeRoom() && !budget_.canRejectClient()) {
+    // Beyond the budget clients wait in the accept queue, where a request that they have sent is not lost.
+    if (!budget_.canRejectClient() && !freeDescriptors() && !budget_.canRejectClient()) {
       acceptRetry_.arm(loop_.now() + kAcceptRetryDelay);
       return false;
     }
@@ -79,31 +79,34 @@
   return false;
 }
 
-// @return with error 0 where a client was accepted.
+// Accepts one connection.
+// @return no descriptor; the error is 0 if a connection was started.
 transport::Opened ClientListener::acceptOne() {
   transport::Opened opened{std::move(unwatched_), 0};
   if (!opened.fd) opened = transport::acceptFrom(listener_.get());
   if (!opened.fd) return opened;
-  if (startConnection(std::move(opened.fd), makeRoom())) return {{}, 0};
+  if (startConnection(std::move(opened.fd), freeDescriptors())) return {{}, 0};
   const int error = errno;
-  // The client may have sent a request already: the connection is kept until it can be watched.
+  // The client may have sent a request already, so the connection is kept until it can be watched.
   unwatched_ = std::move(opened.fd);
   return {{}, error};
 }
 
-// @return whether to go on accepting.
+// Logs the error and arms the retry if necessary.
+// @return whether to continue accepting at once.
 bool ClientListener::onAcceptFailed(int error) {
   if (error == ECONNABORTED || error == EPROTO) return true;
-  observer_.note(stats::Topic::Limits, "a client can't be accepted: error " + std::to_string(error));
+  observer_.note(stats::Topic::Limits,
+                 "accepting a client failed, will retry: errno " + std::to_string(error));
   // An idle connection to an endpoint is closed before a client is rejected.
   if ((error == EMFILE || error == ENFILE) && pool_.evictLongestIdle()) return true;
   acceptRetry_.arm(loop_.now() + kAcceptRetryDelay);
   return false;
 }
 
-// Frees descriptors for one more client: first of lingering connections, then of idle ones.
-// @return whether there is one.
-bool ClientListener::makeRoom() {
+// Closes lingering connections, then idle ones, until one more client can be served.
+// @return whether one can.
+bool ClientListener::freeDescriptors() {
   while (!budget_.canServeClient()) {
     if (ClientConnection* lingering = connections_.oldestLingering()) {
       lingering->closeLingering();
@@ -114,8 +117,9 @@
   return true;
 }
 
-// @param serve  else the client gets an error.
-// @return false, with errno set, where the connection can't be watched; it then stays with the caller.
+// Creates the connection of an accepted client.
+// @param serve  whether to serve it; otherwise its first request gets an error.
+// @return false, with errno set, if the connection can't be watched; 'fd' then stays with the caller.
 bool ClientListener::startConnection(transport::UniqueFd&& fd, bool serve) {
   auto connection = std::make_unique<ClientConnection>(loop_, static_cast<ClientConnectionOwner&>(*this),
                                                        router_, context_, observer_, protocolIndex_,
@@ -123,7 +127,7 @@
   if (!connection->adopt(std::move(fd))) return false;
   if (!serve) {
     ++observer_.counters.clientsRejected;
-    observer_.note(stats::Topic::Limits, "a client is rejected: no descriptor is left for it");
+    observer_.note(stats::Topic::Limits, "rejecting a client: no descriptor is left for it");
     connection->rejectConnection();
   }
   if (shuttingDown_) connection->closeWhenIdle(false);
@@ -136,7 +140,7 @@
 
 // ---- Idle clients ----
 
-// Evicts idle clients while many descriptors are in use, so that new ones need not be rejected.
+// Evicts idle clients while clients use many descriptors, so that new clients need not be rejected.
 void ClientListener::evictIdle() {
   while (budget_.shouldEvictIdleClients()) {
     if (!connections_.evictOne(loop_.now() - kMinIdleTime)) return eviction_.arm(loop_.now() + kMinIdleTime);
@@ -173,14 +177,14 @@
   shutdownDone_ = std::move(done);
   for (ClientConnection* connection : connections_.all()) connection->closeWhenIdle(false);
   stopListening_.arm(loop_.now() + kListenAfterShutdownStart);
-  closeNewcomers_.arm(loop_.now() + kCloseNewcomersAfterShutdownStart);
+  closeUnused_.arm(loop_.now() + kCloseUnusedAfterShutdownStart);
   checkShutdown();
 }
 
 void ClientListener::stopListening() {
   if (!listener_) return;
-  // Connections that are still in the queue would be reset, with a request that they have sent.
-  if (!acceptAll() && loop_.now() < shutdownStartedAt_ + kCloseNewcomersAfterShutdownStart) {
+  // Closing the listener resets the connections in its queue, which may have sent a request already.
+  if (!acceptAll() && loop_.now() < shutdownStartedAt_ + kCloseUnusedAfterShutdownStart) {
     return stopListening_.arm(loop_.now() + kAcceptQueueRetryDelay);
   }
   loop_.unwatch(listener_.get(), *this);
@@ -189,13 +193,13 @@
   checkShutdown();
 }
 
+// Continues the shutdown once the listener is closed, and completes it once no connection is left.
 void ClientListener::checkShutdown() {
   if (!shuttingDown_ || listener_ || !shutdownDone_) return;
-  if (!closeNewcomers_.armed()) {
-    // From now on clients without a request are closed as well; one in the middle of a message gets a little
-    // longer.
-    closeNewcomers_.arm(loop_.now() + kShutdownCheckInterval);
-    // Closing connections calls this function again; without the callback those calls return at once.
+  if (!closeUnused_.armed()) {
+    // Closes clients without a request as well. A client with an incomplete message is tried again later.
+    closeUnused_.arm(loop_.now() + kShutdownCheckInterval);
+    // Closing connections calls this function again; while the callback is unset those calls return at once.
     auto done = std::exchange(shutdownDone_, nullptr);
     for (ClientConnection* connection : connections_.all()) connection->closeWhenIdle(true);
     shutdownDone_ = std::move(done);
--- a/src/downstream/client_listener.h
+++ b/src/downstream/client_listener.h
@@ -1,4 +1,4 @@
-// Accepts clients of one protocol within the descriptor budget, and closes them when the process shuts down.
+// Accepts clients of one protocol within the descriptor budget, and closes their connections on shutdown.
 #pragma once
 
 #include <cstddef>
@@ -15,22 +15,23 @@
 
 class ClientListener final : private transport::IoHandler, private ClientConnectionOwner {
  public:
-  // All references outlive the listener.
-  // @param protocolIndex  the pool's index of the protocol.
-  // @param context        the same for all listeners of a gateway.
+  // All references must outlive the listener.
+  // @param protocolIndex  the connection pool's index of the protocol.
+  // @param context        shared by all listeners of a gateway.
   ClientListener(transport::EventLoop& loop, routing::Router& router, upstream::ConnectionPool& pool,
                  upstream::DescriptorBudget& budget, stats::Observer& observer,
                  const protocol::Protocol& protocol, std::size_t protocolIndex,
                  ClientConnectionContext& context);
   ~ClientListener() override;
 
-  // @return 0, or the error number.
+  // Opens the listening socket.
+  // @return 0, or the errno value of the failure.
   int listen(const transport::SocketAddress& address);
   bool listening() const { return static_cast<bool>(listener_); }
   std::optional<transport::SocketAddress> boundTo() const;
-  // Starts the graceful shutdown: clients are closed between requests, and new ones are accepted for a while
-  // yet.
-  // @param done  called when all connections are closed.
+  // Starts the graceful shutdown: connections are closed between requests, and new ones are still accepted
+  // for a while.
+  // @param done  called once all connections are closed.
   void beginShutdown(std::function<void()> done);
 
  private:
@@ -42,7 +43,7 @@
   bool acceptAll();
   transport::Opened acceptOne();
   bool onAcceptFailed(int error);
-  bool makeRoom();
+  bool freeDescriptors();
   bool startConnection(transport::UniqueFd&& fd, bool serve);
   void evictIdle();
   void stopListening();
@@ -57,11 +58,11 @@
   std::size_t protocolIndex_;
   ClientConnectionContext& context_;
   transport::UniqueFd listener_;
-  transport::UniqueFd unwatched_;  // accepted, and could not be watched yet; the next to be served
+  transport::UniqueFd unwatched_;  // an accepted connection that could not be watched yet; served next
   ClientConnectionRegistry connections_;
   transport::Timer acceptRetry_;
   transport::Timer stopListening_;
-  transport::Timer closeNewcomers_;
+  transport::Timer closeUnused_;
   transport::Timer eviction_;
   std::function<void()> shutdownDone_;
   bool shuttingDown_ = false;
--- a/src/downstream/request_reader.cpp
+++ b/src/downstream/request_reader.cpp
@@ -13,9 +13,8 @@
 using transport::kMicrosPerMilli;
 
 constexpr std::size_t kMaxIdLength = 128;
-// A client's timeout is limited to one day.
-constexpr std::int64_t kMaxTimeoutMs = 86'400'000;
-// A position beyond this would overflow in microseconds.
+constexpr std::int64_t kMaxTimeoutMs = 86'400'000;  // one day
+// A larger log position would overflow in microseconds.
 constexpr std::int64_t kMaxPositionMs = std::numeric_limits<std::int64_t>::max() / kMicrosPerMilli;
 
 }  // namespace
@@ -30,11 +29,11 @@
   }
   const auto classIndex = context.classIndexes.find(asked.className);
   if (classIndex == context.classIndexes.end()) return "the request has no class, or one that is not known";
-  const RequestClassSettings& entry = settings.policy.classes[classIndex->second];
-  if (asked.write && *asked.write != (entry.consistency == Consistency::Write)) {
+  const RequestClassSettings& requestClass = settings.policy.classes[classIndex->second];
+  if (asked.write && *asked.write != (requestClass.consistency == Consistency::Write)) {
     return "the statement is not of its class";
   }
-  if (entry.idempotency == Idempotency::WithKey && !asked.keyed)
+  if (requestClass.idempotency == Idempotency::WithKey && !asked.keyed)
     return "the request has no key, which its class needs";
   return {};
 }
@@ -43,16 +42,16 @@
                   const settings::InstanceSettings& settings, const wallclock::EndpointTime& endpointTime,
                   Micros arrivedAt, Micros now) {
   const std::uint32_t classIndex = context.classIndexes.find(asked.className)->second;
-  const RequestClassSettings& entry = settings.policy.classes[classIndex];
+  const RequestClassSettings& requestClass = settings.policy.classes[classIndex];
   Request request;
   request.group = *asked.group;
   request.classIndex = classIndex;
   request.isClientRetry = asked.isClientRetry;
-  const Micros timeout =
-      asked.timeoutMs ? std::min(*asked.timeoutMs, kMaxTimeoutMs) * kMicrosPerMilli : entry.requestTimeout;
+  const Micros timeout = asked.timeoutMs ? std::min(*asked.timeoutMs, kMaxTimeoutMs) * kMicrosPerMilli
+                                         : requestClass.requestTimeout;
   request.deadline = arrivedAt + timeout;
-  if (entry.consistency == Consistency::Session || entry.consistency == Consistency::Write) {
-    // 0 stands for no session.
+  if (requestClass.consistency == Consistency::Session || requestClass.consistency == Consistency::Write) {
+    // 0 means that the request belongs to no session.
     request.session = asked.session.empty() ? 0 : std::max<std::uint64_t>(1, hashOf(asked.session));
   }
   if (asked.afterMs) {
--- a/src/downstream/request_reader.h
+++ b/src/downstream/request_reader.h
@@ -1,4 +1,4 @@
-// Validates what a client states of its request and translates it into the policy's terms.
+// Validates a parsed client request and converts it into a request of the routing policy.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
 
 namespace heathflow::downstream {
 
+// Returns why a request can't be served, as an error text for the client; empty if it can.
 // @param protocol  the index of the client's protocol.
-// @return why the request can't be served; empty where it can.
 std::string_view findProblem(const protocol::Asked& asked, const ClientConnectionContext& context,
                              const settings::InstanceSettings& settings, std::size_t protocol);
 
-// Of a request for which findProblem() has found nothing.
-// @param arrivedAt  when its last byte arrived, from which on the client waits.
+// Converts a request for which findProblem() has returned an empty text.
+// @param arrivedAt  the arrival time of its last byte, from which its timeout counts.
 Request toRequest(const protocol::Asked& asked, const ClientConnectionContext& context,
                   const settings::InstanceSettings& settings, const wallclock::EndpointTime& endpointTime,
                   Micros arrivedAt, Micros now);
--- a/tests/idle_clients_test.cpp
+++ b/tests/idle_clients_test.cpp
@@ -1,6 +1,5 @@
-// Many clients connect and stay idle, also while discovery is down. Calls to discovery, connections to
-// endpoints and active clients keep their descriptors. The built program, under limits that the kernel
-// enforces.
+// Many clients connect and stay idle, also while discovery is down. Discovery, connections to endpoints and
+// active clients must still get descriptors. Runs the built program under limits that the kernel enforces.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -17,13 +16,13 @@
 constexpr std::size_t kActiveClients = 8;
 constexpr std::size_t kMemoryMb = 32;
 
-// What an idle client sends before it is idle.
+// What a client sends before it is idle.
 enum class Idle { Silent, Introduced, SentOneRequest, IncompleteMessage };
 
-// A group with its primary and a second endpoint that comes later.
-class Site {
+// The program with a group of one primary, and a second endpoint that is listed later.
+class IdleClientsRig {
  public:
-  Site() : first(loop, kLoopback + 1), second(loop, kLoopback + 2), discovery(loop) {
+  IdleClientsRig() : first(loop, kLoopback + 1), second(loop, kLoopback + 2), discovery(loop) {
     first.primary = true;
     discovery.endpoints = listOf({&first});
     process = std::make_unique<Process>(configText(options(), discovery.address(), discovery.endpoints));
@@ -56,13 +55,13 @@
   void connectIdle(Idle how) {
     for (std::size_t i = 0; i < kIdleClients; ++i) {
       idleClients.emplace_back(loop, process->socketAddress());
-      std::string says = how == Idle::Silent ? "" : pg::startup();
-      if (how == Idle::SentOneRequest) says += pg::query(request("any", "idle" + std::to_string(i)));
-      if (how == Idle::IncompleteMessage) says += "Q" + pg::u32(130'000) + std::string(100'000, 'x');
-      EXPECT_TRUE(idleClients.back().send(says));
+      std::string bytes = how == Idle::Silent ? "" : pg::startup();
+      if (how == Idle::SentOneRequest) bytes += pg::query(request("any", "idle" + std::to_string(i)));
+      if (how == Idle::IncompleteMessage) bytes += "Q" + pg::u32(130'000) + std::string(100'000, 'x');
+      EXPECT_TRUE(idleClients.back().send(bytes));
     }
   }
-  // Sends one request of each active client. @return how many were served.
+  // Sends one request from each active client. @return how many were served.
   std::size_t served(std::list<ClientStandIn>& active) {
     std::size_t count = 0;
     for (auto& client : active) {
@@ -79,42 +78,42 @@
   EndpointStandIn second;
   DiscoveryStandIn discovery;
   std::unique_ptr<Process> process;
-  std::list<PlainSocket> idleClients;  // never closes by itself
+  std::list<PlainSocket> idleClients;  // never close by themselves
   std::size_t sent = 0;
 };
 
 class IdleClients : public testing::TestWithParam<Idle> {};
 
 TEST_P(IdleClients, LeaveDescriptorsToDiscoveryEndpointsAndActiveClients) {
-  Site site;
-  ASSERT_TRUE(site.ready());
+  IdleClientsRig rig;
+  ASSERT_TRUE(rig.ready());
   std::list<ClientStandIn> active;
   for (std::size_t i = 0; i < kActiveClients; ++i)
-    active.emplace_back(site.loop, site.process->socketAddress());
-  for (int round = 0; round < 2; ++round) ASSERT_EQ(site.served(active), kActiveClients);
-  const std::size_t calls = site.discovery.calls.size();
-  site.discovery.shut();
-  site.connectIdle(GetParam());
+    active.emplace_back(rig.loop, rig.process->socketAddress());
+  for (int round = 0; round < 2; ++round) ASSERT_EQ(rig.served(active), kActiveClients);
+  const std::size_t calls = rig.discovery.calls.size();
+  rig.discovery.shut();
+  rig.connectIdle(GetParam());
   for (int round = 0; round < 5; ++round) {
-    EXPECT_EQ(site.served(active), kActiveClients) << "round " << round;
-    EXPECT_LE(descriptorsOf(site.process->pid()), kSockets);
+    EXPECT_EQ(rig.served(active), kActiveClients) << "round " << round;
+    EXPECT_LE(descriptorsOf(rig.process->pid()), kSockets);
     if (kResidentIsOwn) {
-      EXPECT_LT(residentOf(site.process->pid()), kMemoryMb * 1'000'000);
+      EXPECT_LT(residentOf(rig.process->pid()), kMemoryMb * 1'000'000);
     }
   }
   for (auto& client : active) EXPECT_FALSE(client.ended()) << "active clients stay connected";
-  // Discovery is back, with another primary: the list is received, and the new endpoint connected to.
-  site.first.primary = false;
-  site.second.primary = true;
-  site.discovery.endpoints = site.discovery.news = Site::listOf({&site.first, &site.second});
-  ++site.discovery.revision;
-  site.first.answer = [&](Line& line, const std::string&) { line.say(site.first.error("25006")); };
-  site.discovery.reopen();
-  ASSERT_TRUE(site.until([&] { return site.discovery.calls.size() > calls; })) << site.process->log();
-  EXPECT_EQ(site.served(active), kActiveClients);
-  EXPECT_FALSE(site.second.statements.empty());
-  EXPECT_FALSE(site.process->says("can't be accepted")) << site.process->log();
-  EXPECT_FALSE(site.process->over());
+  // Discovery is back, with another primary: the gateway receives the list and connects to the new primary.
+  rig.first.primary = false;
+  rig.second.primary = true;
+  rig.discovery.endpoints = rig.discovery.news = IdleClientsRig::listOf({&rig.first, &rig.second});
+  ++rig.discovery.revision;
+  rig.first.answer = [&](Line& line, const std::string&) { line.say(rig.first.error("25006")); };
+  rig.discovery.reopen();
+  ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() > calls; })) << rig.process->log();
+  EXPECT_EQ(rig.served(active), kActiveClients);
+  EXPECT_FALSE(rig.second.statements.empty());
+  EXPECT_FALSE(rig.process->says("accepting a client failed")) << rig.process->log();
+  EXPECT_FALSE(rig.process->over());
 }
 
 std::string nameOf(Idle how) {
