--- a/src/common/hash.h
+++ b/src/common/hash.h
@@ -1,4 +1,4 @@
-// A hash that is the same in every process (FNV-1a).
+// FNV-1a, a hash that is the same in every process and on every machine.
 #pragma once
 
 #include <cstdint>
--- a/src/common/overloaded.h
+++ b/src/common/overloaded.h
@@ -1,4 +1,4 @@
-// Several handlers as one, for std::visit.
+// Combines several handlers into one overloaded handler, for std::visit.
 #pragma once
 
 namespace heathflow {
@@ -7,7 +7,7 @@
 struct Overloaded : Handlers... {
   using Handlers::operator()...;
 };
-// Clang 14 deduces no aggregate's arguments by itself.
+// Needed for Clang 14, which has no deduction of template arguments for aggregates.
 template <typename... Handlers>
 Overloaded(Handlers...) -> Overloaded<Handlers...>;
 
--- a/src/common/startup_backoff.cpp
+++ b/src/common/startup_backoff.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::int64_t kMinDelay = 20'000;
 constexpr std::int64_t kMaxDelay = 500'000;
-// EADDRINUSE: an earlier process of this gateway may still hold the port. EIO: of a read of a file.
+// EADDRINUSE: an earlier process of this gateway may still hold the port. EIO: a file read failed.
 constexpr std::array kTransientErrors = {EINTR,  EAGAIN, EMFILE, ENFILE,       ENOBUFS,    ENOMEM,
                                          ENOSPC, EIO,    EBUSY,  ECONNABORTED, EADDRINUSE, ENETDOWN};
 
--- a/src/common/startup_backoff.h
+++ b/src/common/startup_backoff.h
@@ -1,25 +1,27 @@
-// How a start, or a reload of the configuration, repeats a system call that failed: transient errors are
-// retried for a bounded time, others are final. Decisions only.
+// Decides whether and when a start, or a reload of the configuration, retries a failed system call: transient
+// errors are retried for a bounded time, others are final.
 #pragma once
 
 #include <cstdint>
 
 namespace heathflow {
 
-// STANDING: nine in ten restarted gateways are ready within 10 s. The waits of a start altogether, in
-// microseconds, which leave time for the rest of it.
+// The total of all delays of one start, in microseconds. Nine in ten restarted gateways have to be ready
+// within 10 s, and the rest of the start needs time as well.
 inline constexpr std::int64_t kStartupRetryTime = 7'000'000;
-// DEPLOY, SIGHUP: the new configuration counts 4 s later. The waits of a reload altogether.
+// The total of all delays of one reload, in microseconds. A new configuration has to be in effect 4 s after
+// SIGHUP.
 inline constexpr std::int64_t kReloadRetryTime = 3'000'000;
 
-// Whether the error of a system call may not occur on a retry.
+// Returns whether an errno value may not occur again on a retry.
 bool isTransient(int error);
 
-// The waits, in microseconds, between the attempts of one start or reload.
+// Computes the delays between the attempts of one start or reload. All times are in microseconds.
 class StartupBackoff {
  public:
   explicit StartupBackoff(std::int64_t retryTime = kStartupRetryTime) : retryTime_(retryTime) {}
-  // The wait before the next attempt, in microseconds; below 0 where there is none.
+  // Returns the delay before the next attempt; below 0 if the error is permanent or the retry time is used
+  // up.
   std::int64_t nextDelay(int error);
 
  private:
--- a/src/common/uniform.h
+++ b/src/common/uniform.h
@@ -1,4 +1,5 @@
-// Uniformly distributed numbers from 0 to 1 out of the bits of a random number or a hash.
+// Converts the bits of a random number or a hash to a uniformly distributed number from 0 up to, but not
+// including, 1.
 #pragma once
 
 #include <cstdint>
--- a/src/files/files.cpp
+++ b/src/files/files.cpp
@@ -18,10 +18,10 @@
 
 constexpr std::size_t kReadSize = 64 << 10;
 constexpr mode_t kFileMode = 0644;
-// A temporary file is named by this and the process id of its writer.
+// The name of a temporary file ends in this suffix and the process id of its writer.
 constexpr std::string_view kTemporarySuffix = ".new.";
 
-// An open file or folder; closed at the end of its scope.
+// Owns the descriptor of an open file or directory, and closes it at the end of its scope.
 class FileDescriptor {
  public:
   FileDescriptor(const std::string& path, int flags) {
@@ -35,7 +35,7 @@
 
   int get() const { return fd_; }
   explicit operator bool() const { return fd_ >= 0; }
-  // Returns 0, or the error with which the system may have lost what was written.
+  // Returns 0, or the errno value of the failure; written data may then be lost.
   int close() {
     if (fd_ < 0) return 0;
     const int result = ::close(fd_);
@@ -63,12 +63,12 @@
   return 0;
 }
 
-std::filesystem::path folderOf(const std::string& path) {
-  const auto folder = std::filesystem::path(path).parent_path();
-  return folder.empty() ? std::filesystem::path(".") : folder;
+std::filesystem::path directoryOf(const std::string& path) {
+  const auto directory = std::filesystem::path(path).parent_path();
+  return directory.empty() ? std::filesystem::path(".") : directory;
 }
 
-int writeNew(const std::string& path, std::string_view bytes, Durable durable) {
+int writeFile(const std::string& path, std::string_view bytes, Durable durable) {
   FileDescriptor file(path, O_WRONLY | O_CREAT | O_TRUNC);
   if (!file) return errno;
   int error = writeAll(file.get(), bytes);
@@ -77,7 +77,7 @@
   return error != 0 ? error : closeError;
 }
 
-// The process that wrote a temporary file of that name; nothing where it is no such name.
+// Returns the id of the process that wrote a temporary file; nothing if the name is not that of one.
 std::optional<pid_t> writerOf(std::string_view name, std::string_view prefix) {
   if (!name.starts_with(prefix)) return std::nullopt;
   pid_t writer = 0;
@@ -95,35 +95,35 @@
   const FileDescriptor file(path, O_RDONLY);
   if (!file) return {{}, errno};
   std::string bytes;
-  std::array<char, kReadSize> part;
+  std::array<char, kReadSize> chunk;
   for (;;) {
-    const ssize_t size = ::read(file.get(), part.data(), part.size());
+    const ssize_t size = ::read(file.get(), chunk.data(), chunk.size());
     if (size == 0) return {std::move(bytes), 0};
     if (size < 0 && errno == EINTR) continue;
     if (size < 0) return {{}, errno};
-    bytes.append(part.data(), static_cast<std::size_t>(size));
+    bytes.append(chunk.data(), static_cast<std::size_t>(size));
     if (bytes.size() > maxSize) return {{}, EFBIG};
   }
 }
 
 int replace(const std::string& path, std::string_view bytes, Durable durable) {
   const std::string temporary = path + std::string(kTemporarySuffix) + std::to_string(::getpid());
-  int error = writeNew(temporary, bytes, durable);
+  int error = writeFile(temporary, bytes, durable);
   if (error == 0 && std::rename(temporary.c_str(), path.c_str()) != 0) error = errno;
   if (error != 0) {
     ::unlink(temporary.c_str());
     return error;
   }
   if (durable == Durable::No) return 0;
-  const FileDescriptor folder(folderOf(path).string(), O_RDONLY | O_DIRECTORY);
-  return folder ? sync(folder.get()) : errno;
+  const FileDescriptor directory(directoryOf(path).string(), O_RDONLY | O_DIRECTORY);
+  return directory ? sync(directory.get()) : errno;
 }
 
 void removeLeftovers(const std::string& path) {
   const std::string prefix = std::filesystem::path(path).filename().string() + std::string(kTemporarySuffix);
   std::error_code error;
-  // Not a range-based loop: its '++' throws where the folder can't be read further.
-  std::filesystem::directory_iterator entry(folderOf(path), error);
+  // Not a range-based loop, whose '++' throws if the directory can't be read further.
+  std::filesystem::directory_iterator entry(directoryOf(path), error);
   for (; !error && entry != std::filesystem::directory_iterator(); entry.increment(error)) {
     const auto writer = writerOf(entry->path().filename().string(), prefix);
     if (writer && (!isRunning(*writer) || *writer == ::getpid())) ::unlink(entry->path().c_str());
--- a/src/xml/document.cpp
+++ b/src/xml/document.cpp
@@ -10,35 +10,36 @@
 namespace heathflow::xml {
 namespace {
 
-// Guards against files that can't be meant: settings are a few kilobytes.
-constexpr std::size_t kFileLimit = 4 * 1024 * 1024;
-// So many problems of one file are told.
-constexpr std::size_t kProblemsTold = 100;
-
-struct FreeOf {
-  void operator()(xmlParserCtxt* it) const { xmlFreeParserCtxt(it); }
-  void operator()(xmlSchemaParserCtxt* it) const { xmlSchemaFreeParserCtxt(it); }
-  void operator()(xmlSchema* it) const { xmlSchemaFree(it); }
-  void operator()(xmlSchemaValidCtxt* it) const { xmlSchemaFreeValidCtxt(it); }
+// Rejects files that can't be settings, which are a few kilobytes.
+constexpr std::size_t kMaxFileSize = 4 * 1024 * 1024;
+constexpr std::size_t kMaxProblems = 100;
+
+struct LibxmlDeleter {
+  void operator()(xmlParserCtxt* object) const { xmlFreeParserCtxt(object); }
+  void operator()(xmlSchemaParserCtxt* object) const { xmlSchemaFreeParserCtxt(object); }
+  void operator()(xmlSchema* object) const { xmlSchemaFree(object); }
+  void operator()(xmlSchemaValidCtxt* object) const { xmlSchemaFreeValidCtxt(object); }
 };
 template <typename T>
-using Owned = std::unique_ptr<T, FreeOf>;
+using LibxmlPtr = std::unique_ptr<T, LibxmlDeleter>;
 
 std::string_view textOf(const xmlChar* text) {
   return text == nullptr ? std::string_view() : std::string_view(reinterpret_cast<const char*>(text));
 }
 
-struct Errors {
+struct ErrorContext {
   Collector& collector;
-  std::string space;  // in braces, as the library writes it
+  std::string namespacePrefix;  // the namespace in braces, as the library writes it
 };
 
-// The schema's own words start with "Element 'NAME': "; the namespace in them only hides the name.
-std::string plain(std::string_view message, const std::string& space) {
+// Removes the namespace from a message of the library, and the element's name at its start: messages about
+// the schema start with "Element 'NAME': ", and the problem names the element already.
+std::string simplify(std::string_view message, const std::string& namespacePrefix) {
   std::string text(message);
   while (!text.empty() && (text.back() == '\n' || text.back() == ' ')) text.pop_back();
-  for (std::size_t at = text.find(space); at != std::string::npos; at = text.find(space)) {
-    text.erase(at, space.size());
+  for (std::size_t at = text.find(namespacePrefix); at != std::string::npos;
+       at = text.find(namespacePrefix)) {
+    text.erase(at, namespacePrefix.size());
   }
   if (text.starts_with("Element '")) {
     const std::size_t end = text.find("': ");
@@ -52,28 +53,29 @@
   return text;
 }
 
-void collect(void* context, xmlErrorPtr error) {
-  auto& errors = *static_cast<Errors*>(context);
+void onStructuredError(void* context, xmlErrorPtr error) {
+  auto& errors = *static_cast<ErrorContext*>(context);
   const auto* node = static_cast<const xmlNode*>(error->node);
   const std::string_view element = node == nullptr ? std::string_view() : textOf(node->name);
   if (error->message != nullptr)
-    errors.collector.add(error->line, element, plain(error->message, errors.space));
+    errors.collector.add(error->line, element, simplify(error->message, errors.namespacePrefix));
 }
 
-// Generic messages of the library go nowhere: all that matters comes as a structured error.
-void discard(void*, const char*, ...) {}
+// Discards generic messages of the library: each problem also comes as a structured error.
+void discardMessage(void*, const char*, ...) {}
 
-class Library {
+class LibxmlInitializer {
  public:
-  Library() {
+  LibxmlInitializer() {
     xmlInitParser();
-    xmlSetGenericErrorFunc(nullptr, discard);
+    xmlSetGenericErrorFunc(nullptr, discardMessage);
   }
 };
 
-Owned<xmlSchema> readSchema(std::string_view text) {
-  Owned<xmlSchemaParserCtxt> context(xmlSchemaNewMemParserCtxt(text.data(), static_cast<int>(text.size())));
-  return Owned<xmlSchema>(context == nullptr ? nullptr : xmlSchemaParse(context.get()));
+LibxmlPtr<xmlSchema> parseSchema(std::string_view text) {
+  LibxmlPtr<xmlSchemaParserCtxt> context(
+      xmlSchemaNewMemParserCtxt(text.data(), static_cast<int>(text.size())));
+  return LibxmlPtr<xmlSchema>(context == nullptr ? nullptr : xmlSchemaParse(context.get()));
 }
 
 }  // namespace
@@ -87,52 +89,52 @@
 }
 
 void Collector::add(int line, std::string_view element, std::string text) {
-  if (problems_.size() < kProblemsTold)
+  if (problems_.size() < kMaxProblems)
     problems_.push_back({file_, line, std::string(element), std::move(text)});
 }
 
-void Document::Free::operator()(_xmlDoc* it) const { xmlFreeDoc(it); }
+void Document::Deleter::operator()(_xmlDoc* document) const { xmlFreeDoc(document); }
 
 const Node* Document::root() const { return xmlDocGetRootElement(document_.get()); }
 
 std::optional<Document> Document::read(const std::string& path, std::string_view text,
-                                       std::string_view schema, const std::string& space,
+                                       std::string_view schema, const std::string& namespaceUri,
                                        std::vector<Problem>& problems) {
-  static const Library library;
+  static const LibxmlInitializer libxml;
   Collector collector(path, problems);
-  Errors errors{collector, "{" + space + "}"};
-  if (text.size() > kFileLimit) {
-    collector.add(0, "", "the file holds more than 4 MiB: settings of a usual size are expected");
+  ErrorContext errors{collector, "{" + namespaceUri + "}"};
+  if (text.size() > kMaxFileSize) {
+    collector.add(0, "", "the file is larger than 4 MiB");
     return std::nullopt;
   }
-  const Owned<xmlParserCtxt> parser(xmlNewParserCtxt());
+  const LibxmlPtr<xmlParserCtxt> parser(xmlNewParserCtxt());
   if (parser == nullptr) {
-    collector.add(0, "", "no memory is left to read the file");
+    collector.add(0, "", "out of memory for the XML parser");
     return std::nullopt;
   }
-  xmlSetStructuredErrorFunc(&errors, collect);
+  xmlSetStructuredErrorFunc(&errors, onStructuredError);
   Document out;
   out.document_.reset(xmlCtxtReadMemory(parser.get(), text.data(), static_cast<int>(text.size()),
                                         path.c_str(), nullptr, XML_PARSE_NONET));
   xmlSetStructuredErrorFunc(nullptr, nullptr);
   if (out.document_ == nullptr || !problems.empty()) {
-    if (problems.empty()) collector.add(0, "", "the file is no XML");
+    if (problems.empty()) collector.add(0, "", "the file is not well-formed XML");
     return std::nullopt;
   }
   if (out.document_->intSubset != nullptr) {
-    collector.add(0, "", "the file has a document type of its own: none is expected");
+    collector.add(0, "", "the file has a document type declaration, which is not allowed");
     return std::nullopt;
   }
-  const Owned<xmlSchema> checked = readSchema(schema);
-  const Owned<xmlSchemaValidCtxt> validator(checked == nullptr ? nullptr
-                                                               : xmlSchemaNewValidCtxt(checked.get()));
+  const LibxmlPtr<xmlSchema> parsedSchema = parseSchema(schema);
+  const LibxmlPtr<xmlSchemaValidCtxt> validator(
+      parsedSchema == nullptr ? nullptr : xmlSchemaNewValidCtxt(parsedSchema.get()));
   if (validator == nullptr) {
-    collector.add(0, "", "the schema can't be used");
+    collector.add(0, "", "the built-in schema can't be loaded");
     return std::nullopt;
   }
-  xmlSchemaSetValidStructuredErrors(validator.get(), collect, &errors);
+  xmlSchemaSetValidStructuredErrors(validator.get(), onStructuredError, &errors);
   out.valid_ = xmlSchemaValidateDoc(validator.get(), out.document_.get()) == 0;
-  if (!out.valid_ && problems.empty()) collector.add(0, "", "the file is not as its schema says");
+  if (!out.valid_ && problems.empty()) collector.add(0, "", "the file does not match its schema");
   return out;
 }
 
--- a/src/xml/document.h
+++ b/src/xml/document.h
@@ -1,5 +1,5 @@
-// XML files that are checked against a schema, with all that is wrong with them told in one go. Nothing is
-// fetched, and no entity of a file's own is put in.
+// Parses XML files, validates them against a schema, and reports all problems at once. Nothing outside
+// the file is loaded, and entities that a file declares are not expanded.
 #pragma once
 
 #include <charconv>
@@ -17,17 +17,17 @@
 
 using Node = _xmlNode;
 
-// One thing that is wrong with a file.
+// An error in a file.
 struct Problem {
   std::string file;
-  int line = 0;  // 0: of the file as a whole
-  std::string element;
-  std::string text;  // what was found, and what was expected
+  int line = 0;         // 0: the problem is of the file as a whole
+  std::string element;  // empty: of no element
+  std::string text;     // what was found, and what was expected
 };
-// "FILE:LINE: element 'NAME': TEXT".
+// Returns "FILE:LINE: element 'NAME': TEXT", without the parts that are not known.
 std::string toText(const Problem& problem);
 
-// Gathers problems of one file, up to a bound.
+// Appends the problems of one file to a list, up to a bound on the length of the list.
 class Collector {
  public:
   Collector(std::string file, std::vector<Problem>& problems) : file_(std::move(file)), problems_(problems) {}
@@ -41,33 +41,39 @@
 
 class Document {
  public:
-  // Reads a text of the namespace 'space'. Nothing where it is no XML; 'valid' says whether it is as the
-  // schema has it. What is wrong goes to the problems.
+  // Parses and validates a text. Returns nothing if it can't be parsed; if it does not match the schema,
+  // valid() is false. Problems are appended to 'problems'.
+  // @param path          the file's name in problems.
+  // @param schema        the text of the schema.
+  // @param namespaceUri  the namespace of the schema, which is left out of messages.
   static std::optional<Document> read(const std::string& path, std::string_view text, std::string_view schema,
-                                      const std::string& space, std::vector<Problem>& problems);
+                                      const std::string& namespaceUri, std::vector<Problem>& problems);
 
   const Node* root() const;
   bool valid() const { return valid_; }
 
  private:
-  struct Free {
-    void operator()(_xmlDoc* it) const;
+  struct Deleter {
+    void operator()(_xmlDoc* document) const;
   };
-  std::unique_ptr<_xmlDoc, Free> document_;
+  std::unique_ptr<_xmlDoc, Deleter> document_;
   bool valid_ = false;
 };
 
 std::string_view nameOf(const Node* node);
 int lineOf(const Node* node);
-// Its value; empty where there is none, or the schema's default.
+// Returns the value of an attribute; empty if the element does not have it. The schema's defaults are not
+// filled in.
 std::string attribute(const Node* node, const char* name);
-// The elements under a node, by their order.
+// Returns the child elements of a node in their order.
+// @param name  if not empty, only elements of this name.
 std::vector<const Node*> children(const Node* node, std::string_view name = {});
 
-// The schema has seen to the form: what is no number here is not there.
+// Returns the number that a text holds, or 'fallback' if the text is empty. The schema ensures that any other
+// text is a number.
 template <typename T>
-T numberOf(const std::string& text, T otherwise) {
-  T value = otherwise;
+T numberOf(const std::string& text, T fallback) {
+  T value = fallback;
   std::from_chars(text.data(), text.data() + text.size(), value);
   return value;
 }
