--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -1,5 +1,4 @@
-// Clients that disconnect while their requests are queued or wait behind others. docs/crossings.md lists the
-// races.
+// Clients that disconnect while their requests are queued, or pipelined behind others.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -13,8 +12,8 @@
 
 class ClientDisconnect : public ConnectionRace {};
 
-// Many clients with queued requests disconnect in the turn in which the primary is reachable again: only the
-// request of the client that stays is forwarded.
+// Many clients with queued requests disconnect in the loop turn in which the primary becomes reachable again:
+// only the request of the client that stays is forwarded.
 TEST_P(ClientDisconnect, QueuedRequestsAreNotForwarded) {
   GatewayRig rig(speaking(), 1);
   rig.endpoints[0]->shut();
@@ -34,7 +33,8 @@
     EXPECT_EQ(statement.find("id=cancelled"), std::string::npos) << statement;
 }
 
-// A client pipelines several requests and disconnects while the first is in flight: the others never start.
+// A client pipelines several requests and disconnects while the first is in flight: the others are not
+// forwarded.
 TEST_P(ClientDisconnect, PipelinedRequestsAreNotForwarded) {
   GatewayRig rig(speaking(), 1);
   Line* pending = nullptr;
@@ -44,7 +44,7 @@
   for (int i = 0; i < 5; ++i) all += askingOf(GetParam(), request("save", std::to_string(i)));
   ASSERT_TRUE(client.send(all));
   ASSERT_TRUE(rig.until([&] { return pending != nullptr; }));
-  // The first answer and the reset arrive in one turn; which is handled first is up to the kernel.
+  // The first answer and the reset arrive in one loop turn. The kernel decides which is handled first.
   pending->say(rig.endpoints[0]->value("the first"));
   client.resetNow();
   ASSERT_TRUE(rig.until([&] {
@@ -52,7 +52,7 @@
            rig.counters().descriptors <= 1;
   }));
   rig.loop.turn(0);
-  // Where the answer came first, the second request had started by then.
+  // If the answer is handled first, the second request starts before the reset is seen.
   EXPECT_LE(rig.endpoints[0]->statements.size(), 2U);
   EXPECT_LE(rig.counters().requestsAccepted, 2U);
 }
--- a/tests/connection_close_test.cpp
+++ b/tests/connection_close_test.cpp
@@ -1,4 +1,4 @@
-// The gateway closes a client's connection while the client sends. docs/crossings.md lists the races.
+// The gateway closes a client's connection while the client sends.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -10,8 +10,9 @@
 namespace heathflow::test {
 namespace {
 
-// In both orders: a request that is unread when the gateway would close is served; one that comes after the
-// close is neither forwarded nor answered by a reset, and the answer before it is complete.
+// Both orders of a request and the close: a request that is unread when the gateway is about to close is
+// served. One that arrives after the close is neither forwarded nor answered by a reset, and the answer
+// before it is complete.
 TEST_P(ConnectionRace, ARequestDuringTheCloseIsServedOrDroppedAndNeverReset) {
   GatewayRig rig(speaking());
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("the answer")); });
@@ -20,13 +21,13 @@
   ASSERT_TRUE(early.send(openingOf(GetParam()) + askingOf(GetParam(), request("any", "1"))));
   ASSERT_TRUE(late.send(openingOf(GetParam()) + askingOf(GetParam(), request("any", "2"))));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsServed == 2; }));
-  // Neither has read a byte. The loop does not turn between these lines.
+  // Neither client has read a byte. The loop does not turn between these lines.
   ASSERT_TRUE(early.send(askingOf(GetParam(), request("any", "3"))));
   rig.gateway->beginShutdown([] {});
   ASSERT_TRUE(late.send(askingOf(GetParam(), request("any", "4"))));
   EXPECT_TRUE(early.gone());
   EXPECT_TRUE(late.gone());
-  // A reset would show here at the latest.
+  // This send would fail after a reset.
   EXPECT_TRUE(late.send(askingOf(GetParam(), request("any", "5"))));
   for (PlainSocket* client : {&early, &late}) EXPECT_FALSE(client->reset);
   const auto answers = [](const std::string& bytes) {
@@ -45,15 +46,15 @@
   EXPECT_EQ(forwarded, 3U);
 }
 
-// The client's first request is served, its answer is not read, and the gateway starts to shut down.
+// Serves the client's first request, whose answer the client does not read, and starts the shutdown.
 void shutDownWithAnUnreadAnswer(GatewayRig& rig, PlainSocket& client, bool& done) {
   ASSERT_TRUE(client.send(openingOf(rig.speaks) + askingOf(rig.speaks, request("any", "1"))));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsServed == 1; }));
   rig.gateway->beginShutdown([&] { done = true; });
 }
 
-// Many more requests come while the connection lingers: it is still closed without a reset, and the process
-// waits for it.
+// Many more requests arrive while the connection lingers: it is still closed without a reset, and the
+// shutdown waits for it.
 TEST_P(ConnectionRace, ShutdownWaitsForAClientThatKeepsWriting) {
   GatewayRig rig(speaking());
   PlainSocket client(rig.loop, rig.socketAddress);
@@ -72,7 +73,7 @@
   EXPECT_EQ(rig.counters().descriptors, 1U) << "only the idle connection to the endpoint is left";
 }
 
-// Failure: a client that neither reads nor closes keeps the process from ending.
+// Guards against a shutdown that never completes because a client neither reads nor closes.
 TEST_P(ConnectionRace, ShutdownDoesNotWaitForeverForAClientThatNeverCloses) {
   GatewayRig rig(speaking());
   PlainSocket client(rig.loop, rig.socketAddress);
@@ -83,7 +84,7 @@
   EXPECT_FALSE(client.reset);
 }
 
-// Idle clients are evicted in the turn in which they send again.
+// Idle clients are evicted in the loop turn in which they send again.
 TEST_P(ConnectionRace, AnEvictedClientIsNotResetAsItSends) {
   GatewayOptions options = speaking();
   options.sockets = 100;  // 60 after the reserve, half of them for clients
@@ -97,7 +98,7 @@
         rig.until([&] { return rig.counters().requestsServed == static_cast<std::uint64_t>(i) + 1; }));
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().idleClientsEvicted > 0; }));
-  // All send at once, whether their connection lingers by now or not.
+  // All clients send at once, whether or not their connection lingers by now.
   for (std::size_t i = 0; i < idle.size(); ++i)
     (void)idle[i]->send(askingOf(GetParam(), request("any", "again" + std::to_string(i))));
   for (int i = 0; i < 5; ++i) rig.loop.turn(0);
@@ -106,7 +107,7 @@
     EXPECT_FALSE(client->reset);
     EXPECT_TRUE(client->send(askingOf(GetParam(), request("any", "more"))));
   }
-  // A new client is served all the same: lingering connections are closed first.
+  // A new client is still served, because lingering connections are closed first.
   ClientStandIn fresh(rig.loop, rig.socketAddress);
   fresh.ask(request("any", "fresh"));
   EXPECT_TRUE(fresh.answered());
--- a/tests/disconnected_client_test.cpp
+++ b/tests/disconnected_client_test.cpp
@@ -1,6 +1,6 @@
-// After a client has disconnected or cancelled its request, no attempt of the request starts any more,
+// After a client has disconnected or cancelled its request, the gateway starts no further attempt of it,
 // neither a first one nor a retry. Each test brings the gateway into one state, lets the client disconnect,
-// and looks at what endpoints receive.
+// and checks what endpoints receive.
 #include <gtest/gtest.h>
 
 #include "standins/gateway_rig.h"
@@ -11,8 +11,7 @@
 using transport::Micros;
 
 constexpr Micros kSecond = 1'000'000;
-// Longer than any backoff between two attempts.
-constexpr Micros kLongEnough = 10 * kSecond;
+constexpr Micros kLongerThanAnyBackoff = 10 * kSecond;  // between two attempts
 
 enum class Disconnect { Close, Reset };
 
@@ -27,7 +26,7 @@
 class Rig final : public GatewayRig {
  public:
   using GatewayRig::GatewayRig;
-  // How many statements with such an id the endpoints have received.
+  // Returns how many statements with a request id the endpoints have received.
   std::size_t sent(const std::string& id) const {
     std::size_t count = 0;
     for (const std::string& statement : statements()) {
@@ -35,11 +34,11 @@
     }
     return count;
   }
-  void pass(Micros span) {
-    const Micros end = loop.now() + span;
+  void advance(Micros duration) {
+    const Micros end = loop.now() + duration;
     EXPECT_TRUE(until([&] { return loop.now() >= end; }));
   }
-  // Leaves an idle connection to the primary, so that an attempt reaches it in the same turn.
+  // Leaves an idle connection to the primary, so that an attempt reaches it in the same loop turn.
   void warmUp() {
     ClientStandIn client(loop, socketAddress);
     client.ask(request("save", "warm-up"));
@@ -61,7 +60,7 @@
   static std::string opening() { return openingOf(GetParam()); }
 };
 
-// The request and the disconnect are read in one turn, on an open connection and on a new one.
+// The request and the disconnect are read in one loop turn, on an open connection and on a new one.
 TEST_P(DisconnectedClient, WhoseRequestIsReadWithTheDisconnectGetsNoAttempt) {
   for (const Disconnect how : {Disconnect::Close, Disconnect::Reset}) {
     for (const bool connected : {false, true}) {
@@ -76,15 +75,15 @@
       disconnect(how, client);
       ASSERT_TRUE(
           rig.until([&] { return rig.counters().clientsAccepted == 2 && rig.counters().descriptors <= 1; }));
-      rig.pass(kLongEnough);
+      rig.advance(kLongerThanAnyBackoff);
       EXPECT_EQ(rig.statements().size(), 1U) << "the warm-up";
       EXPECT_EQ(rig.counters().attemptsStarted, 1U);
     }
   }
 }
 
-// The primary rejects the request, which waits for its retry. A client that stays shows that there would have
-// been one.
+// The primary rejects the request, and the client disconnects before the retry. The same run with a client
+// that stays shows that there is a retry otherwise.
 TEST_P(DisconnectedClient, WhoseRequestWaitsForARetryGetsNone) {
   for (const bool disconnects : {false, true}) {
     Rig rig(options(), 1);
@@ -94,7 +93,7 @@
     ASSERT_TRUE(rig.until([&] { return rig.outcomes(AttemptOutcome::Overloaded) == 1; }));
     const std::size_t before = rig.sent("one");
     if (disconnects) client.hangUp();
-    rig.pass(kLongEnough);
+    rig.advance(kLongerThanAnyBackoff);
     if (disconnects) {
       EXPECT_EQ(rig.sent("one"), before);
       EXPECT_EQ(rig.counters().requestsCancelled, 1U);
@@ -104,7 +103,7 @@
   }
 }
 
-// The retry waits for its connection when the client disconnects.
+// The client disconnects while the retry waits for its connection.
 TEST_P(DisconnectedClient, WhoseRetryWaitsForAConnectionIsNotForwarded) {
   Rig rig(options(), 3);
   for (auto& endpoint : rig.endpoints) {
@@ -120,11 +119,11 @@
   client.hangUp();
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   for (auto& endpoint : rig.endpoints) endpoint->welcomeNow();
-  rig.pass(kLongEnough);
+  rig.advance(kLongerThanAnyBackoff);
   EXPECT_EQ(rig.sent("one"), 1U);
 }
 
-// The request is queued while the group has no primary; then there is one.
+// The client disconnects while its request is queued for lack of a primary; then a primary becomes available.
 TEST_P(DisconnectedClient, WhoseRequestIsQueuedGetsNoAttempt) {
   Rig rig(options(), 1);
   rig.endpoints[0]->shut();
@@ -137,13 +136,13 @@
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
   rig.endpoints[0]->reopen();
   ASSERT_TRUE(stays.answered());
-  rig.pass(kLongEnough);
+  rig.advance(kLongerThanAnyBackoff);
   EXPECT_EQ(rig.sent("one"), 0U);
   EXPECT_EQ(rig.sent("two"), 1U);
 }
 
-// The client sends more than the gateway reads at once and disconnects while the first request is in flight:
-// the disconnect is seen although much is unread.
+// The client sends more than the gateway's input buffer holds, and disconnects while the first request is in
+// flight: the gateway notices the disconnect although it has unread input.
 TEST_P(DisconnectedClient, WithUnreadInputIsSeenToDisconnect) {
   Rig rig(options(), 1);
   Line* pending = nullptr;
@@ -156,7 +155,7 @@
   ASSERT_TRUE(client.send(more));
   client.hangUp();
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
-  rig.pass(kLongEnough);
+  rig.advance(kLongerThanAnyBackoff);
   EXPECT_EQ(rig.counters().requestsAccepted, 1U);
   EXPECT_EQ(rig.sent("more"), 0U);
 }
@@ -166,7 +165,8 @@
                            return spoken.param == Speaks::Postgres ? "Postgres" : "Bolt";
                          });
 
-// Bolt: a client cancels its request and stays. The cancelled request gets no attempt, the next one does.
+// In Bolt a client can cancel its request and stay connected. The cancelled request gets no attempt, the next
+// one does.
 class CancelledRequest : public testing::Test {
  protected:
   static GatewayOptions options() {
@@ -189,7 +189,7 @@
   rig.endpoints[0]->welcomeNow();
   client.say(asking("two"));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsServed == 1; }));
-  rig.pass(kLongEnough);
+  rig.advance(kLongerThanAnyBackoff);
   EXPECT_EQ(rig.sent("one"), 0U);
   EXPECT_EQ(rig.sent("two"), 1U);
 }
@@ -203,7 +203,7 @@
   const std::size_t before = rig.sent("one");
   client.say(bolt::plain(bolt::kReset));
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsCancelled == 1; }));
-  rig.pass(kLongEnough);
+  rig.advance(kLongerThanAnyBackoff);
   EXPECT_EQ(rig.sent("one"), before);
 }
 
--- a/tests/documents_test.cpp
+++ b/tests/documents_test.cpp
@@ -1,4 +1,4 @@
-// The smaller parsers: the request comment, load reports, HTTP responses, discovery's lists.
+// Parsers of request comments, load reports, HTTP responses and endpoint lists.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -30,7 +30,7 @@
   EXPECT_FALSE(comment->keyed);
 }
 
-TEST(RequestComments, MayStandInAnyOrderAndLackWhatIsOptional) {
+TEST(RequestComments, MayHaveAnyOrderAndLackOptionalFields) {
   const auto comment =
       parseRequestComment("SELECT blob FROM rows WHERE handle = 'k' /*cluster=0 , c=a,id=1*/");
   ASSERT_TRUE(comment);
@@ -41,8 +41,8 @@
   EXPECT_FALSE(comment->isClientRetry);
 }
 
-// Guards against values that look like comments.
-TEST(RequestComments, AreNotMistakenForWhatIsQuoted) {
+// Guards against quoted values that look like comments.
+TEST(RequestComments, AreNotReadFromQuotedValues) {
   const auto comment = parseRequestComment(
       "INSERT INTO rows (handle, blob) VALUES ('it''s /* id=evil,cluster=9 */', '\\x9F03') RETURNING blob "
       "/* id=1,cluster=2,k=5c0f */");
@@ -62,8 +62,8 @@
   }
 }
 
-// Guards endpoints, which answer nothing else.
-TEST(RequestComments, StandBehindOneOfTwoStatementsOnly) {
+// Endpoints answer only these two statements.
+TEST(RequestComments, FollowOneOfTwoStatementsOnly) {
   const std::string comment = " /* id=1,c=a,cluster=0 */";
   for (const std::string statement :
        {"SELECT blob FROM rows WHERE handle = 'k'",
@@ -95,7 +95,7 @@
   EXPECT_FALSE(reportField("", "util"));
 }
 
-TEST(LoadReports, NumbersTellHowFineTheyAre) {
+TEST(LoadReports, NumbersHaveAPrecision) {
   const auto position = parseDecimal("1796140432.211");
   ASSERT_TRUE(position);
   EXPECT_EQ(position->micros, 1'796'140'432'211'000);
@@ -111,7 +111,7 @@
 
 using State = HttpResponse::State;
 
-TEST(HttpResponses, WithALengthEndWhereItSays) {
+TEST(HttpResponses, WithALengthEndAfterSoManyBytes) {
   HttpResponse response(1000);
   const std::string bytes = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1";
   EXPECT_EQ(response.feed(bytes), bytes.size() - 8);
@@ -146,11 +146,11 @@
   EXPECT_EQ(response.body(), "some");
 }
 
-TEST(HttpResponses, ThatAreCutShortOrMalformedAreTold) {
-  HttpResponse cut(1000);
-  cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
-  cut.ended();
-  EXPECT_EQ(cut.state(), State::Malformed);
+TEST(HttpResponses, ThatAreTruncatedOrMalformedAreDetected) {
+  HttpResponse truncated(1000);
+  truncated.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
+  truncated.ended();
+  EXPECT_EQ(truncated.state(), State::Malformed);
   for (const std::string& bytes : std::vector<std::string>{
            "garbage that is no status line\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/2 200 OK\r\n\r\n",
            "HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
@@ -208,11 +208,11 @@
   EXPECT_EQ(list->endpoints[2].phase, ListedEndpoint::Phase::Gone);
 }
 
-TEST(EndpointLists, AreRejectedAsAWholeWithAPlainWord) {
+TEST(EndpointLists, AreRejectedAsAWholeWithAReason) {
   const auto rejected = [](const std::string& text) {
     std::string problem;
-    const bool taken = parseEndpointList(text, problem).has_value();
-    EXPECT_EQ(taken, problem.empty());
+    const bool accepted = parseEndpointList(text, problem).has_value();
+    EXPECT_EQ(accepted, problem.empty());
     return problem;
   };
   EXPECT_NE(rejected("not json"), "");
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -1,5 +1,4 @@
-// Clients that send far more than they read, or that connect again and again. docs/crossings.md lists the
-// races.
+// Clients that send far more than they read, or that reconnect again and again.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -11,8 +10,8 @@
 namespace heathflow::test {
 namespace {
 
-// A client sends as much as it can, complete and incomplete messages, and disconnects without reading: all
-// its memory and descriptors are freed, and other clients are not affected.
+// Clients send many requests and an incomplete one, and disconnect without reading: their memory and
+// descriptors are freed, and another client is not affected.
 TEST_P(ConnectionRace, AClientThatFloodsAndDisconnectsLeaksNothing) {
   GatewayRig rig(speaking(), 1);
   ClientStandIn good(rig.loop, rig.socketAddress);
@@ -21,11 +20,11 @@
   const std::size_t before = rig.loop.memory().taken();
   for (int i = 0; i < 10; ++i) {
     PlainSocket flooding(rig.loop, rig.socketAddress);
-    std::string much = openingOf(GetParam());
+    std::string flood = openingOf(GetParam());
     for (int k = 0; k < 200; ++k)
-      much += askingOf(GetParam(), request("save", std::to_string(i) + "-" + std::to_string(k)));
-    much += askingOf(GetParam(), request("save", "half")).substr(0, 40);
-    ASSERT_TRUE(flooding.send(much));
+      flood += askingOf(GetParam(), request("save", std::to_string(i) + "-" + std::to_string(k)));
+    flood += askingOf(GetParam(), request("save", "half")).substr(0, 40);
+    ASSERT_TRUE(flooding.send(flood));
     flooding.resetNow();
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().clientsAccepted == 11; }));
@@ -37,8 +36,8 @@
   EXPECT_EQ(good.types(), "TDCZTDCZ");
 }
 
-// Rejected clients reconnect at once, again and again, while the clients' share of descriptors is used up:
-// each gets its error, the others keep their connections, and no descriptor is leaked.
+// Rejected clients reconnect at once, again and again, while clients use up their share of descriptors: each
+// gets an error, the others keep their connections, and the descriptors stay within the limit.
 TEST(RejectedClients, GetAnErrorEachTimeTheyReconnect) {
   GatewayOptions options;
   options.sockets = 100;  // 60 after the reserve, half of them for clients
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The whole gateway between stand-ins for clients, endpoints and discovery.
+// The complete gateway with stand-ins for clients, endpoints and discovery.
 #include <gtest/gtest.h>
 
 #include "standins/gateway_rig.h"
@@ -14,8 +14,8 @@
   EXPECT_EQ(client.types(), "IZ");
 }
 
-// Failure: without a connect timeout in the settings connections have none; it is the longest request
-// timeout.
+// Guards against connections without a connect timeout: if the settings have none, the longest request
+// timeout is used.
 TEST(GatewayServes, WithoutAConnectTimeoutInItsSettings) {
   GatewayOptions options;
   options.connectTimeoutMs = 0;
@@ -88,7 +88,7 @@
 TEST(GatewayForwards, NothingOfARequestThatItCanNotRead) {
   GatewayRig rig;
   ClientStandIn client(rig.loop, rig.socketAddress);
-  std::size_t asked = 0;
+  std::size_t sent = 0;
   const std::string read = "SELECT blob FROM rows WHERE handle = 'k'";
   const std::string write = "INSERT INTO rows (handle, blob) VALUES ('k', '\\x9f') RETURNING blob";
   const std::string good = " /* id=1,c=any,d=100,cluster=0 */";
@@ -108,7 +108,7 @@
     ASSERT_TRUE(client.answered());
     EXPECT_EQ(client.types(), "EZ") << statement;
     EXPECT_EQ(client.code(), "22023") << statement;
-    EXPECT_EQ(rig.counters().requestsMalformed, ++asked);
+    EXPECT_EQ(rig.counters().requestsMalformed, ++sent);
   }
   EXPECT_TRUE(rig.statements().empty());
 }
@@ -125,7 +125,7 @@
   EXPECT_EQ(good.types(), "TDCZ");
 }
 
-// Failure: connections that send nothing, or an incomplete message, keep their descriptors.
+// Guards against connections that send nothing, or an incomplete message, and keep their descriptors.
 TEST(GatewayClients, ThatSendNoCompleteMessageGetAnErrorOrAreClosed) {
   GatewayRig rig;
   ClientStandIn silent(rig.loop, rig.socketAddress, false);
@@ -145,7 +145,7 @@
   EXPECT_EQ(rig.counters().requestsAccepted, 1U);
 }
 
-// Failure: a client that keeps sending gets a reset in place of its error.
+// Guards against a reset in place of the error for a client that keeps sending.
 TEST(GatewayClients, ThatSendFarTooMuchGetAnErrorAndNoReset) {
   GatewayRig rig;
   PlainSocket bad(rig.loop, rig.socketAddress);
@@ -159,7 +159,7 @@
   EXPECT_TRUE(rig.until([&] { return rig.counters().descriptors == 0; }));
 }
 
-// Failure: a client that sends hundreds of commands at once delays the others.
+// Guards against a client that pipelines many commands and delays the others.
 TEST(GatewayClients, ThatPipelineManyCommandsTakeTurnsWithOthers) {
   constexpr std::size_t kMany = 2000;
   GatewayRig rig;
@@ -188,24 +188,24 @@
   EXPECT_TRUE(client.answered());
 }
 
-// Failure: a busy loop with a service that answers every watch at once.
+// Guards against a busy loop of calls to a service that answers every watch at once.
 TEST(GatewayDiscovery, ThatAnswersWatchesAtOnceIsNotCalledInABusyLoop) {
   GatewayRig rig;
   rig.discovery.holds = false;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() >= 3; }));
   ClientStandIn client(rig.loop, rig.socketAddress);
-  std::size_t asked = 0;
+  std::size_t sent = 0;
   const std::size_t before = rig.discovery.calls.size();
   while (rig.discovery.calls.size() < before + 3) {
-    client.ask(request("any", std::to_string(asked)));
-    ASSERT_TRUE(client.answered(++asked));
+    client.ask(request("any", std::to_string(sent)));
+    ASSERT_TRUE(client.answered(++sent));
   }
-  // Requests were served between two calls.
-  EXPECT_GT(asked, 0U);
+  // Requests were served between calls.
+  EXPECT_GT(sent, 0U);
 }
 
-// A gateway with a hundred descriptors: sixty after the reserve, half of them for clients. Each of these
-// clients has a request in flight that no endpoint answers.
+// A gateway with 100 descriptors: 60 after the reserve, half of them for clients. Each of these clients has a
+// request in flight that no endpoint answers.
 class FullGatewayRig : public GatewayRig {
  public:
   static constexpr int kClients = 30;
@@ -216,7 +216,7 @@
       clients.back()->ask(request("any", std::to_string(i)));
     }
     if (!until([&] { return counters().requestsAccepted == kClients; })) {
-      throw std::runtime_error("the gateway does not accept as many clients as it has descriptors for");
+      throw std::runtime_error("the gateway accepts fewer clients than it has descriptors for");
     }
   }
   static GatewayOptions options() {
@@ -227,7 +227,7 @@
   std::vector<std::unique_ptr<ClientStandIn>> clients;
 };
 
-// Failure: clients use up the descriptors that connections to endpoints need.
+// Guards against clients that use up the descriptors for connections to endpoints.
 TEST(GatewayLimits, ClientsBeyondTheirShareOfDescriptorsAreRejected) {
   FullGatewayRig rig;
   ClientStandIn extra(rig.loop, rig.socketAddress);
@@ -239,20 +239,20 @@
   EXPECT_LE(rig.counters().descriptorsPeak, 100U);
 }
 
-// Failure: a client is cut off, for there is not even a descriptor to reject it.
+// Guards against closing a client without an error because no descriptor is left to reject it.
 TEST(GatewayLimits, ClientsBeyondThoseThatCanBeRejectedWaitInTheQueue) {
   FullGatewayRig rig;
-  // These have sent no request, so that each is evicted for the next.
+  // These clients have sent no request, so each one is evicted for the next.
   std::vector<std::unique_ptr<ClientStandIn>> silent;
   for (int i = 0; i < 16; ++i) silent.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
   ClientStandIn last(rig.loop, rig.socketAddress, false);
   last.say(pg::startup() + pg::query(request("any", "last")));
   EXPECT_TRUE(last.gone());
-  EXPECT_EQ(last.code(), "53300") << "rejected, not cut off";
+  EXPECT_EQ(last.code(), "53300") << "rejected with an error, not just closed";
   EXPECT_EQ(rig.counters().requestsAccepted, 30U);
 }
 
-// Failure: incomplete messages keep their descriptors.
+// Guards against clients with incomplete messages that keep their descriptors.
 TEST(GatewayLimits, ClientsWithIncompleteMessagesAreEvicted) {
   GatewayOptions options;
   options.sockets = 100;
@@ -263,16 +263,16 @@
     stuck.back()->say(pg::startup().substr(0, 7));
   }
   // Others are rejected at first, and served once the incomplete messages have timed out.
-  std::size_t asked = 0;
+  std::size_t sent = 0;
   EXPECT_TRUE(rig.until([&] {
     ClientStandIn client(rig.loop, rig.socketAddress, false);
-    client.say(pg::startup() + pg::query(request("any", std::to_string(++asked))));
+    client.say(pg::startup() + pg::query(request("any", std::to_string(++sent))));
     rig.until([&] { return client.ended() || client.types().find("TDC") != std::string::npos; });
     return client.types().find("TDC") != std::string::npos;
   }));
 }
 
-// Failure: long incomplete messages use up the process's memory.
+// Guards against long incomplete messages that use up the process's memory.
 TEST(GatewayLimits, MessagesWithoutMemoryAreRejected) {
   GatewayOptions options;
   options.memoryMb = 1;
@@ -299,7 +299,7 @@
   EXPECT_LT(rig.loop.memory().taken(), 100'000U) << "freed";
 }
 
-// Failure: many silent connections evict clients that have sent requests.
+// Guards against many silent connections that evict clients which have sent requests.
 TEST(GatewayLimits, SilentClientsAreEvictedBeforeActiveOnes) {
   GatewayRig rig(FullGatewayRig::options());
   std::vector<std::unique_ptr<ClientStandIn>> usual;
@@ -319,7 +319,7 @@
   EXPECT_GE(rig.counters().idleClientsEvicted, 1U);
 }
 
-// Large values, and a client that does not read.
+// A gateway with large values, and a client that does not read.
 class SlowReaderRig : public GatewayRig {
  public:
   SlowReaderRig() : slow(loop, socketAddress) {
@@ -330,7 +330,7 @@
   ClientStandIn slow;
 };
 
-// Failure: a client that does not read uses up memory or delays the others.
+// Guards against a client that does not read and uses up memory or delays the others.
 TEST(GatewayLimits, ASlowReaderDelaysNoOtherClient) {
   SlowReaderRig rig;
   std::string many;
@@ -344,11 +344,11 @@
   EXPECT_GE(rig.counters().requestsServed, 20U);
 }
 
-// Failure: a client that does not read its answers keeps its descriptor after its deadline.
+// Guards against a client that does not read its answers and keeps its descriptor after its deadline.
 TEST(GatewayLimits, AClientThatNeverReadsIsClosed) {
   SlowReaderRig rig;
   std::string many;
-  // More than the socket buffers of both sides hold.
+  // The answers are larger than the socket buffers of both sides.
   for (int i = 0; i < 600; ++i) {
     many += pg::query(request("any", std::to_string(i), "", 400));
   }
--- a/tests/program_process.h
+++ b/tests/program_process.h
@@ -1,4 +1,4 @@
-// The built program (HEATHFLOW_PROGRAM) as a child of the test.
+// The built program (HEATHFLOW_PROGRAM) as a child process of the test.
 #pragma once
 
 #include <string>
--- a/tests/resource_shortage_test.cpp
+++ b/tests/resource_shortage_test.cpp
@@ -1,4 +1,4 @@
-// System calls that fail for a moment while the gateway serves: its own lack of resources must not count as a
+// System calls fail temporarily while the gateway serves. Its own lack of resources must not count as a
 // failure of an endpoint or a client.
 #include <gtest/gtest.h>
 
@@ -11,7 +11,8 @@
 namespace heathflow::test {
 namespace {
 
-// A gateway that knows its endpoints' roles and has no connections: the next request needs a new one.
+// A gateway that knows its endpoints' roles and has no connection to them, so that the next request opens
+// one.
 class WarmGateway {
  public:
   WarmGateway() : client(rig.loop, rig.socketAddress) {
@@ -31,36 +32,36 @@
 };
 
 TEST(ResourceShortage, OfSocketsRejectsNoRequest) {
-  WarmGateway site;
+  WarmGateway gateway;
   const InForce faults(planOf("socket=1#2"));
-  site.client.ask(request("status", "a"));
-  ASSERT_TRUE(site.client.answered());
-  EXPECT_EQ(site.client.code(), "");
+  gateway.client.ask(request("status", "a"));
+  ASSERT_TRUE(gateway.client.answered());
+  EXPECT_EQ(gateway.client.code(), "");
   EXPECT_EQ(faultshim::struck(Fault::Socket), 2U);
 }
 
 TEST(ResourceShortage, OfPortsOrWatchesIsNoFailureOfTheEndpoint) {
   for (const char* plan : {"connect=1#1", "connect=1#3", "watch=1#1", "watch=1#2"}) {
-    WarmGateway site;
-    const auto before = site.rig.outcomes(AttemptOutcome::ConnectFailed);
+    WarmGateway gateway;
+    const auto before = gateway.rig.outcomes(AttemptOutcome::ConnectFailed);
     const InForce faults(planOf(plan));
-    site.client.ask(request("status", "a"));
-    ASSERT_TRUE(site.client.answered()) << plan;
-    EXPECT_EQ(site.client.code(), "") << plan;
-    EXPECT_EQ(site.rig.outcomes(AttemptOutcome::ConnectFailed), before) << plan;
+    gateway.client.ask(request("status", "a"));
+    ASSERT_TRUE(gateway.client.answered()) << plan;
+    EXPECT_EQ(gateway.client.code(), "") << plan;
+    EXPECT_EQ(gateway.rig.outcomes(AttemptOutcome::ConnectFailed), before) << plan;
   }
 }
 
-// Failure: a request stays without an answer while the shortage lasts.
+// Guards against a request that gets no answer while the shortage lasts.
 TEST(ResourceShortage, ThatLastsIsARejection) {
-  WarmGateway site;
+  WarmGateway gateway;
   const InForce faults(planOf("socket=1"));
-  site.client.ask(request("status", "a"));
-  ASSERT_TRUE(site.client.answered());
-  EXPECT_EQ(site.client.code(), "53300");
+  gateway.client.ask(request("status", "a"));
+  ASSERT_TRUE(gateway.client.answered());
+  EXPECT_EQ(gateway.client.code(), "53300");
 }
 
-// Failure: an accepted connection that can't be watched is closed, which resets the client's request.
+// Guards against closing an accepted connection that can't be watched, which resets the client's request.
 TEST(ResourceShortage, OfWatchesClosesNoClient) {
   GatewayRig rig;
   ClientStandIn warm(rig.loop, rig.socketAddress);
@@ -91,7 +92,7 @@
   return out;
 }
 
-// Failure: a read error that passes discards what an earlier incarnation has learned.
+// Guards against a temporary read error that discards what an earlier incarnation has stored.
 TEST(SnapshotFile, IsNotSetAsideForATemporaryError) {
   TemporaryFolder folder;
   const std::string path = folder.path() + "/n0.snapshot";
--- a/tests/short_transfer_test.cpp
+++ b/tests/short_transfer_test.cpp
@@ -1,4 +1,5 @@
-// System calls that transfer only a part, or are interrupted: the rest must not wait for the next event.
+// System calls transfer only a part of the bytes, or are interrupted. The rest must not wait for the next
+// event.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -14,7 +15,7 @@
 class ShortTransfer : public ConnectionRace {};
 INSTANTIATE_TEST_SUITE_P(Protocols, ShortTransfer, kBoth, nameOf);
 
-// Failure: the rest of a short read is never read, since the loop is edge-triggered.
+// Guards against never reading the rest after a short read, because the loop is edge-triggered.
 TEST_P(ShortTransfer, AnswersEveryRequestWhereEveryTransferIsShort) {
   GatewayRig rig(speaking());
   const InForce faults(planOf("seed=3;short-read=1;short-write=1;interrupt=0.2;interrupt-io=0.2"));
@@ -38,7 +39,7 @@
   EXPECT_EQ(rig.counters().requestsServed, 80U);
 }
 
-// Failure: a change of the list that comes in two parts waits for the next change.
+// Guards against a change of the list that arrives in two parts and waits for the next change.
 TEST(ShortRead, LosesNoChangeOfTheList) {
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
@@ -48,7 +49,7 @@
   EXPECT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
 }
 
-// Failure: a signal is lost, since its descriptor is edge-triggered.
+// Guards against a lost signal, because its descriptor is watched edge-triggered.
 TEST(Signals, AreHandledWhereTheReadIsInterrupted) {
   transport::EventLoop loop;
   std::vector<int> got;
