--- a/src/common/startup_backoff.h
+++ b/src/common/startup_backoff.h
@@ -9,8 +9,7 @@
 // The total of all delays of one start, in microseconds. Nine in ten restarted gateways have to be ready
 // within 10 s, and the rest of the start needs time as well.
 inline constexpr std::int64_t kStartupRetryTime = 7'000'000;
-// The total of all delays of one reload, in microseconds. A new configuration has to be in effect 4 s after
-// SIGHUP.
+// The total of all delays of one reload, in microseconds. A reload has to be in effect 4 s after SIGHUP.
 inline constexpr std::int64_t kReloadRetryTime = 3'000'000;
 
 // Returns whether an errno value may not occur again on a retry.
@@ -20,8 +19,7 @@
 class StartupBackoff {
  public:
   explicit StartupBackoff(std::int64_t retryTime = kStartupRetryTime) : retryTime_(retryTime) {}
-  // Returns the delay before the next attempt; below 0 if the error is permanent or the retry time is used
-  // up.
+  // Returns the delay before the next attempt, or -1 if the error is permanent or the retry time is used up.
   std::int64_t nextDelay(int error);
 
  private:
--- a/src/common/uniform.h
+++ b/src/common/uniform.h
@@ -1,5 +1,4 @@
-// Converts the bits of a random number or a hash to a uniformly distributed number from 0 up to, but not
-// including, 1.
+// Converts the bits of a random number or a hash to a number that is uniformly distributed in [0, 1).
 #pragma once
 
 #include <cstdint>
--- a/src/downstream/client_connection.cpp
+++ b/src/downstream/client_connection.cpp
@@ -71,9 +71,8 @@
   closeWithError(Reason::NoMemory, "no memory is left", CloseReason::NoMemory);
 }
 
-// Records the arrival time of the bytes that were just read. Bytes for which the input buffer had no room may
-// have waited in the socket since it filled up, and count from then, so that no request outlives its client's
-// timeout.
+// Records the arrival time of the bytes that were just read. Bytes for which the input had no room may have
+// waited in the socket since it filled up, and count from then: no request outlives its client's timeout.
 void ClientConnection::recordArrivals() {
   const Micros arrivedAt = inputFullSince_ != 0 ? inputFullSince_ : loop_.now();
   arrivals_.add(stream_.input().size() - arrivals_.waiting(), arrivedAt);
@@ -387,8 +386,8 @@
   }
 }
 
-// Returns whether no request is open, all output is sent, and the input is empty or has been incomplete for
-// too long.
+// Returns whether no request is open, all output is flushed, and the input is empty or its incomplete message
+// has not been continued for too long.
 bool ClientConnection::canClose() const {
   if (busy_ || lingering_ || closed_ || !stream_.output().empty()) return false;
   // An incomplete message that is not continued delays neither an eviction nor the shutdown.
--- a/src/downstream/client_connection.h
+++ b/src/downstream/client_connection.h
@@ -1,5 +1,4 @@
-// A connection from a client, in any protocol: reads requests one at a time and writes their answers in
-// order.
+// A client connection in any protocol: reads requests one at a time and writes their answers in order.
 #pragma once
 
 #include <cstddef>
@@ -51,8 +50,7 @@
   // Rejects a client beyond the limit: its first request gets a fatal error, and the connection is closed.
   void rejectConnection();
   // Closes the connection as soon as it is idle.
-  // @param closeUnused  also close the connection of a client that has sent no request yet, with an error
-  // that
+  // @param closeUnused  whether to close it also if the client has sent no request yet, with an error that
   //                     says that the gateway shuts down.
   void closeWhenIdle(bool closeUnused);
   // Closes the connection gracefully if it is idle with nothing unread, or with an incomplete message that is
--- a/src/program/config.h
+++ b/src/program/config.h
@@ -18,7 +18,7 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 0;       // the most descriptors of the process
   std::size_t memory = 0;        // bytes
-  protocol::EndpointList known;  // the endpoint list used until discovery has answered
+  protocol::EndpointList known;  // for the time until discovery has answered
   settings::InstanceSettings settings;
 };
 
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -26,8 +26,7 @@
 // A mean latency of fewer answers is not stored in the snapshot.
 constexpr std::uint64_t kMinAnswersForLatency = 50;
 
-// Half of the memory is for the connections' buffers; the rest is for the program, its request state and
-// lists.
+// Half of the memory is for the connections' buffers, the rest for the program, its request state and lists.
 constexpr std::size_t kBufferMemoryDivisor = 2;
 
 // Returns the time from SIGTERM until all requests are answered.
@@ -156,8 +155,7 @@
   if (!config_.settings.policy.discoveryIsPolled) watch_.subscribe();
 }
 
-// Returns the newest list that is known before discovery has answered, from the configuration or the
-// snapshot.
+// Returns the newest list known before discovery has answered, from the configuration or the snapshot.
 protocol::EndpointList Gateway::initialList() const {
   protocol::EndpointList known = config_.known;
   known.complete = true;
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -80,8 +80,7 @@
   out += value;
 }
 
-// A writable pipe takes a write of up to PIPE_BUF bytes without blocking (POSIX). The logger's prefix needs
-// the rest.
+// A writable pipe takes PIPE_BUF bytes without blocking (POSIX); the rest is for the prefix of the line.
 constexpr std::size_t kMaxLineLength = PIPE_BUF - 128;
 
 // Returns whether a line can be written without waiting for the log's reader.
--- a/src/program/protocols.h
+++ b/src/program/protocols.h
@@ -1,5 +1,5 @@
-// The protocols of a gateway, and how its endpoints are reached in each. No other code knows
-// which protocols exist.
+// The protocols of a gateway, and how its endpoints are reached in each. No other code knows which protocols
+// exist.
 #pragma once
 
 #include <memory>
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -151,7 +151,7 @@
   const std::string known = "[" + entry("m0", endpoint.address(), true) + "]";
   for (int i = 0; i < 20; ++i) {
     Process process(configText({}, silent.address(), known));
-    // The delays reach from before the program's first log line to well after it.
+    // The delays reach from before the program has blocked the signal to well after it.
     for (int spin = 0; spin < i * i * 20'000; ++spin) std::atomic_signal_fence(std::memory_order_seq_cst);
     process.signal(SIGTERM);
     ASSERT_TRUE(until(loop, [&] { return process.over(); })) << i;
--- a/tests/startup_backoff_test.cpp
+++ b/tests/startup_backoff_test.cpp
@@ -72,7 +72,7 @@
   ProcessRig rig;
   DiscoveryStandIn elsewhere(rig.loop);
   elsewhere.endpoints = rig.discovery.endpoints;
-  // The start itself opens the file once.
+  // The faults begin 1.5 s after the start, which has read the file by then.
   Process process(rig.config(), {}, failing("file-read=1@1500-60000#2"));
   ASSERT_TRUE(rig.until([&] { return process.says("serves at"); }));
   process.configure(configText({}, elsewhere.address(), rig.discovery.endpoints));
--- a/tests/unread_log_test.cpp
+++ b/tests/unread_log_test.cpp
@@ -11,8 +11,7 @@
 namespace heathflow::test {
 namespace {
 
-// At the trace level each request logs about three lines; together they exceed the capacity of a pipe, 64
-// KiB.
+// At the trace level each request logs about three lines. Together they exceed the 64 KiB that a pipe holds.
 constexpr int kRequests = 1200;
 
 TEST(UnreadLog, DelaysNoRequest) {
