--- a/src/common/uniform.h
+++ b/src/common/uniform.h
@@ -1,4 +1,4 @@
-// Uniformly distributed numbers from 0 to 1 out of the bits of a random number or a hash.
+// Converts the bits of a random number or a hash to a number that is uniformly distributed in [0, 1).
 #pragma once
 
 #include <cstdint>
