--- a/src/policy/admission_control.h
+++ b/src/policy/admission_control.h
@@ -1,5 +1,5 @@
-// Adaptive throttling: sheds load of a group's replicas, or of its primary, that serve too little of what
-// they are offered. The record counts requests, not time, so it works for a gateway with little traffic too.
+// Adaptive throttling: sheds load when a group's replicas, or its primary, serve too few of the requests that
+// they are offered. The counts decay per request, not over time, so they also work with little traffic.
 #pragma once
 
 #include "policy/pending_request.h"
@@ -7,17 +7,19 @@
 
 namespace heathflow::policy {
 
-// What a group's replicas, or its primary, lately served, weighed by value, of what they were offered. Shed
-// requests count as offered.
+// Moving counts of the requests that a group's replicas, or its primary, were offered and served. Served
+// requests are weighted by their value. Shed requests count as offered.
 class ServedShare {
  public:
-  // @param value  of the end of a request, as a share of its full value.
+  // Records the end of a request.
+  // @param value  the value of its result, as a share of the full value.
   void observe(double value) {
     offered_ += 1 - offered_ * kGain;
     served_ += value - served_ * kGain;
   }
-  // Sheds with the probability (1 - late value) * (offered - 1.5 * served) / (offered + 1): a request that
-  // keeps a value after its objective may wait instead.
+  // Returns whether to shed a request. The probability is
+  // (1 - lateValueShare) * (offered - 1.5 * served) / (offered + 1): a request that keeps some value after
+  // its objective may wait instead.
   bool shedsLoad(const PendingRequest& request, const RequestClassSettings& requestClass) const {
     const double excess = offered_ - kServedMultiple * served_;
     return request.admissionDraw * (offered_ + 1) < (1 - requestClass.lateValueShare) * excess;
@@ -25,7 +27,7 @@
 
  private:
   static constexpr double kGain = 0.2;
-  // Requests beyond this multiple of what is served in time are rejected.
+  // Offered requests beyond this multiple of the served ones may be shed.
   static constexpr double kServedMultiple = 1.5;
 
   double offered_ = 0;
--- a/src/policy/attempt_observer.cpp
+++ b/src/policy/attempt_observer.cpp
@@ -5,11 +5,12 @@
 namespace heathflow::policy {
 namespace {
 
-// An answer that took more than this share of its objective shows that the endpoint is near its capacity.
+// An answer that took more than this share of the latency objective means that the endpoint is near its
+// capacity.
 constexpr double kNearObjectiveShare = 0.6;
-// The least time between two checks of an endpoint that does not answer.
+// The minimum time between two health checks of an endpoint whose attempts time out without any response.
 constexpr Micros kMinCheckInterval = 250 * kMillisecond;
-// A limit grows only while at least this share of it is in use.
+// A concurrency limit grows only while at least this share of it is in use.
 constexpr double kUsedShareToGrow = 0.5;
 
 bool isAnswer(AttemptOutcome outcome) {
@@ -18,14 +19,14 @@
          outcome == AttemptOutcome::LostLeadership;
 }
 
-// The endpoint did not serve the request in its time. What a client gives up while its response is under way
-// was being served.
+// Returns whether the endpoint did not serve the request in time. A request that the client cancelled after
+// the first part of its response does not count: it was being served.
 bool isUnserved(const PendingRequest& request, AttemptOutcome outcome) {
   return outcome == AttemptOutcome::Overloaded || outcome == AttemptOutcome::TimedOut ||
          (outcome == AttemptOutcome::Cancelled && !request.partForwarded);
 }
 
-// Nothing has come from the endpoint since the attempt was sent.
+// Returns whether the attempt timed out and nothing has come from the endpoint since it was sent.
 bool isSilentTimeout(const EndpointState& endpoint, const PendingRequest& request,
                      const AttemptEnded& event) {
   return event.outcome == AttemptOutcome::TimedOut &&
@@ -58,11 +59,11 @@
     endpoint.outlier.endEjection();
     primaries_.observeReport(endpoint, event.report);
   } else if (!event.rejected) {
-    endpoint.evidence.observeBreak(context_.now());
+    endpoint.evidence.observeConnectionFailure(context_.now());
     endpoint.outlier.observeFailure(context_.now());
   }
   if (endpoint.healthCheck.connectRejected && event.ok && endpoint.listing.usable)
-    scarcity_.observeTurnedAwayByLiveEndpoint(context_.now());
+    scarcity_.observeConnectRejectedByLiveEndpoint(context_.now());
   endpoint.healthCheck.connectRejected = false;
 }
 
@@ -71,7 +72,8 @@
   const bool notServable = event.outcome == AttemptOutcome::PreconditionFailed;
   const bool writeRejected = notServable && request.isWrite();
   const Role role = event.role.value_or(Role::Replica);
-  // A claim to be the primary may have been on its way while the endpoint lost the role.
+  // The endpoint may have lost the role while its answer was in transit, so a claim to be the primary counts
+  // from the reported position or the time of sending.
   const Micros sentAt = request.attempts[event.attempt].sentAt;
   const Micros at = role == Role::Primary ? event.position.value_or(sentAt) : context_.now();
   if (event.role || writeRejected) primaries_.observeRole(endpoint, role, at);
@@ -92,24 +94,25 @@
   const bool silent = isSilentTimeout(endpoint, request, event);
   if (reset) endpoint.outlier.observeConnectionReset();
   if (reset || silent || connectFailed) {
-    endpoint.outlier.observeBreak(context_.now());
-    endpoint.evidence.observeBreak(context_.now());
+    endpoint.outlier.observeConnectionFailure(context_.now());
+    endpoint.evidence.observeConnectionFailure(context_.now());
   }
   if (reset || connectFailed) observeLostConnection(endpoint, event);
-  const bool useless =
+  const bool unusable =
       reset || event.outcome == AttemptOutcome::TimedOut || event.outcome == AttemptOutcome::Malformed;
-  if (useless) endpoint.outlier.observeUselessEnd(context_.now());
-  // With little traffic it takes too long until several useless ends show that an endpoint is down.
+  if (unusable) endpoint.outlier.observeUnusableResult(context_.now());
+  // With little traffic, counting several unusable results takes too long to detect that an endpoint is down.
   if (silent && context_.now() - endpoint.healthCheck.startedAt > kMinCheckInterval)
     healthChecks_.start(endpoint, HealthCheckReason::Unresponsive);
 }
 
-// One broken connection does not prove that an endpoint died: a health check tells. A slow connect, or a
-// check that can't be started, counts as a failure.
+// One broken connection does not prove that an endpoint is down, so a health check is started. A slow connect
+// counts as a failure at once, and so does a check that can't be started.
 void AttemptObserver::observeLostConnection(EndpointState& endpoint, const AttemptEnded& event) {
   const bool connectFailed = event.outcome == AttemptOutcome::ConnectFailed;
   const Micros connectTimeout = context_.settings().connectTimeout;
-  // A quick failure: it is dead or has no connection to spare. A slow one: no answer came.
+  // A connect that fails quickly means that the endpoint is down or out of connections; a slow one got no
+  // answer.
   const bool slow = connectFailed && event.elapsed >= connectTimeout / 2;
   if (slow) scarcity_.observeSlowConnect(context_.now());
   HealthCheckState& check = endpoint.healthCheck;
@@ -157,8 +160,8 @@
   slowStart_.adjust(endpoint, response, event.elapsed, latency_.workOf(request.request.classIndex));
 }
 
-// An endpoint that did not serve in time, or with an error, moves to the back half of this gateway's order
-// and stays there.
+// Moves an endpoint that returned an error or did not serve in time to the back half of this gateway's order,
+// permanently.
 void AttemptObserver::observePreference(EndpointState& endpoint, const PendingRequest& request,
                                         const AttemptEnded& event) {
   if (isUnserved(request, event.outcome) || event.outcome == AttemptOutcome::Error)
--- a/src/policy/attempt_observer.h
+++ b/src/policy/attempt_observer.h
@@ -1,4 +1,4 @@
-// Learns from the end of an attempt: passes what it shows to each part of the policy that it concerns.
+// Updates the state of endpoints and groups from the results of attempts and health checks.
 #pragma once
 
 #include "policy/endpoint_registry.h"
@@ -21,10 +21,10 @@
         slowStart_(slowStart),
         latency_(latency) {}
 
-  // Takes in the end of an attempt, whose record has been updated.
+  // Processes the result of an attempt. The caller has updated the attempt's record before.
   void observeEnd(EndpointState& endpoint, const PendingRequest& request, const AttemptEnded& event);
   void observeHealthCheck(EndpointState& endpoint, const HealthCheckEnded& event);
-  // Whether idle connections are to be closed since endpoints lack connections.
+  // Returns whether idle connections should be closed because endpoints are short of connections.
   bool connectionsAreScarce() const { return scarcity_.isScarce(context_.now()); }
 
  private:
--- a/src/policy/concurrency_limit.h
+++ b/src/policy/concurrency_limit.h
@@ -1,5 +1,6 @@
-// How much work this gateway may have in flight at one endpoint, in usual requests: additive increase while
-// answers come well inside their objective, multiplicative decrease when a request is slow or not served.
+// Limits the work that this gateway has in flight at one endpoint, in average requests. Additive increase
+// while answers are well within their latency objective, multiplicative decrease when a request is slow or
+// not served.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +13,7 @@
  public:
   static constexpr double kMax = 64;
 
-  // The limit of an endpoint of which nothing is known: this gateway's part of what all start with.
+  // Returns the limit for a new endpoint: this gateway's share of the initial limit of all gateways together.
   static double initialOf(const PolicySettings& settings) {
     return std::max(1.0, kInitialOfAllGateways / settings.gatewayCount);
   }
@@ -27,9 +28,10 @@
     const double least = kMin * std::min(1.0, kInitialOfAllGateways / settings.gatewayCount);
     value_ = std::max(least, value_ * kDecreaseFactor);
   }
-  // Many gateways with one request each can overload an endpoint too: a limit below one spaces requests out.
-  // @param sinceLastSent  time since the last request was sent there.
-  // @param latency        that a request usually takes, in microseconds.
+  // Returns whether a limit below one allows a request now; such a limit spaces requests out, because many
+  // gateways with one request each can also overload an endpoint. Always true for limits from one.
+  // @param sinceLastSent  time since the last request was sent to the endpoint.
+  // @param latency        expected latency of the request, in microseconds.
   bool allowsNow(Micros sinceLastSent, double latency) const {
     return value_ >= 1 || toDouble(sinceLastSent) >= latency * (1 / value_ - 1);
   }
@@ -38,7 +40,7 @@
   static constexpr double kInitialOfAllGateways = 24;
   static constexpr double kMin = 0.25;
   static constexpr double kDecreaseFactor = 0.9;
-  // The limit grows by one request for each limit's worth of answers, but no more than this at once.
+  // The limit grows by one request per `limit` answers, but by at most this share of it per answer.
   static constexpr double kMaxGrowthShare = 0.15;
 
   double value_ = 1;
--- a/src/policy/discovery_poll.cpp
+++ b/src/policy/discovery_poll.cpp
@@ -6,7 +6,7 @@
 namespace heathflow::policy {
 namespace {
 
-// Shares of the longest allowed poll interval, but for the count of doublings.
+// Shares of the maximum poll interval, except for kMaxDoublings.
 constexpr double kFirstPollSpread = 0.02;
 constexpr double kAnswerTimeout = 0.5;
 constexpr double kMinBackoff = 0.05;
--- a/src/policy/discovery_poll.h
+++ b/src/policy/discovery_poll.h
@@ -1,4 +1,4 @@
-// When the endpoint list is polled: until a watch stands, and again after it failed.
+// Schedules polls of the endpoint list until a watch is established, and again after the watch failed.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,16 @@
  public:
   explicit DiscoveryPoll(PolicyContext& context) : context_(context) {}
 
-  // First polls are spread at random.
+  // Schedules the first poll, with a random delay so that gateways do not poll at the same time.
   void start();
   void observeTimer(std::uint64_t pollNumber);
   void observeList();
-  // The watch may have broken.
+  // Schedules a poll with backoff, because the watch may have ended.
   void observeFailure();
 
  private:
-  // At least a second, so that no settings make the gateway poll without pause.
+  // Returns the configured maximum poll interval, but at least a second, so that no setting makes the gateway
+  // poll without pause.
   Micros maxInterval() const;
   void schedule(Micros after);
 
--- a/src/policy/endpoint_evidence.cpp
+++ b/src/policy/endpoint_evidence.cpp
@@ -5,33 +5,33 @@
 namespace heathflow::policy {
 
 void EndpointEvidence::observeHealthCheck(Micros now, const HealthCheckEnded& check) {
-  Micros since = std::max(now - check.connectionAge, brokenAt_);
-  // A connection that was open at the answer before leads to the same process.
+  Micros since = std::max(now - check.connectionAge, lastFailureAt_);
+  // A connection that was already open at the previous answer leads to the same process.
   if (connectedSince_ && since <= answeredAt_) since = std::min(since, *connectedSince_);
   connectedSince_ = since;
   answeredAt_ = now - check.elapsed;
 }
 
-void EndpointEvidence::observeBreak(Micros now) {
-  brokenAt_ = now;
+void EndpointEvidence::observeConnectionFailure(Micros now) {
+  lastFailureAt_ = now;
   connectedSince_ = now;
 }
 
-void EndpointEvidence::observeExpiry(const EndpointListExpired& terms) {
-  if (!wasConnectedInTime(terms)) connectedSince_.reset();
+void EndpointEvidence::observeExpiry(const EndpointListExpired& criteria) {
+  if (!wasConnectedInTime(criteria)) connectedSince_.reset();
 }
 
-bool EndpointEvidence::suffices(Micros now, const EndpointListExpired& terms) const {
-  return now - answeredAt_ < terms.healthCheckMaxAge && wasConnectedInTime(terms);
+bool EndpointEvidence::suffices(Micros now, const EndpointListExpired& criteria) const {
+  return now - answeredAt_ < criteria.healthCheckMaxAge && wasConnectedInTime(criteria);
 }
 
-bool EndpointEvidence::mayYetSuffice(const EndpointListExpired& terms) const {
-  const bool unbroken = terms.connectedBefore && brokenAt_ <= *terms.connectedBefore;
-  return unbroken && (!connectedSince_ || wasConnectedInTime(terms));
+bool EndpointEvidence::maySufficeAfterCheck(const EndpointListExpired& criteria) const {
+  const bool unbroken = criteria.connectedBefore && lastFailureAt_ <= *criteria.connectedBefore;
+  return unbroken && (!connectedSince_ || wasConnectedInTime(criteria));
 }
 
-bool EndpointEvidence::wasConnectedInTime(const EndpointListExpired& terms) const {
-  return connectedSince_ && terms.connectedBefore && *connectedSince_ <= *terms.connectedBefore;
+bool EndpointEvidence::wasConnectedInTime(const EndpointListExpired& criteria) const {
+  return connectedSince_ && criteria.connectedBefore && *connectedSince_ <= *criteria.connectedBefore;
 }
 
 }  // namespace heathflow::policy
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -6,9 +6,9 @@
 namespace heathflow::policy {
 namespace {
 
-// For so long an endpoint is remembered that neither list nor answer has named.
+// An unused endpoint is forgotten this long after it was last listed or last responded.
 constexpr Micros kForgetAfter = 10 * kSecond;
-constexpr Micros kForgetAfterWhereAdvisory = 3600 * kSecond;
+constexpr Micros kForgetAfterIfAdvisory = 3600 * kSecond;
 
 }  // namespace
 
@@ -26,9 +26,9 @@
     std::erase_if(group.endpoints, [this](EndpointId endpoint) { return !endpoints_.contains(endpoint); });
 }
 
-void EndpointRegistry::expire(const EndpointListExpired& terms) {
-  expired_ = terms;
-  for (auto& [id, endpoint] : endpoints_) endpoint.evidence.observeExpiry(terms);
+void EndpointRegistry::expire(const EndpointListExpired& criteria) {
+  expired_ = criteria;
+  for (auto& [id, endpoint] : endpoints_) endpoint.evidence.observeExpiry(criteria);
 }
 
 bool EndpointRegistry::lacksEvidence(const EndpointState& endpoint) const {
@@ -37,7 +37,7 @@
 }
 
 bool EndpointRegistry::healthCheckMayGiveEvidence(const EndpointState& endpoint) const {
-  return context_.settings().healthChecksAllowed && endpoint.evidence.mayYetSuffice(*expired_);
+  return context_.settings().healthChecksAllowed && endpoint.evidence.maySufficeAfterCheck(*expired_);
 }
 
 EndpointState* EndpointRegistry::find(EndpointId id) {
@@ -53,7 +53,7 @@
 }
 
 void EndpointRegistry::update(const Endpoint& listed) {
-  EndpointState& endpoint = enter(listed);
+  EndpointState& endpoint = findOrAdd(listed);
   ListingState& listing = endpoint.listing;
   listing.listedAt = context_.now();
   listing.listNumber = listNumber_;
@@ -68,15 +68,15 @@
   const Micros startedAt = std::max(endpoint.info.startedAt, listed.startedAt);
   endpoint.info = listed;
   endpoint.info.startedAt = startedAt;
-  // An advisory list may be wrong or old: only a new start ends a drain there.
+  // An advisory list may be wrong or old, so only a restart ends a drain.
   const bool stillDraining = listing.draining && context_.settings().removalIsAdvisory && !restarted;
   listing.draining = listed.status == EndpointStatus::Draining || stillDraining;
   listing.usable = !listing.draining;
   listing.unconfirmed = listing.unconfirmed && endpoint.outlier.silentSince() == kNever;
 }
 
-// The state of a listed endpoint, in its group.
-EndpointState& EndpointRegistry::enter(const Endpoint& listed) {
+// Returns the state of a listed endpoint. Adds the endpoint if it is new, and moves it to its listed group.
+EndpointState& EndpointRegistry::findOrAdd(const Endpoint& listed) {
   const auto [entry, isNew] = endpoints_.try_emplace(listed.id);
   EndpointState& endpoint = entry->second;
   if (!isNew && endpoint.info.group == listed.group) return endpoint;
@@ -92,8 +92,8 @@
   return endpoint;
 }
 
-// Failures, latency and a newer claim to be the primary are those of the process before. Position and
-// evidence stay: they are bounded by times of their own.
+// Resets what belongs to the previous process: failures, latency, and a claim to be the primary from before
+// the restart. Position and evidence stay, because they carry their own times.
 void EndpointRegistry::observeRestart(EndpointState& endpoint, const Endpoint& listed) {
   if (endpoint.role.primaryAt < listed.startedAt) endpoint.role.primaryAt = kNever;
   endpoint.role.writeRejectedAt = kNever;
@@ -102,8 +102,8 @@
   endpoint.limit.restrictTo(ConcurrencyLimit::initialOf(context_.settings()));
 }
 
-// Removed, or missing in the list. Where the list is only advice it stays usable as the last choice, until it
-// fails.
+// Handles an endpoint that is listed as removed or missing from a full list. If the list is only advisory,
+// the endpoint stays usable as the last choice until it fails.
 void EndpointRegistry::remove(EndpointState& endpoint) {
   endpoint.listing.usable = endpoint.listing.usable && context_.settings().removalIsAdvisory;
   endpoint.listing.unconfirmed = context_.settings().removalIsAdvisory;
@@ -113,7 +113,7 @@
   const ListingState& listing = endpoint.listing;
   const bool unused = (!listing.usable || listing.unconfirmed) && endpoint.inFlight.requests == 0 &&
                       !endpoint.healthCheck.inProgress;
-  const Micros after = context_.settings().removalIsAdvisory ? kForgetAfterWhereAdvisory : kForgetAfter;
+  const Micros after = context_.settings().removalIsAdvisory ? kForgetAfterIfAdvisory : kForgetAfter;
   return unused && context_.now() - std::max(listing.listedAt, endpoint.outlier.silentSince()) > after;
 }
 
--- a/src/policy/endpoint_registry.h
+++ b/src/policy/endpoint_registry.h
@@ -1,4 +1,4 @@
-// The endpoints and groups that a gateway knows, as the endpoint list names them.
+// The known endpoints and groups, from the endpoint list.
 #pragma once
 
 #include <cstdint>
@@ -16,15 +16,15 @@
   explicit EndpointRegistry(PolicyContext& context)
       : context_(context), preferenceSeed_(context.randomBits()) {}
 
-  // Takes in a list or a change to one. The list counts as confirmed.
+  // Applies a list or a change to it, which also confirms the list.
   void apply(const EndpointsChanged& event);
-  // The list has expired: endpoints are used on evidence of their own.
-  void expire(const EndpointListExpired& terms);
+  // Marks the list as expired: endpoints are used only with evidence from health checks.
+  void expire(const EndpointListExpired& criteria);
   bool listExpired() const { return expired_.has_value(); }
 
-  // The list has expired, and the endpoint has not shown that it may still be used.
+  // Returns whether the list has expired and no health check has shown that the endpoint may still be used.
   bool lacksEvidence(const EndpointState& endpoint) const;
-  // A health check may give an endpoint the evidence that it lacks. Only while listExpired().
+  // Returns whether a health check can still give the missing evidence. Call only while listExpired().
   bool healthCheckMayGiveEvidence(const EndpointState& endpoint) const;
 
   EndpointState* find(EndpointId id);
@@ -35,7 +35,7 @@
 
  private:
   void update(const Endpoint& listed);
-  EndpointState& enter(const Endpoint& listed);
+  EndpointState& findOrAdd(const Endpoint& listed);
   void observeRestart(EndpointState& endpoint, const Endpoint& listed);
   void remove(EndpointState& endpoint);
   bool mayBeForgotten(const EndpointState& endpoint) const;
@@ -44,7 +44,7 @@
   std::unordered_map<EndpointId, EndpointState> endpoints_;
   std::map<GroupId, EndpointGroup> groups_;
   std::uint64_t preferenceSeed_;
-  std::uint64_t listNumber_ = 0;  // lists taken in so far
+  std::uint64_t listNumber_ = 0;  // of lists and changes applied so far
   std::optional<EndpointListExpired> expired_;
 };
 
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -6,20 +6,23 @@
 namespace heathflow::policy {
 namespace {
 
-// A read waits so long for a health check, as a share of its objective, before the primary serves it.
+// How long a read waits for a health check before the primary serves it, as a share of its latency objective.
 constexpr double kMaxHealthCheckWait = 0.125;
-// A long read waits so long for the replicas on which long reads are packed.
+// How long a long read waits for the replicas on which long reads are packed, as a share of its objective.
 constexpr double kMaxPackingWait = 0.25;
-// No more long reads are packed where none has ended for so many usual latencies.
+// No more long reads are packed on an endpoint if none has ended there for this multiple of their average
+// latency.
 constexpr double kLongReadTimeoutMultiple = 2;
-// Up to this share of its limit a primary takes reads that replicas have no capacity for: the rest is kept
-// for writes, strong reads, and reads that no replica is recent enough for.
+// A primary takes reads that replicas have no capacity for up to this share of its limit. The rest is
+// reserved for writes, strong reads, and reads that no replica is fresh enough for.
 constexpr double kPrimarySpareShare = 0.3;
-// Weight of this gateway's preference in a replica's score, in usual requests.
+// Weight of this gateway's preference in a replica's score, in average requests.
 constexpr double kPreferenceWeight = 0.8;
-// Scores differ at random by up to this share, so that gateways that know the same choose differently.
+// Scores are increased by a random share of up to this, so that gateways with equal information choose
+// differently.
 constexpr double kScoreJitter = 0.05;
-// Factor on the score of an endpoint for each attempt of the request there, and where only the list names it.
+// Factor on the score of an endpoint for each earlier attempt of the request there, and for an endpoint known
+// only from an advisory list.
 constexpr double kTriedPenalty = 4;
 constexpr double kSentWorkDecay = 0.999;
 
@@ -30,7 +33,7 @@
   if (!request.needsPrimary()) {
     std::optional<double> minPrimaryLimit;
     if (EndpointState* replica = selectReplica(request, group, primary, minPrimaryLimit)) return replica;
-    // The read waits for a replica that qualifies, unless the primary has capacity to spare.
+    // The read waits for a replica that qualifies, unless the primary has spare capacity.
     const bool primaryMayServe = primary != nullptr && hasSpareCapacity(*primary) &&
                                  (!minPrimaryLimit || primary->concurrencyLimit() >= *minPrimaryLimit);
     if (minPrimaryLimit && !primaryMayServe) return nullptr;
@@ -65,13 +68,14 @@
     return nullptr;
   }
   if (hasCapacity(*primary, primary->inFlight.work, request)) return primary;
-  // What waits for a primary that has most likely died may be for its successor to serve.
+  // If the primary is presumed dead, another endpoint may have become the primary.
   if (primary->outlier.isPresumedDead()) healthChecks_.findPrimary(group);
   return nullptr;
 }
 
-// Where health checks show no role a write finds the primary: any other endpoint rejects it. The one that did
-// so longest ago comes first; the last attempt of the write is kept for an endpoint that is known to be it.
+// Selects an endpoint for a write that is to find the primary because health checks report no role: any
+// endpoint but the primary rejects the write. The one that was a replica longest ago comes first. The last
+// attempt of the write is reserved for a known primary. Returns nullptr if no endpoint qualifies.
 EndpointState* EndpointSelection::selectForDiscoveringWrite(PendingRequest& request,
                                                             const EndpointGroup& group) {
   if (request.attempts.size() + 1 >= context_.settings().maxAttempts) return nullptr;
@@ -97,8 +101,8 @@
   ReplicaSearch search = searchReplicas(request, group, query);
   minPrimaryLimit = search.minPrimaryLimit;
   if (search.best != nullptr || minPrimaryLimit) return search.best;
-  if (EndpointState* guess = selectMostAdvanced(query, search)) return guess;
-  // An idle primary serves the read while primaries have less than their even part of this gateway's work.
+  if (EndpointState* candidate = selectMostAdvanced(query, search)) return candidate;
+  // An idle primary serves the read while primaries have less than their fair share of this gateway's work.
   const bool spareShare = primaryHasSpareShare(group);
   if (spareShare && primary != nullptr && hasSpareCapacity(*primary)) return nullptr;
   if (waitsForHealthCheck(query, search)) {
@@ -159,22 +163,22 @@
   const double load = query.isLongRead ? endpoint.inFlight.requests : endpoint.inFlight.work;
   const bool capacity = hasCapacity(endpoint, load, request);
   if (!endpoint.freshness.covers(query.required, context_))
-    considerBehind(endpoint, request, query, capacity, search);
+    considerPossiblyStale(endpoint, request, query, capacity, search);
   else if (!capacity)
     search.minPrimaryLimit = std::max(search.minPrimaryLimit.value_or(0), endpoint.concurrencyLimit());
   else
     considerQualified(endpoint, request, query, search);
 }
 
-// A replica that is not known to be recent enough.
-void EndpointSelection::considerBehind(EndpointState& endpoint, const PendingRequest& request,
-                                       const ReplicaQuery& query, bool capacity,
-                                       ReplicaSearch& search) const {
+// Considers a replica that is not known to be fresh enough.
+void EndpointSelection::considerPossiblyStale(EndpointState& endpoint, const PendingRequest& request,
+                                              const ReplicaQuery& query, bool capacity,
+                                              ReplicaSearch& search) const {
   search.checkInProgress = search.checkInProgress || endpoint.healthCheck.inProgress;
   const Micros now = context_.now();
   const ReplicaFreshness& freshness = endpoint.freshness;
   const bool mayHaveCaughtUp = freshness.mayHaveReached(query.required, now);
-  // In this gateway's own order, so that not all gateways check, and then use, the same one.
+  // Each gateway has its own order, so that not all gateways check, and then use, the same replica.
   const bool preferred =
       search.checkCandidate == nullptr || endpoint.preference < search.checkCandidate->preference;
   const bool checkDue = now - endpoint.healthCheck.startedAt >= query.recheckAfter;
@@ -185,8 +189,8 @@
       std::any_of(request.attempts.begin(), request.attempts.end(),
                   [&](const AttemptRecord& attempt) { return attempt.endpoint == endpoint.info.id; });
   const bool replicasWait = context_.settings().catchUpTimeout > 0;
-  const bool hopeless = replicasWait ? !mayHaveCaughtUp : freshness.isKnownTooOldFor(query.required, now);
-  if (!capacity || tried || hopeless) return;
+  const bool tooFarBehind = replicasWait ? !mayHaveCaughtUp : freshness.isKnownTooOldFor(query.required, now);
+  if (!capacity || tried || tooFarBehind) return;
   if (search.mostAdvanced == nullptr || freshness.position() > search.mostAdvanced->freshness.position())
     search.mostAdvanced = &endpoint;
 }
@@ -199,8 +203,9 @@
   search.bestScore = score;
 }
 
-// Replicas that check reads themselves reject what they are too far behind for, so a guess is safe. Where
-// they wait before they do, a health check comes first.
+// Returns the most advanced replica for a read that no replica is known to be fresh enough for, or nullptr.
+// This is safe only if replicas check reads themselves and reject those that they are too far behind for. If
+// they wait before they reject, a health check is preferred.
 EndpointState* EndpointSelection::selectMostAdvanced(const ReplicaQuery& query,
                                                      const ReplicaSearch& search) const {
   const PolicySettings& settings = context_.settings();
@@ -212,7 +217,8 @@
   return search.mostAdvanced;
 }
 
-// A short wait for a health check spares the primary a read. Without a primary positions stand still.
+// Returns whether the read waits for a health check, and starts the check if needed. A short wait keeps the
+// read off the primary. Without a primary, positions do not advance, so no check is started for them.
 bool EndpointSelection::waitsForHealthCheck(const ReplicaQuery& query, ReplicaSearch& search) {
   if (search.checkCandidate != nullptr && !search.checkInProgress) {
     const bool lacksEvidence = registry_.lacksEvidence(*search.checkCandidate);
@@ -250,7 +256,6 @@
   if (toPrimary) sentWorkToPrimaries_ += work;
 }
 
-// Whether this gateway may put a request on an endpoint beside the load that it has there.
 bool EndpointSelection::hasCapacity(const EndpointState& endpoint, double load,
                                     PendingRequest& request) const {
   const std::size_t classIndex = request.request.classIndex;
@@ -286,8 +291,8 @@
   return context_.now() + static_cast<Micros>(timeout);
 }
 
-// Spread over all replicas, long reads would leave none current. While they can wait they are packed on the
-// first by id, on so many that these carry no more than their even part.
+// Returns how many replicas take long reads. Spread over all replicas, long reads would leave none up to
+// date, so they are packed on the first replicas by id, as many as the share of long reads in the work needs.
 double EndpointSelection::longReadReplicas(const EndpointGroup& group, const EndpointState* primary) const {
   const auto replicas = std::count_if(group.endpoints.begin(), group.endpoints.end(), [&](EndpointId id) {
     const EndpointState& endpoint = registry_.at(id);
@@ -296,7 +301,8 @@
   return std::max(1.0, std::ceil(latency_.longReadShare() * static_cast<double>(replicas)));
 }
 
-// Where traffic between zones has a cost, the endpoints of the own zone make up the first half of the order.
+// Returns the preference of an endpoint, lowest first. If traffic between zones has a cost, the endpoints of
+// this gateway's zone are in the first half of the order.
 double EndpointSelection::preferenceOf(const EndpointState& endpoint) const {
   if (!context_.settings().crossZoneTrafficHasCost) return endpoint.preference;
   const double otherZone = endpoint.info.zone != context_.settings().zone ? 1 : 0;
@@ -304,10 +310,10 @@
 }
 
 double EndpointSelection::scoreOf(const EndpointState& endpoint, const PendingRequest& request, double work) {
-  const double queued = endpoint.inFlight.work / slowStart_.capacityShare(endpoint) + work +
-                        kPreferenceWeight * preferenceOf(endpoint);
-  double score =
-      queued * endpoint.relativeLatency.valueAt(context_.now()) * (1 + kScoreJitter * context_.random());
+  const double expectedLoad = endpoint.inFlight.work / slowStart_.capacityShare(endpoint) + work +
+                              kPreferenceWeight * preferenceOf(endpoint);
+  double score = expectedLoad * endpoint.relativeLatency.valueAt(context_.now()) *
+                 (1 + kScoreJitter * context_.random());
   if (endpoint.listing.unconfirmed) score *= kTriedPenalty;
   for (const AttemptRecord& attempt : request.attempts)
     score *= attempt.endpoint == endpoint.info.id ? kTriedPenalty : 1;
--- a/src/policy/endpoint_selection.h
+++ b/src/policy/endpoint_selection.h
@@ -1,5 +1,5 @@
-// Which endpoint a request goes to: a write or strong read to the primary; any other read to the replica with
-// the least work of this gateway among those that are recent enough, else to the primary.
+// Selects the endpoint for a request: the primary for a write or strong read; for any other read the least
+// loaded replica that is fresh enough, or else the primary.
 #pragma once
 
 #include <optional>
@@ -25,39 +25,38 @@
         slowStart_(slowStart),
         latency_(latency) {}
 
-  // May start a health check that a later selection needs.
-  // @return nullptr  where the request has to wait. Its reason then says why, but for long reads that wait
-  // for
-  //                  the replicas on which they are packed.
+  // Returns the endpoint for a request, or nullptr if the request has to wait; its reason is then set, except
+  // for a long read that waits for the replicas on which long reads are packed. May start a health check that
+  // a later selection needs.
   EndpointState* select(PendingRequest& request, EndpointGroup& group);
-  // Whether an endpoint may still be sent a request that was placed on it a while ago.
+  // Returns whether an endpoint may still get a request for which it was selected earlier.
   bool stillQualifies(const EndpointState& endpoint, const PendingRequest& request);
 
   void observeArrival();
   void observeSent(double work, bool toPrimary);
-  // By when a long read that is sent or answered now lets another one end.
+  // Returns the time by which the next long read should end at an endpoint that gets or answers one now.
   Micros longReadDue(std::size_t classIndex) const;
 
  private:
-  // What a read needs of a replica.
+  // The requirements of a read on a replica.
   struct ReplicaQuery {
     LogPosition required = kNever;
     double work = 0;
     bool isLongRead = false;
-    double longReadReplicas = 0;  // on so many, by id, long reads are packed
-    double waited = 0;            // as a share of the latency objective
+    double longReadReplicas = 0;  // how many replicas, the first by id, take long reads
+    double waited = 0;            // time since arrival, as a share of the latency objective
     Micros recheckAfter = 0;
     const EndpointState* primary = nullptr;
   };
-  // What one pass over a group's replicas has found.
+  // The result of one pass over a group's replicas.
   struct ReplicaSearch {
     EndpointState* best = nullptr;
     double bestScore = 0;
     EndpointState* mostAdvanced = nullptr;    // of those that may be too far behind
     EndpointState* checkCandidate = nullptr;  // a health check may show that it qualifies
     bool checkInProgress = false;
-    double longReadReplica = 0;  // number of the one at hand among those that take long reads
-    // Set: the read waits, unless the primary has capacity to spare and at least this limit.
+    double longReadReplica = 0;  // number of the current one among those that take long reads
+    // If set, the read waits unless the primary has spare capacity and at least this limit.
     std::optional<double> minPrimaryLimit;
   };
 
@@ -68,8 +67,8 @@
   void consider(EndpointState& endpoint, PendingRequest& request, const ReplicaQuery& query,
                 ReplicaSearch& search);
   void considerWithoutEvidence(EndpointState& endpoint, ReplicaSearch& search) const;
-  void considerBehind(EndpointState& endpoint, const PendingRequest& request, const ReplicaQuery& query,
-                      bool capacity, ReplicaSearch& search) const;
+  void considerPossiblyStale(EndpointState& endpoint, const PendingRequest& request,
+                             const ReplicaQuery& query, bool capacity, ReplicaSearch& search) const;
   void considerQualified(EndpointState& endpoint, const PendingRequest& request, const ReplicaQuery& query,
                          ReplicaSearch& search);
   EndpointState* selectReplica(PendingRequest& request, EndpointGroup& group, const EndpointState* primary,
@@ -80,7 +79,8 @@
   EndpointState* selectPrimary(PendingRequest& request, EndpointGroup& group, EndpointState* primary);
   EndpointState* selectForDiscoveringWrite(PendingRequest& request, const EndpointGroup& group);
 
-  // Sets the request's reason where it returns false.
+  // Returns whether this gateway may send the request to an endpoint that has `load` in flight. Sets the
+  // request's reason if not.
   bool hasCapacity(const EndpointState& endpoint, double load, PendingRequest& request) const;
   bool hasSpareCapacity(const EndpointState& primary) const;
   bool primaryHasSpareShare(const EndpointGroup& group) const;
@@ -95,7 +95,7 @@
   HealthCheckScheduler& healthChecks_;
   const SlowStart& slowStart_;
   const LatencyEstimator& latency_;
-  // Work that was sent of late, in usual requests, and how much of it to primaries.
+  // Work sent recently, in average requests, and the part of it that went to primaries.
   double sentWork_ = 0;
   double sentWorkToPrimaries_ = 0;
 };
--- a/src/policy/endpoint_state.h
+++ b/src/policy/endpoint_state.h
@@ -1,5 +1,5 @@
-// What a gateway keeps of each endpoint and group. Each part names the class that mainly updates it;
-// AttemptObserver updates several.
+// State of each endpoint and group. Each struct names the class that mainly updates it; AttemptObserver
+// updates several.
 #pragma once
 
 #include <cstdint>
@@ -17,32 +17,32 @@
 
 namespace heathflow::policy {
 
-// What the endpoint list says of an endpoint. Updated by EndpointRegistry.
+// An endpoint's state according to the endpoint list. Updated by EndpointRegistry.
 struct ListingState {
   bool usable = false;       // requests may be sent to it
-  bool draining = false;     // listed so since its last start
-  bool unconfirmed = false;  // where the list is only advice: nothing else has shown that it exists
+  bool draining = false;     // listed as draining since its last start
+  bool unconfirmed = false;  // the list is only advisory, and nothing else has shown that it exists
   Micros listedAt = kNever;
-  std::uint64_t listNumber = 0;  // of the newest list that names it
+  std::uint64_t listNumber = 0;  // of the newest list that contains it
 };
 
-// When an endpoint was known to have which role. Updated by PrimaryTracker, and by EndpointRegistry from the
+// When an endpoint was known to have each role. Updated by PrimaryTracker, and by EndpointRegistry from the
 // list.
 struct RoleState {
   Micros primaryAt = kNever;           // the newest time at which it was the primary
   Micros replicaAt = kNever;           // the newest time at which it was a replica
   Micros reportedAt = kNever;          // when it last reported its role
-  Micros writeRejectedAt = kNever;     // when it rejected a write as no primary, and has taken none since
-  Micros listedPrimarySince = kNever;  // when the list first took it for the primary
+  Micros writeRejectedAt = kNever;     // when it rejected a write as a replica; reset when it serves one
+  Micros listedPrimarySince = kNever;  // since when the list names it as the primary
 
-  // Nothing newer shows that it is a replica.
+  // Returns whether the newest evidence does not show it as a replica.
   bool mayBePrimary() const { return replicaAt == kNever || primaryAt > replicaAt; }
 };
 
 // This gateway's own requests at an endpoint. Updated by RequestDispatcher.
 struct InFlightState {
   int requests = 0;
-  double work = 0;  // in usual requests
+  double work = 0;  // in average requests
   int longReads = 0;
   Micros longReadDue = kNever;  // by when one of the long reads should have ended
 };
@@ -51,23 +51,23 @@
 struct HealthCheckState {
   bool inProgress = false;
   Micros startedAt = kNever;
-  Micros newWorkRefusedAt = kNever;  // when the endpoint rejected a check since it takes nothing new
-  bool connectRejected = false;  // a check is to tell whether an endpoint that rejected a connection is alive
+  Micros newWorkRefusedAt = kNever;  // when the endpoint last rejected a check as starting or draining
+  bool connectRejected = false;      // it rejected a connection, and the next check tells whether it is alive
 };
 
 // Updated by SlowStart.
 struct SlowStartState {
-  DecayingSum sentWork;  // what the endpoint rejected included
-  double growth = 1;     // factor on this gateway's even part, where requests are spaced out
+  DecayingSum sentWork;  // including requests that the endpoint rejected
+  double growth = 1;     // factor on this gateway's share while requests are spaced out
   Micros adjustedAt = kNever;
 };
 
-// The least time without a response after which an endpoint counts as unresponsive.
+// Lower bound of EndpointState::responseTimeout().
 inline constexpr Micros kMinResponseTimeout = 250 * kMillisecond;
 
 struct EndpointState {
   Endpoint info;
-  // This gateway's own order of endpoints, from 0 to 1: among equals the lowest is preferred.
+  // Position in this gateway's own order of endpoints, from 0 to 1; among equals the lowest is preferred.
   double preference = 0;
   ListingState listing;
   RoleState role;
@@ -80,17 +80,17 @@
   EndpointEvidence evidence;
   SlowStartState slowStart;
 
-  // Nothing but an advisory list names it, and it has failed: it is only checked, not used.
+  // Returns whether it is known only from an advisory list and has failed: it is only checked, not used.
   bool isPresumedAbsent() const { return outlier.hasFailed() && listing.unconfirmed; }
-  // Requests in flight; one that has failed gets a single one.
+  // Returns the limit of work in flight; an endpoint that has failed gets at most one request at a time.
   double concurrencyLimit() const {
     return outlier.hasFailed() ? std::min(1.0, limit.value()) : limit.value();
   }
-  // For so long nothing may come from an endpoint before it counts as unresponsive.
+  // Returns the time without any response after which an endpoint counts as unresponsive.
   static Micros responseTimeout(const PolicySettings& settings) {
     return std::max(settings.connectTimeout, kMinResponseTimeout);
   }
-  // Requests are in flight there and nothing has come from it for the response timeout.
+  // Returns whether requests are in flight and nothing has come from it for the response timeout.
   bool isUnresponsive(const PolicyContext& context) const {
     return inFlight.requests > 0 && outlier.isSilentFor(responseTimeout(context.settings()), context.now());
   }
@@ -102,20 +102,20 @@
 
 // The search for a group's primary. Updated by HealthCheckScheduler.
 struct PrimarySearch {
-  Micros startedAt = kNever;     // of the present round
-  Micros allCheckedAt = kNever;  // of the last round that checks all endpoints
-  bool checksAll = false;        // in this round
+  Micros startedAt = kNever;     // start of the current round
+  Micros allCheckedAt = kNever;  // start of the last round that checks all endpoints
+  bool checksAll = false;        // the current round checks all endpoints
 };
 
 // A primary and its replicas.
 struct EndpointGroup {
-  std::vector<EndpointId> endpoints;  // by id, so that their order is the same at every gateway
+  std::vector<EndpointId> endpoints;  // by id, so that their order is the same in every gateway
   Micros primaryAt = kNever;          // the newest time at which any of them was the primary
-  Micros primaryReportedAt = kNever;  // when one last reported to be it
+  Micros primaryReportedAt = kNever;  // when an endpoint last reported to be the primary
   PrimarySearch search;
   RequestQueue queue;
-  DecayingSum answeredWork;     // by endpoints with their full capacity
-  DecayingSum positionedReads;  // of late, reads that need a log position
+  DecayingSum answeredWork;     // answered by endpoints with their full capacity
+  DecayingSum positionedReads;  // recent reads that need a log position
   ServedShare replicasServed;
   ServedShare primaryServed;
   bool queueTimerSet = false;
--- a/src/policy/health_check_scheduler.cpp
+++ b/src/policy/health_check_scheduler.cpp
@@ -9,14 +9,14 @@
 
 // A position is refreshed when it is older than this share of the smallest staleness bound.
 constexpr double kRefreshAgeShare = 0.5;
-// One replica with a known position is enough for so many reads within the bound.
+// Reads within the smallest staleness bound for which one replica with a known position is enough.
 constexpr double kReadsPerReplica = 8;
 
-// For so long an endpoint is not checked that takes nothing new.
+// How long an endpoint that refused new work is not checked.
 constexpr Micros kPauseAfterRefusal = 250 * kMillisecond;
 // How often all endpoints of a group without a primary are checked.
 constexpr Micros kSearchAllInterval = 4 * kPrimarySearchInterval;
-// For so long a search waits for an answer before it checks the next endpoint.
+// How long a search waits for an answer before it checks the next endpoint.
 constexpr Micros kSearchAnswerTimeout = 30 * kMillisecond;
 
 }  // namespace
@@ -55,8 +55,8 @@
   start(*next, neverKnown ? HealthCheckReason::Initial : HealthCheckReason::PrimaryUnknown);
 }
 
-// A check of this round was started just now, or one of the endpoint that was the primary last is in
-// progress, however long that takes.
+// Returns whether a check of this round was started just now, or the last primary is being checked, no matter
+// how long that takes.
 bool HealthCheckScheduler::searchAwaitsAnswer(const EndpointGroup& group) const {
   for (const EndpointId id : group.endpoints) {
     const EndpointState& endpoint = registry_.at(id);
@@ -113,7 +113,8 @@
   }
 }
 
-// The further behind a replica is, the less a check shows that is new.
+// Returns whether a replica's position is due for a check. The further behind a replica is, the less a check
+// helps, so the interval grows with its lag.
 bool HealthCheckScheduler::isRefreshDue(const EndpointState& endpoint, Micros minInterval) const {
   const Micros interval = std::max(minInterval, shareOf(kMinCheckIntervalShare, endpoint.freshness.lag()));
   return context_.now() - endpoint.healthCheck.startedAt >= interval &&
--- a/src/policy/health_check_scheduler.h
+++ b/src/policy/health_check_scheduler.h
@@ -1,4 +1,4 @@
-// Which endpoints get a health check, and when.
+// Decides which endpoints get a health check, and when.
 #pragma once
 
 #include "policy/endpoint_registry.h"
@@ -6,9 +6,9 @@
 
 namespace heathflow::policy {
 
-// The least time between two checks of a position, as a share of the age that the position may have.
+// Minimum time between two checks of a position, as a share of the maximum age of the position.
 inline constexpr double kMinCheckIntervalShare = 0.5;
-// How often a group's endpoints are tried while its primary is not known.
+// Time between two rounds of the search for a group's primary.
 inline constexpr Micros kPrimarySearchInterval = 400 * kMillisecond;
 
 class HealthCheckScheduler {
@@ -16,20 +16,22 @@
   HealthCheckScheduler(PolicyContext& context, EndpointRegistry& registry, PrimaryTracker& primaries)
       : context_(context), registry_(registry), primaries_(primaries) {}
 
-  // @return whether a check was started.
+  // Starts a health check, unless checks are not allowed, one is in progress, or the endpoint is not usable
+  // or refuses new work. Returns whether a check was started.
   bool start(EndpointState& endpoint, HealthCheckReason reason);
-  // Takes in the end of a check, but for what the endpoint reports.
+  // Records the end of a check, without the endpoint's load report.
   void observeEnd(EndpointState& endpoint, const HealthCheckEnded& event);
-  // It rejected a check a moment ago since it takes nothing new; without a pause each rejection would lead to
-  // the next check.
+  // Returns whether the endpoint has just rejected a check because it takes no new work. Without this pause
+  // each rejection would lead to the next check.
   bool refusesNewWork(const EndpointState& endpoint) const;
 
-  // Looks for a group's primary: one endpoint after the other, the most advanced first, for it takes over
-  // when the primary is lost. While nobody is the primary all are checked only from time to time.
+  // Starts the next health check of the search for a group's primary. Endpoints are checked one after the
+  // other, the most advanced first, because it takes over when the primary is lost. While no endpoint is the
+  // primary, only some rounds check all endpoints.
   void findPrimary(EndpointGroup& group);
-  // Keeps the positions of as many replicas known as the reads of late can use.
+  // Keeps the positions of as many replicas up to date as the recent rate of reads needs.
   void refreshPositions(EndpointGroup& group);
-  // Each request adds to the budget of refreshPositions().
+  // Adds to the budget of refreshPositions() for each request.
   void observeArrival();
 
  private:
@@ -37,7 +39,7 @@
   bool searchAwaitsAnswer(const EndpointGroup& group) const;
   bool isRefreshDue(const EndpointState& endpoint, Micros minInterval) const;
 
-  // Checks ahead of reads must not cost more than they save.
+  // Bounds the checks that are made ahead of reads, which must not cost more than they save.
   static constexpr double kBudgetPerRequest = 0.1;
   static constexpr double kMaxBudget = 20;
 
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -11,11 +11,12 @@
 
 constexpr double kClassGain = 0.02;
 constexpr double kArrivalDecay = 0.999;
-// Until answers come, the objectives of classes stand for their work; so many answers outweigh them.
+// Before there are answers, the work of a class is estimated from its latency objective. The estimate has the
+// weight of this many answers.
 constexpr double kObjectiveWeightInAnswers = 2;
-// What a request takes before anything is known, as a share of the smallest objective.
+// Initial latency estimate, as a share of the smallest latency objective.
 constexpr double kInitialLatencyShare = 0.04;
-// The weight, in answers, of a latency that was measured before the start.
+// Weight of PolicySettings::initialLatency, in answers.
 constexpr double kInitialLatencyWeight = 50;
 constexpr double kBoundedLatencyShare = 0.5;
 
@@ -38,12 +39,12 @@
     : context_(context),
       latencies_(context.settings().classes.size()),
       arrivals_(context.settings().classes.size()) {
-  double guess = 0;
-  for (const RequestClassSettings& entry : context.settings().classes) {
-    const double own = kInitialLatencyShare * toDouble(entry.latencyObjective);
-    guess = guess > 0 ? std::min(guess, own) : own;
+  double estimate = 0;
+  for (const RequestClassSettings& requestClass : context.settings().classes) {
+    const double classLatency = kInitialLatencyShare * toDouble(requestClass.latencyObjective);
+    estimate = estimate > 0 ? std::min(estimate, classLatency) : classLatency;
   }
-  fullCapacityLatency_ = MovingAverage(guess, 0);
+  fullCapacityLatency_ = MovingAverage(estimate, 0);
   if (const Micros known = context.settings().initialLatency; known > 0)
     fullCapacityLatency_ = MovingAverage(toDouble(known), kInitialLatencyWeight);
 }
@@ -66,12 +67,13 @@
 }
 
 double LatencyEstimator::workOf(std::size_t classIndex) const {
-  const MovingAverage& own = latencies_[classIndex];
+  const MovingAverage& classLatency = latencies_[classIndex];
   const auto objective = toDouble(context_.classAt(classIndex).latencyObjective);
-  const double guess = objectives_.value() > 0 ? objective / objectives_.value() : 1;
-  if (own.value() <= 0 || latency_.value() <= 0) return guess;
-  return (own.samples() * own.value() / latency_.value() + kObjectiveWeightInAnswers * guess) /
-         (own.samples() + kObjectiveWeightInAnswers);
+  const double estimate = objectives_.value() > 0 ? objective / objectives_.value() : 1;
+  if (classLatency.value() <= 0 || latency_.value() <= 0) return estimate;
+  return (classLatency.samples() * classLatency.value() / latency_.value() +
+          kObjectiveWeightInAnswers * estimate) /
+         (classLatency.samples() + kObjectiveWeightInAnswers);
 }
 
 bool LatencyEstimator::isLongRead(std::size_t classIndex) const {
--- a/src/policy/moving_average.h
+++ b/src/policy/moving_average.h
@@ -1,4 +1,4 @@
-// Averages over what came last.
+// Sums and averages that weight recent samples more.
 #pragma once
 
 #include <algorithm>
@@ -8,10 +8,10 @@
 
 namespace heathflow::policy {
 
-// A sum whose parts decay exponentially with their age.
+// A sum whose amounts decay exponentially with their age.
 class DecayingSum {
  public:
-  // @param timeConstant  the age at which a part counts 1/e.
+  // @param timeConstant  the age at which an added amount counts 1/e.
   double valueAt(Micros now, Micros timeConstant) const {
     if (updatedAt_ == kNever) return 0;
     return value_ * std::exp(-toDouble(now - updatedAt_) / toDouble(timeConstant));
@@ -20,7 +20,7 @@
     value_ = valueAt(now, timeConstant) + amount;
     updatedAt_ = now;
   }
-  // When something was last added; kNever: nothing was.
+  // Returns when something was last added; kNever: never.
   Micros updatedAt() const { return updatedAt_; }
 
  private:
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 constexpr Micros kMaxEjection = 4 * kSecond;
-// Bounds the shift that doubles the time.
+// Bounds the shift that doubles the duration of an ejection.
 constexpr int kMaxEjectionsCounted = 8;
-constexpr int kUselessEndsToFailure = 3;
+constexpr int kUnusableResultsToFailure = 3;
 
 }  // namespace
 
@@ -18,7 +18,7 @@
   presumedDead_ = false;
   connectionReset_ = false;
   ejections_ = 0;
-  uselessEnds_ = 0;
+  unusableResults_ = 0;
 }
 
 void OutlierDetection::observeFirstInFlight(Micros now) { silentSince_ = std::max(silentSince_, now); }
@@ -27,17 +27,17 @@
   presumedDead_ = presumedDead_ || connectionReset_;
   if (now < ejectedUntil_) return;
   ejections_ = std::min(ejections_ + 1, kMaxEjectionsCounted);
-  uselessEnds_ = 0;
+  unusableResults_ = 0;
   ejectedUntil_ = now + std::min(kMaxEjection, kMinEjection << (ejections_ - 1));
 }
 
-void OutlierDetection::observeUselessEnd(Micros now) {
-  if (++uselessEnds_ >= kUselessEndsToFailure) observeFailure(now);
+void OutlierDetection::observeUnusableResult(Micros now) {
+  if (++unusableResults_ >= kUnusableResultsToFailure) observeFailure(now);
 }
 
 void OutlierDetection::forgetFailures() {
   ejections_ = 0;
-  uselessEnds_ = 0;
+  unusableResults_ = 0;
   ejectedUntil_ = kNever;
 }
 
--- a/src/policy/pending_request.h
+++ b/src/policy/pending_request.h
@@ -1,4 +1,4 @@
-// A request that has no final answer yet or still has attempts in flight, and its attempts.
+// A request that has no final answer yet or still has attempts in flight.
 #pragma once
 
 #include <vector>
@@ -10,26 +10,26 @@
 struct AttemptRecord {
   EndpointId endpoint = 0;
   Micros sentAt = 0;
-  double work = 0;  // in usual requests
+  double work = 0;  // in average requests
   bool inFlight = true;
   bool mayHaveRun = true;
-  bool recalled = false;    // cancelled before it was written
-  bool isLongRead = false;  // counts among its endpoint's long reads
+  bool cancelledUnsent = false;  // cancelled by the policy before it was written
+  bool isLongRead = false;       // counts among its endpoint's long reads
 };
 
 struct PendingRequest {
   Request request;
   Micros arrivedAt = 0;
   Micros objectiveEnd = 0;                       // an answer by then has its full value
-  LogPosition token = kNever;                    // the write that a read has to see
-  Consistency consistency = Consistency::Write;  // as it binds this request
+  LogPosition token = kNever;                    // position of the write that a read has to see
+  Consistency consistency = Consistency::Write;  // of the class, adjusted by the session token
   std::vector<AttemptRecord> attempts;
   int attemptsInFlight = 0;
-  double admissionDraw = 0;  // from 0 to 1, at random
+  double admissionDraw = 0;  // random number from 0 to 1
   RejectReason reason = RejectReason::None;
-  bool concluded = false;  // it has its final answer, or nobody waits for one
+  bool finished = false;  // it has its final answer, or needs none any more
   bool queued = false;
-  bool partForwarded = false;  // its client has seen a part of an attempt's response
+  bool partForwarded = false;  // the client has received a part of an attempt's response
 
   bool isWrite() const { return consistency == Consistency::Write; }
   bool needsPrimary() const {
--- a/src/policy/policy_context.h
+++ b/src/policy/policy_context.h
@@ -1,5 +1,5 @@
-// What all parts of the policy share: settings, the time of the event at hand, random draws, and the actions
-// that the event leads to.
+// State shared by all parts of the policy: settings, the time of the current event, random numbers, and the
+// actions that result from the event.
 #pragma once
 
 #include <algorithm>
@@ -17,13 +17,13 @@
 
 inline constexpr Micros kMillisecond = 1000;
 inline constexpr Micros kSecond = 1000 * kMillisecond;
-// Earlier than every clock reading; a reading less this one stays in range.
+// Earlier than any clock reading; subtracting it from a clock reading does not overflow.
 inline constexpr Micros kNever = std::numeric_limits<Micros>::min() / 4;
 
 inline double toDouble(Micros value) { return static_cast<double>(value); }
 inline Micros shareOf(double share, Micros span) { return static_cast<Micros>(share * toDouble(span)); }
 
-// What a timer is for. The subject of its token is given behind each.
+// The purpose of a timer. The comments give the subject that its token carries.
 enum class TimerKind : std::uint64_t {
   RequestExpiry,  // request
   QueueRetry,     // group
@@ -35,17 +35,18 @@
  public:
   PolicyContext(PolicySettings settings, std::uint64_t seed, Micros now, std::vector<Action>& actions)
       : settings_(std::move(settings)), random_(seed), now_(now), actions_(&actions) {
-    for (const RequestClassSettings& entry : settings_.classes) {
-      if (entry.consistency != Consistency::BoundedStaleness || entry.maxStaleness <= 0) continue;
-      smallestStaleness_ =
-          smallestStaleness_ == 0 ? entry.maxStaleness : std::min(smallestStaleness_, entry.maxStaleness);
+    for (const RequestClassSettings& requestClass : settings_.classes) {
+      if (requestClass.consistency != Consistency::BoundedStaleness || requestClass.maxStaleness <= 0)
+        continue;
+      smallestStaleness_ = smallestStaleness_ == 0 ? requestClass.maxStaleness
+                                                   : std::min(smallestStaleness_, requestClass.maxStaleness);
     }
     if (smallestStaleness_ == 0) smallestStaleness_ = kSecond;
   }
   PolicyContext(const PolicyContext&) = delete;
   PolicyContext& operator=(const PolicyContext&) = delete;
 
-  // Begins an event at the given time; its actions go to 'actions'.
+  // Begins an event at the given time; its actions are appended to `actions`.
   void begin(Micros now, std::vector<Action>& actions) {
     now_ = now;
     actions_ = &actions;
@@ -54,12 +55,12 @@
   const PolicySettings& settings() const { return settings_; }
   const RequestClassSettings& classAt(std::size_t index) const { return settings_.classes[index]; }
   Micros now() const { return now_; }
-  // The smallest bound of a class with bounded staleness; a second where there is none.
+  // Returns the smallest bound of the classes with bounded staleness; one second if there is none.
   Micros smallestStaleness() const { return smallestStaleness_; }
-  // The time over which the load of an endpoint in slow start is counted.
+  // Returns the time over which the load of an endpoint in slow start is counted, at least a millisecond.
   Micros overloadWindow() const { return std::max(settings_.overloadWindow, kMillisecond); }
 
-  // A random number from 0 to 1.
+  // Returns a random number from 0 to 1.
   double random() { return uniformUnit(random_()); }
   std::uint64_t randomBits() { return random_(); }
 
--- a/src/policy/primary_tracker.cpp
+++ b/src/policy/primary_tracker.cpp
@@ -13,7 +13,8 @@
     if (!endpoint.listing.usable || endpoint.outlier.isEjected(context_.now()) || endpoint.isPresumedAbsent())
       continue;
     if (wasLastPrimary(endpoint, group) && role.primaryAt > role.replicaAt) return &endpoint;
-    // An old primary answers reads as ever, so its own report that it is none outweighs the list for reads.
+    // A former primary still answers reads, so for reads its own report that it is a replica outweighs the
+    // list.
     const bool listIsNewest = role.listedPrimarySince > std::max(role.reportedAt, group.primaryReportedAt);
     const bool trusted = trustListForWrite || (listIsNewest && (forWrite || role.mayBePrimary()));
     if (role.listedPrimarySince == kNever || !trusted) continue;
@@ -33,7 +34,7 @@
   const Micros within =
       bounded ? context_.classAt(request.request.classIndex).maxStaleness : context_.smallestStaleness();
   const Micros confirmedAt = std::max(endpoint.role.reportedAt, endpoint.role.listedPrimarySince);
-  return confirmedAt > std::max(endpoint.outlier.lastBreakAt(), context_.now() - within);
+  return confirmedAt > std::max(endpoint.outlier.lastConnectionFailureAt(), context_.now() - within);
 }
 
 bool PrimaryTracker::rejectedWrite(const EndpointState& endpoint) const {
@@ -53,7 +54,7 @@
 void PrimaryTracker::observeReport(EndpointState& endpoint, const LoadReport& report) {
   if (report.position) endpoint.freshness.observePosition(*report.position, context_.now());
   // A primary's position is the time of its report, and a replica's report is no older than its position.
-  // Without a position the report may be of any age and counts only while no answer has shown a role.
+  // Without a position the age of the report is not known, so it counts only while no role is known.
   const bool unknown = endpoint.role.replicaAt == kNever && endpoint.role.primaryAt == kNever;
   if (report.role && (report.position || unknown))
     observeRole(endpoint, *report.role, report.position.value_or(context_.now()));
--- a/src/policy/replica_freshness.cpp
+++ b/src/policy/replica_freshness.cpp
@@ -5,9 +5,10 @@
 namespace heathflow::policy {
 namespace {
 
-// What makes a replica lag outlasts the lag: it counts as behind for so many times as long.
+// An observed lag is valid for this multiple of itself, because the cause of a lag lasts longer than the lag.
 constexpr int kLagValidityFactor = 16;
-// How much farther behind a replica counts than a read needs that it rejected.
+// A replica that rejected a read without a position is assumed to lag by this multiple of what the read
+// allows.
 constexpr int kAssumedLagFactor = 2;
 
 }  // namespace
--- a/src/policy/replica_freshness.h
+++ b/src/policy/replica_freshness.h
@@ -1,4 +1,4 @@
-// Which reads a replica is recent enough for: its known log position, and how far it was last known to lag.
+// Decides which reads a replica is fresh enough for, from its known log position and its last known lag.
 #pragma once
 
 #include "policy/pending_request.h"
@@ -6,35 +6,37 @@
 
 namespace heathflow::policy {
 
-// Whether a read may go by a replica's reported lag alone: a wrong guess does no harm, for the replica waits
-// and then rejects, and each answer corrects it.
+// Returns whether the reported lag of a replica is enough to send it a read. A wrong estimate does no harm:
+// the replica waits and then rejects the read, and each answer corrects the estimate.
 inline bool lagIsSufficient(const PolicySettings& settings) {
   return settings.staleReads == StaleReadBehavior::Waits && settings.responsesReportPosition;
 }
 
-// The log position that a replica needs for a read; kNever: any will do.
+// Returns the log position that a replica needs for a read; kNever: any position is enough.
 LogPosition requiredPosition(const PendingRequest& request, const PolicyContext& context);
 
-// What is known of one replica. A position never goes back.
+// The known position and lag of one replica. The position never decreases.
 class ReplicaFreshness {
  public:
   LogPosition position() const { return position_; }
-  // How far it was behind by its last report, or is assumed to be since it rejected a read.
+  // Returns its lag by its last report, or an assumed lag if it has rejected a read since.
   Micros lag() const { return lag_; }
 
   void observePosition(LogPosition position, Micros now);
-  // It rejected a read that needs the given position, and reported none.
+  // Records that it rejected a read that needs the given position, without reporting its own.
   void observeTooOldFor(LogPosition required, Micros now);
 
   bool covers(LogPosition required, const PolicyContext& context) const;
-  // Assumes that its lag has shrunk by half a second in each second since.
+  // Returns whether it may have reached the position. Assumes that the lag has decreased by half a second per
+  // second since it was observed.
   bool mayHaveReached(LogPosition required, Micros now) const;
-  // Its lag was too large, and was observed less long ago than the read may be stale.
+  // Returns whether its last known lag is too large for the read, and was observed more recently than the age
+  // of the required position.
   bool isKnownTooOldFor(LogPosition required, Micros now) const;
 
  private:
   LogPosition position_ = kNever;
-  Micros lag_ = 0;  // with the age of the report
+  Micros lag_ = 0;  // includes the age of the report
   Micros lagObservedAt_ = kNever;
 };
 
--- a/src/policy/request_dispatcher.cpp
+++ b/src/policy/request_dispatcher.cpp
@@ -5,9 +5,9 @@
 namespace heathflow::policy {
 namespace {
 
-// A queue is looked at again so often when nothing else happens.
+// Interval at which a queue is dispatched again if no other event does so.
 constexpr Micros kQueueRetryInterval = 20 * kMillisecond;
-// A session token may have been rounded by so much on its way.
+// A session token may have been rounded by up to this much in transit.
 constexpr Micros kTokenRounding = kMillisecond;
 
 }  // namespace
@@ -31,7 +31,7 @@
 void RequestDispatcher::observeArrival(const RequestArrived& event) {
   const Request& request = event.request;
   if (!isServable(request)) return context_.emit(RejectRequest{request.id, 0});
-  PendingRequest& pending = enter(request);
+  PendingRequest& pending = addRequest(request);
   latency_.observeArrival(request.classIndex);
   selection_.observeArrival();
   healthChecks_.observeArrival();
@@ -46,32 +46,34 @@
   if (served.shedsLoad(pending, context_.classAt(request.classIndex))) {
     served.observe(0);
     pending.reason = RejectReason::LoadShed;
-    conclude(pending);
+    rejectOrFail(pending);
   } else {
-    place(pending, group);
+    dispatch(pending, group);
   }
   eraseIfDone(request.id);
 }
 
-// Groups that only a client names take no memory.
+// Returns whether a request is valid and not too late. Groups that only a client names are not stored, so
+// they use no memory.
 bool RequestDispatcher::isServable(const Request& request) const {
   return request.classIndex < context_.settings().classes.size() && registry_.hasGroup(request.group) &&
          request.deadline > context_.now() && context_.now() < shutdownAt_;
 }
 
-PendingRequest& RequestDispatcher::enter(const Request& request) {
+PendingRequest& RequestDispatcher::addRequest(const Request& request) {
   PendingRequest& pending = requests_.insert_or_assign(request.id, PendingRequest{}).first->second;
-  const RequestClassSettings& entry = context_.classAt(request.classIndex);
+  const RequestClassSettings& requestClass = context_.classAt(request.classIndex);
   pending.request = request;
   pending.arrivedAt = context_.now();
-  const Micros extension = shareOf(entry.objectivePerEstimatedWork, request.estimatedWork.value_or(0));
-  pending.objectiveEnd = std::min(context_.now() + entry.latencyObjective + extension, request.deadline);
-  pending.consistency = entry.consistency;
+  const Micros extension = shareOf(requestClass.objectivePerEstimatedWork, request.estimatedWork.value_or(0));
+  pending.objectiveEnd =
+      std::min(context_.now() + requestClass.latencyObjective + extension, request.deadline);
+  pending.consistency = requestClass.consistency;
   setRequiredToken(pending);
   return pending;
 }
 
-// The write that a read has to see, and the consistency that follows from it.
+// Sets the position of the write that a read has to see, and the consistency that follows from it.
 void RequestDispatcher::setRequiredToken(PendingRequest& pending) {
   const Request& request = pending.request;
   const SessionTokenSource source = context_.settings().sessionTokens;
@@ -79,7 +81,7 @@
     if (source == SessionTokenSource::None) pending.consistency = Consistency::Strong;
     if (source == SessionTokenSource::Gateway) {
       pending.token = tokens_.positionOf(request.session);
-      // A write of the session may have run while its answer is still on its way.
+      // A write of the session may have run while its answer is still in transit.
       if (request.session != 0 && hasWriteInFlight(request.session))
         pending.consistency = Consistency::Strong;
     }
@@ -103,17 +105,18 @@
 
 // ---- Sending and queueing ----
 
-void RequestDispatcher::place(PendingRequest& request, EndpointGroup& group) {
+void RequestDispatcher::dispatch(PendingRequest& request, EndpointGroup& group) {
   if (context_.now() >= retries_.expiresAt(request)) request.reason = RejectReason::DeadlineTooClose;
   if (!retries_.mayAttempt(request, nullptr)) request.reason = RejectReason::NotRetryable;
-  if (request.reason >= RejectReason::DeadlineTooClose) return conclude(request);
+  if (request.reason >= RejectReason::DeadlineTooClose) return rejectOrFail(request);
   if (trySend(request, group)) return;
-  if (request.reason == RejectReason::EndpointListExpired) return conclude(request);
-  // A client's retry has most likely spent its objective: where late answers have no value it never waits,
-  // but for a health check.
-  const RequestClassSettings& entry = context_.classAt(request.request.classIndex);
+  if (request.reason == RejectReason::EndpointListExpired) return rejectOrFail(request);
+  // A client's retry has most likely used up its latency objective: if late answers have no value, it waits
+  // for nothing but a health check.
+  const RequestClassSettings& requestClass = context_.classAt(request.request.classIndex);
   const bool shortWait = request.reason == RejectReason::AwaitingHealthCheck;
-  if (request.request.isClientRetry && entry.lateValueShare <= 0 && !shortWait) return conclude(request);
+  if (request.request.isClientRetry && requestClass.lateValueShare <= 0 && !shortWait)
+    return rejectOrFail(request);
   enqueue(request, group);
 }
 
@@ -129,7 +132,8 @@
   const std::size_t classIndex = request.request.classIndex;
   const double work = latency_.workOf(classIndex);
   const bool wasUnresponsive = endpoint.isUnresponsive(context_);
-  // An endpoint may have lost its role since it last reported; its answer to this request shows it.
+  // An endpoint may have lost its role since it last reported; with `asPrimary` its answer to this request
+  // counts only if it is still the primary.
   const bool isPrimary = &endpoint == primaries_.primaryOf(registry_.groupOf(endpoint.info.group), false);
   const bool asPrimary = request.consistency == Consistency::Strong ||
                          (isPrimary && requiredPosition(request, context_) != kNever);
@@ -145,7 +149,7 @@
   inFlight.work += work;
   selection_.observeSent(work, isPrimary);
   slowStart_.observeSent(endpoint, work);
-  // Writes would never show that an endpoint has become unresponsive with requests in flight.
+  // Writes alone would never detect that an endpoint has become unresponsive with requests in flight.
   const Micros sinceCheck = context_.now() - endpoint.healthCheck.startedAt;
   if (wasUnresponsive && sinceCheck > EndpointState::responseTimeout(context_.settings()))
     healthChecks_.start(endpoint, HealthCheckReason::Unresponsive);
@@ -176,21 +180,22 @@
 
 void RequestDispatcher::dispatchQueued(EndpointGroup& group) {
   if (group.queue.empty()) return;
-  std::vector<bool> blocked(group.queue.classCount(), false);  // by class: the newest can't be sent
+  std::vector<bool> blocked(group.queue.classCount(), false);  // by class: its newest request can't be sent
   while (PendingRequest* request = nextQueued(group, blocked)) {
     const std::size_t classIndex = request->request.classIndex;
     if (trySend(*request, group)) {
       request->queued = false;
       group.queue.popNewest(classIndex);
     } else if (request->reason == RejectReason::EndpointListExpired) {
-      conclude(*request);
+      rejectOrFail(*request);
     } else {
       blocked[classIndex] = true;
     }
   }
 }
 
-// The newest request of each class is considered; the one with the highest value for its work comes first.
+// Returns the queued request with the highest priority among the newest of each class that is not blocked, or
+// nullptr if there is none.
 PendingRequest* RequestDispatcher::nextQueued(EndpointGroup& group, const std::vector<bool>& blocked) {
   PendingRequest* best = nullptr;
   double bestPriority = 0;
@@ -213,7 +218,7 @@
     PendingRequest* request = find(id);
     const bool waits = request != nullptr && request->queued;
     if (waits && context_.now() < retries_.expiresAt(*request)) return;
-    if (waits) conclude(*request);
+    if (waits) rejectOrFail(*request);
     group.queue.popNewest(classIndex);
     eraseIfDone(id);
   }
@@ -221,9 +226,9 @@
 
 double RequestDispatcher::priorityOf(const PendingRequest& request) const {
   const std::size_t classIndex = request.request.classIndex;
-  const RequestClassSettings& entry = context_.classAt(classIndex);
-  const double valueShare = context_.now() > request.objectiveEnd ? entry.lateValueShare : 1.0;
-  return entry.priorityWeight * valueShare / latency_.workOf(classIndex);
+  const RequestClassSettings& requestClass = context_.classAt(classIndex);
+  const double valueShare = context_.now() > request.objectiveEnd ? requestClass.lateValueShare : 1.0;
+  return requestClass.priorityWeight * valueShare / latency_.workOf(classIndex);
 }
 
 // ---- Attempts ----
@@ -238,13 +243,13 @@
   attempt.mayHaveRun = !neverRan(event.outcome) && !event.rolledBack;
   if (EndpointState* endpoint = registry_.find(attempt.endpoint)) releaseEndpoint(*endpoint, *request, event);
   observeSessionWrite(*request, event);
-  if (event.requestFinished) request->concluded = true;
+  if (event.requestFinished) request->finished = true;
   EndpointGroup& group = registry_.groupOf(request->request.group);
-  if (!request->concluded && request->attemptsInFlight == 0) {
+  if (!request->finished && request->attemptsInFlight == 0) {
     if (retries_.takeRetry(*request, attempt, event.outcome))
-      place(*request, group);
+      dispatch(*request, group);
     else
-      conclude(*request);
+      rejectOrFail(*request);
   }
   eraseIfDone(event.request);
   dispatchQueued(group);
@@ -260,23 +265,22 @@
   if (attempt.isLongRead) --inFlight.longReads;
   if (attempt.isLongRead && ok) inFlight.longReadDue = selection_.longReadDue(request.request.classIndex);
   observer_.observeEnd(endpoint, request, event);
-  // While connections are scarce other gateways need those that would stay idle here.
+  // While connections are scarce, other gateways need those that would stay idle here.
   if (ok && observer_.connectionsAreScarce()) context_.emit(CloseIdleConnections{attempt.endpoint});
 }
 
 void RequestDispatcher::observeSessionWrite(const PendingRequest& request, const AttemptEnded& event) {
-  const RequestClassSettings& entry = context_.classAt(request.request.classIndex);
+  const RequestClassSettings& requestClass = context_.classAt(request.request.classIndex);
   const bool mayHaveRun = request.attempts[event.attempt].mayHaveRun;
-  if (!mayHaveRun || entry.consistency != Consistency::Write || request.request.session == 0) return;
-  // Without an answer the write may still be begun until the client gives up, and then takes its time to
-  // commit.
+  if (!mayHaveRun || requestClass.consistency != Consistency::Write || request.request.session == 0) return;
+  // Without an answer the write may still start until the client's deadline, and then needs time to commit.
   const LogPosition latest = event.outcome == AttemptOutcome::Ok
                                  ? event.position.value_or(context_.now())
-                                 : request.request.deadline + entry.latencyObjective;
+                                 : request.request.deadline + requestClass.latencyObjective;
   tokens_.observeWrite(request.request.session, latest, context_.now());
 }
 
-// A client that has seen a part of one response can take no part of another: the request stays there.
+// Cancels the other attempts: a client that has received a part of one response can't be served by another.
 void RequestDispatcher::observePartForwarded(const ResponsePartForwarded& event) {
   PendingRequest* request = find(event.request);
   if (request == nullptr) return;
@@ -284,25 +288,26 @@
   cancelInFlight(*request, event.attempt);
 }
 
-// What allowed an attempt that waited for its connection may no longer hold (a staleness bound, a drain, a
-// lost role). Such an attempt is recalled, and the request placed anew.
+// Checks an attempt that waited for its connection again before it is written: its endpoint may drain, have
+// lost its role or be too stale by now. Such an attempt is cancelled; when it ends, the request is dispatched
+// again.
 void RequestDispatcher::observeAttemptConnected(const AttemptConnected& event) {
   PendingRequest* request = find(event.request);
   if (request == nullptr || event.attempt >= request->attempts.size()) return;
   AttemptRecord& attempt = request->attempts[event.attempt];
   if (!attempt.inFlight) return;
   const EndpointState* endpoint = registry_.find(attempt.endpoint);
-  const bool allowed = endpoint != nullptr && !request->concluded && !request->partForwarded &&
+  const bool allowed = endpoint != nullptr && !request->finished && !request->partForwarded &&
                        selection_.stillQualifies(*endpoint, *request) &&
                        retries_.mayRun(*request, endpoint, event.attempt);
   if (allowed) return;
-  attempt.recalled = true;  // it is not written yet, so that cancelling is always allowed
+  attempt.cancelledUnsent = true;  // not written yet, so cancelling is allowed by all settings
   context_.emit(CancelAttempt{event.request, event.attempt});
 }
 
 // ---- Ends ----
 
-// Work for clients that have disconnected is cancelled where that is allowed.
+// Cancels the attempts of a client that has disconnected, if that is allowed.
 void RequestDispatcher::observeClientDisconnect(RequestId id) {
   if (const PendingRequest* request = find(id)) cancelInFlight(*request);
   finish(id);
@@ -311,7 +316,7 @@
 void RequestDispatcher::finish(RequestId id) {
   PendingRequest* request = find(id);
   if (request == nullptr) return;
-  request->concluded = true;
+  request->finished = true;
   request->queued = false;
   eraseIfDone(id);
 }
@@ -321,7 +326,7 @@
   if (request == nullptr || !request->queued) return;
   const Micros left = retries_.expiresAt(*request) - context_.now();
   if (left > 0) return context_.setTimer(TimerKind::RequestExpiry, id, left);
-  conclude(*request);
+  rejectOrFail(*request);
   eraseIfDone(id);
 }
 
@@ -330,18 +335,18 @@
   context_.setTimer(TimerKind::Shutdown, 0, deadline - context_.now());
 }
 
-void RequestDispatcher::concludeAll() {
+void RequestDispatcher::rejectOrFailAll() {
   for (auto next = requests_.begin(); next != requests_.end();) {
     PendingRequest& request = next++->second;
-    conclude(request);
+    rejectOrFail(request);
     cancelInFlight(request);
     eraseIfDone(request.request.id);
   }
 }
 
-void RequestDispatcher::conclude(PendingRequest& request) {
-  if (request.concluded) return;
-  request.concluded = true;
+void RequestDispatcher::rejectOrFail(PendingRequest& request) {
+  if (request.finished) return;
+  request.finished = true;
   request.queued = false;
   if (!retries_.mayReject(request)) return context_.emit(FailRequest{request.request.id, request.reason});
   const PolicySettings& settings = context_.settings();
@@ -359,7 +364,7 @@
 void RequestDispatcher::eraseIfDone(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
-  if (found->second.concluded && found->second.attemptsInFlight == 0) requests_.erase(found);
+  if (found->second.finished && found->second.attemptsInFlight == 0) requests_.erase(found);
 }
 
 PendingRequest* RequestDispatcher::find(RequestId id) {
--- a/src/policy/request_dispatcher.h
+++ b/src/policy/request_dispatcher.h
@@ -1,4 +1,4 @@
-// The way of a request: it is sent, queued, retried, and ended with its one final answer.
+// Handles a request from arrival to its one final answer: sends, queues and retries it.
 #pragma once
 
 #include <cstddef>
@@ -29,22 +29,22 @@
   void observeAttemptConnected(const AttemptConnected& event);
   void observePartForwarded(const ResponsePartForwarded& event);
   void observeClientDisconnect(RequestId id);
-  // Nothing more is owed for the request.
+  // Marks a request as finished: it needs no further action.
   void finish(RequestId id);
   void observeExpiryTimer(RequestId id);
   void observeQueueTimer(GroupId id);
 
-  // Sends what is queued and can be sent, the most valuable first. Ends what has waited too long, and what
-  // needs an endpoint that lacks evidence while the list has expired.
+  // Sends the queued requests that can be sent, highest priority first. Rejects or fails those that have
+  // expired, and those for which no health check can show that an endpoint of the expired list may be used.
   void dispatchQueued(EndpointGroup& group);
-  // What arrives after the deadline is rejected.
+  // Requests that arrive after the deadline are rejected.
   void startShutdown(Micros deadline);
-  // The deadline of the shutdown has come: everything is rejected or failed.
-  void concludeAll();
+  // Rejects or fails every request, at the deadline of the shutdown.
+  void rejectOrFailAll();
 
  private:
-  // Sends the request, or queues it, or ends it.
-  void place(PendingRequest& request, EndpointGroup& group);
+  // Sends the request, queues it, or rejects or fails it.
+  void dispatch(PendingRequest& request, EndpointGroup& group);
   bool trySend(PendingRequest& request, EndpointGroup& group);
   void send(PendingRequest& request, EndpointState& endpoint);
   void enqueue(PendingRequest& request, EndpointGroup& group);
@@ -54,14 +54,15 @@
   double priorityOf(const PendingRequest& request) const;
 
   bool isServable(const Request& request) const;
-  PendingRequest& enter(const Request& request);
+  PendingRequest& addRequest(const Request& request);
   void setRequiredToken(PendingRequest& pending);
   bool hasWriteInFlight(std::uint64_t session) const;
   void releaseEndpoint(EndpointState& endpoint, const PendingRequest& request, const AttemptEnded& event);
   void observeSessionWrite(const PendingRequest& request, const AttemptEnded& event);
 
-  // Gives the request its one final answer.
-  void conclude(PendingRequest& request);
+  // Ends an unserved request with its one final answer: a rejection if it had no effect or a repeat of it is
+  // harmless, otherwise a failure.
+  void rejectOrFail(PendingRequest& request);
   void cancelInFlight(const PendingRequest& request, std::size_t except = RetryPolicy::kNoAttempt);
   void eraseIfDone(RequestId id);
   PendingRequest* find(RequestId id);
--- a/src/policy/request_queue.h
+++ b/src/policy/request_queue.h
@@ -1,5 +1,5 @@
-// Requests of a group that wait for an endpoint: a LIFO queue for each class. The newest has the best chance
-// to meet its objective, while by age each would be served just too late.
+// Requests of a group that wait for an endpoint: one LIFO queue per class. The newest request has the best
+// chance to meet its latency objective; in FIFO order each would be served just too late.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,23 @@
 
 class RequestQueue {
  public:
-  void setClassCount(std::size_t count) { lines_.resize(count); }
-  std::size_t classCount() const { return lines_.size(); }
+  void setClassCount(std::size_t count) { queues_.resize(count); }
+  std::size_t classCount() const { return queues_.size(); }
 
   bool empty() const { return size_ == 0; }
-  bool empty(std::size_t classIndex) const { return lines_[classIndex].empty(); }
-  RequestId newest(std::size_t classIndex) const { return lines_[classIndex].back(); }
+  bool empty(std::size_t classIndex) const { return queues_[classIndex].empty(); }
+  RequestId newest(std::size_t classIndex) const { return queues_[classIndex].back(); }
   void push(std::size_t classIndex, RequestId request) {
-    lines_[classIndex].push_back(request);
+    queues_[classIndex].push_back(request);
     ++size_;
   }
   void popNewest(std::size_t classIndex) {
-    lines_[classIndex].pop_back();
+    queues_[classIndex].pop_back();
     --size_;
   }
 
  private:
-  std::vector<std::deque<RequestId>> lines_;
+  std::vector<std::deque<RequestId>> queues_;
   std::size_t size_ = 0;
 };
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,5 +1,5 @@
-// Whether a request may have another attempt, and how it may end: no effect may happen twice, and no retries
-// may multiply an overload.
+// Decides whether a request may have another attempt and how it may end. No effect may happen twice, and
+// retries must not amplify an overload.
 #pragma once
 
 #include <cstddef>
@@ -18,22 +18,22 @@
   RetryPolicy(const PolicyContext& context, const LatencyEstimator& latency)
       : context_(context), latency_(latency) {}
 
-  // Whether an attempt may be made, given those before it.
-  // @param target  nullptr: anywhere.
+  // Returns whether a further attempt may be made.
+  // @param target  nullptr: at any endpoint.
   bool mayAttempt(const PendingRequest& request, const EndpointState* target) const;
-  // Whether an attempt may run beside the effects that the others may have had.
-  // @param own  the attempt itself, where it has been made already.
-  bool mayRun(const PendingRequest& request, const EndpointState* target, std::size_t own) const;
-  // Whether the request may be rejected: it had no effect, or a repeat of it is harmless.
+  // Returns whether an attempt may run, given the effects that the other attempts may have had.
+  // @param currentAttempt  index of the attempt itself, or kNoAttempt if it has not been made yet.
+  bool mayRun(const PendingRequest& request, const EndpointState* target, std::size_t currentAttempt) const;
+  // Returns whether the request may be rejected: it had no effect, or a repeat of it is harmless.
   bool mayReject(const PendingRequest& request) const;
-  // When a queued request is ended: just before its deadline, or, where late answers have no value, once its
-  // objective can't be met.
+  // Returns when a queued request expires: just before its deadline, or, if late answers have no value, as
+  // soon as its latency objective can't be met.
   Micros expiresAt(const PendingRequest& request) const;
 
-  // Each request adds to the retry budget, so that retries do not multiply an overload.
+  // Adds to the retry budget for each request, so that retries do not amplify an overload.
   void observeArrival();
-  // Whether a request whose last attempt did not serve it goes on. Takes the retry from the budget, also
-  // where no retry follows after all; requests that are not idempotent may overdraw it.
+  // Returns whether a request whose last attempt did not serve it may be retried, and takes the retry from
+  // the budget, even if no attempt follows. Requests that are not idempotent may overdraw the budget.
   bool takeRetry(const PendingRequest& request, const AttemptRecord& attempt, AttemptOutcome outcome);
 
  private:
@@ -45,7 +45,7 @@
   double budget_ = kMaxBudget;  // in retries
 };
 
-// Whether an attempt that ended so never ran at its endpoint.
+// Returns whether an attempt with this outcome never ran at its endpoint.
 inline bool neverRan(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::Overloaded || outcome == AttemptOutcome::ConnectFailed ||
          outcome == AttemptOutcome::NotSent || outcome == AttemptOutcome::PreconditionFailed;
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -1,4 +1,4 @@
-// Hands each event to the parts of the policy that it concerns.
+// Passes each event to the parts of the policy that handle it.
 #include "policy/routing_policy.h"
 
 #include <utility>
@@ -89,7 +89,7 @@
     case TimerKind::DiscoveryPoll:
       return discovery_.observeTimer(subject);
     case TimerKind::Shutdown:
-      return dispatcher_.concludeAll();
+      return dispatcher_.rejectOrFailAll();
   }
 }
 
--- a/src/policy/session_tokens.h
+++ b/src/policy/session_tokens.h
@@ -1,4 +1,4 @@
-// The log position of each session's last write, where the gateway remembers it.
+// The log position of each session's last write, used with SessionTokenSource::Gateway.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +11,13 @@
 
 class SessionTokens {
  public:
-  // The position that a read of the session has to see; kNever: none.
+  // Returns the position that a read of the session has to see; kNever: none.
   LogPosition positionOf(std::uint64_t session) const;
-  // A write of the session may be committed, at this position at the latest.
+  // Records that a write of the session may have been committed, at this position at the latest.
   void observeWrite(std::uint64_t session, LogPosition latest, Micros now);
 
  private:
-  // Bounds memory: tokens past their lifetime are dropped. A session without a token then needs the newest
+  // Drops tokens past their lifetime, to bound memory. A session without a token then needs the newest
   // position that was dropped.
   void dropOldTokens(Micros now);
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,12 +5,13 @@
 namespace heathflow::policy {
 namespace {
 
-// The share of the allowed overload that this gateway uses, and the most that is of use.
+// The share of PolicySettings::overloadMultiple that this gateway uses, and the maximum of the product.
 constexpr double kAllowanceShare = 0.7;
 constexpr double kMaxAllowance = 1.5;
 constexpr double kFullCapacityWorkGain = 0.01;
 
-// Growth of this gateway's part of an endpoint: an answer is in time within this multiple of its usual time.
+// Growth of this gateway's share of an endpoint in slow start. An answer is in time within this multiple of
+// its expected latency.
 constexpr double kInTimeMultiple = 2;
 constexpr double kGrowthPerWindow = 0.5;
 constexpr double kMaxGrowth = 4;
@@ -32,27 +33,26 @@
   return settings.slowStartInitialShare + (1 - settings.slowStartInitialShare) * progress;
 }
 
-// 1. What endpoints with their full capacity answer for this gateway is its part of what they can do. The
-// work
-//    that it sends to one in slow start, rejected work included, keeps that proportion to its capacity.
-// 2. Where that is less than a request in the window, single light requests are spaced out.
-// 3. A gateway that has little traffic uses its even part of what one core of an endpoint can do.
-// 4. The first request comes at a time of each gateway's own.
+// 1. The work that endpoints with their full capacity answer for this gateway is its share of their capacity.
+//    The work that it sends to one in slow start, including rejected work, keeps that proportion.
+// 2. If that is less than one request per window, single light requests are spaced out.
+// 3. A gateway with little traffic uses an equal share of the capacity of one core of the endpoint.
+// 4. The delay of the first request is scaled by the endpoint's preference, which differs between gateways.
 bool SlowStart::admits(const EndpointState& endpoint, double work) const {
   const double capacity = capacityShare(endpoint);
   if (capacity >= 1) return true;
   const PolicySettings& settings = context_.settings();
   const SlowStartState& state = endpoint.slowStart;
   const auto window = toDouble(context_.overloadWindow());
-  const double own = std::min(kMaxAllowance, kAllowanceShare * settings.overloadMultiple) * capacity *
-                     fullCapacityWork_.value();
-  if (state.sentWork.valueAt(context_.now(), context_.overloadWindow()) + work <= own) return true;
+  const double allowance = std::min(kMaxAllowance, kAllowanceShare * settings.overloadMultiple) * capacity *
+                           fullCapacityWork_.value();
+  if (state.sentWork.valueAt(context_.now(), context_.overloadWindow()) + work <= allowance) return true;
   if (endpoint.inFlight.requests > 0 || work > kHeavyWork) return false;
 
   const double oneCoreCapacity =
       settings.overloadMultiple * capacity * window / latency_.fullCapacityLatency();
   const double share =
-      state.growth * std::max(own, kAllowanceShare * oneCoreCapacity / settings.gatewayCount);
+      state.growth * std::max(allowance, kAllowanceShare * oneCoreCapacity / settings.gatewayCount);
   const Micros startedAt = startOf(endpoint);
   const bool first = state.sentWork.updatedAt() < startedAt;
   const Micros sinceLast = context_.now() - std::max(startedAt, state.sentWork.updatedAt());
