--- a/src/subset/subset.cpp
+++ b/src/subset/subset.cpp
@@ -17,7 +17,7 @@
   for (std::size_t i = 0; i < gateways.size(); ++i)
     scores[i] = {XXH3_64bits_withSeed(gateways[i].data(), gateways[i].size(), seed), i};
   const std::size_t size = std::min(count, scores.size());
-  // Equal hashes, which hardly occur, are ordered by name, so that the order of the input has no effect.
+  // Equal hashes are ordered by name, so that the order of the input has no effect.
   const auto higher = [&](const auto& a, const auto& b) {
     return a.first != b.first ? a.first > b.first : gateways[a.second] < gateways[b.second];
   };
