--- a/tests/decision_recording.h
+++ b/tests/decision_recording.h
@@ -1,5 +1,4 @@
-// Recordings of one gateway's decisions: its events as frames of the simulator's wire, and the replies to
-// them.
+// Recordings of one gateway's decisions: its events as frames of the simulator's protocol, and the replies.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +20,12 @@
   return out + body;
 }
 
-// Keeps of each batch what concerns one instance.
+// Extracts the records of one instance from batches.
 class DecisionRecorder {
  public:
   explicit DecisionRecorder(std::uint32_t instance) : instance_(instance) {}
 
-  // Returns the frame to keep, empty where the batch has nothing for the instance.
+  // Returns the frame to keep, or an empty string if the batch has no events for the instance.
   std::string take(const wirehost::BatchHeader& header, std::string_view body) {
     wirehost::RecordReader reader(body, header.records);
     wirehost::Record record;
@@ -57,11 +56,11 @@
 
  private:
   std::uint32_t instance_;
-  std::string kept_;  // with lists of batches that had nothing else for the instance
+  std::string kept_;  // including lists of earlier batches that had no events for the instance
   std::uint32_t records_ = 0;
 };
 
-// The replies to recorded frames, one after the other.
+// Returns the concatenated replies to recorded frames.
 inline std::string replay(std::string_view events) {
   wirehost::Host host;
   std::string actions;
--- a/tests/policy/admission_control_test.cpp
+++ b/tests/policy/admission_control_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are rejected as they arrive.
+// Tests which requests are rejected on arrival.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
@@ -16,7 +16,7 @@
 TEST(AdmissionControl, RequestsOfUnknownGroupsAndClassesAreRejectedAtOnce) {
   PolicyHarness harness;
   harness.listUsualGroup();
-  // A group that only a client names is neither waited for nor stored.
+  // A group that only a client names is not stored, and its requests are not queued.
   const auto group = harness.sendRequest(kUnsafeWrite, 400 * kMs, {}, 0, 99);
   EXPECT_EQ(harness.rejections(group), 1);
   const auto index = harness.sendRequest(77);
@@ -27,7 +27,7 @@
 
 TEST(AdmissionControl, AnOverloadedGroupShedsMostRequestsUntilItServesAgain) {
   PolicyHarnessWithKnownGroup harness;
-  const auto play = [&harness](bool jammed) {
+  const auto countSent = [&harness](bool overloaded) {
     int sent = 0;
     for (int i = 0; i < 40; ++i) {
       harness.advance(kS);
@@ -39,20 +39,20 @@
         continue;
       }
       ++sent;
-      harness.now += jammed ? 600 * kMs : 50 * kMs;
-      harness.endAttempt(read, 0, jammed ? AttemptOutcome::TimedOut : AttemptOutcome::Ok, Role::Replica, {},
-                         50 * kMs);
+      harness.now += overloaded ? 600 * kMs : 50 * kMs;
+      harness.endAttempt(read, 0, overloaded ? AttemptOutcome::TimedOut : AttemptOutcome::Ok, Role::Replica,
+                         {}, 50 * kMs);
     }
     return sent;
   };
-  EXPECT_EQ(play(false), 40);
-  EXPECT_LT(play(true), 25);
-  EXPECT_GT(play(false), 30);
+  EXPECT_EQ(countSent(false), 40);
+  EXPECT_LT(countSent(true), 25);
+  EXPECT_GT(countSent(false), 30);
 }
 
 TEST(AdmissionControl, AnOverloadDoesNotShedAllRequests) {
   PolicyHarnessWithKnownGroup harness;
-  // So far answers came far too late.
+  // All earlier answers were far too late.
   for (int i = 0; i < 60; ++i) {
     const auto read = harness.sendRequest(kStrongRead);
     harness.endAttempt(read, 0, AttemptOutcome::Ok, Role::Primary, {}, 900 * kMs);
--- a/tests/policy/advisory_removal_test.cpp
+++ b/tests/policy/advisory_removal_test.cpp
@@ -1,4 +1,4 @@
-// Deployments in which the endpoint list is only advice: an endpoint that it leaves out may still be used.
+// Tests deployments whose endpoint list is only advisory: an endpoint that it omits may still be used.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
@@ -43,7 +43,7 @@
   harness.listUsualGroup();
   harness.endAttempt(harness.sendRequest(kEventualRead), 0, AttemptOutcome::Ok, Role::Replica);
   harness.reportUsualState();
-  harness.updateEndpoints({makeEndpoint(1, true), makeEndpoint(3)});  // 2 is left out
+  harness.updateEndpoints({makeEndpoint(1, true), makeEndpoint(3)});  // without endpoint 2
   harness.advance(2 * kS);
   harness.clearActions();
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kEventualRead)), Endpoints{3});
@@ -101,13 +101,13 @@
   harness.updateEndpoints({makeEndpoint(2, false, EndpointStatus::Draining)}, EndpointsChanged::Scope::Delta);
   harness.now += 1800 * kS;
   harness.updateEndpoints({makeEndpoint(2)},
-                          EndpointsChanged::Scope::Delta);  // an old list does not end the drain
+                          EndpointsChanged::Scope::Delta);  // may be an old list: the drain goes on
   for (int i = 0; i < 6; ++i) EXPECT_EQ(harness.sentTo(harness.sendRequest(kEventualRead)), Endpoints{3});
   harness.updateEndpoints({makeEndpoint(1, true), makeEndpoint(3)});
   harness.now += 3700 * kS;
   harness.updateEndpoints({makeEndpoint(1, true), makeEndpoint(3)});
   harness.updateEndpoints({makeEndpoint(2)},
-                          EndpointsChanged::Scope::Delta);  // now it is an endpoint like any other
+                          EndpointsChanged::Scope::Delta);  // forgotten by now: added as a new endpoint
   harness.healthCheckOk(2, Role::Replica, harness.now);
   bool used = false;
   for (int i = 0; i < 6; ++i)
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// How many requests a gateway has in flight at an endpoint.
+// Tests how many requests a gateway has in flight at an endpoint.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
@@ -19,7 +19,7 @@
 }
 
 TEST(ConcurrencyLimit, LateAnswersShrinkTheLimit) {
-  const auto heldAfter = [](Micros elapsed) {
+  const auto queuedAfter = [](Micros elapsed) {
     PolicyHarnessWithKnownGroup harness;
     for (int i = 0; i < 60; ++i) {
       harness.now += kMs;
@@ -30,7 +30,7 @@
     for (int i = 0; i < 40; ++i) harness.sendRequest(kEventualRead);
     return 40 - static_cast<int>(harness.actionsOf<SendAttempt>().size());
   };
-  EXPECT_GT(heldAfter(290 * kMs), heldAfter(20 * kMs));
+  EXPECT_GT(queuedAfter(290 * kMs), queuedAfter(20 * kMs));
 }
 
 TEST(ConcurrencyLimit, ALimitBelowOneSpacesRequestsOut) {
@@ -48,7 +48,7 @@
   EXPECT_LT(sent, 100);
 }
 
-// Failure: hundreds of gateways each send an overloaded endpoint one request now and then.
+// Failure: hundreds of gateways together overload an endpoint although each sends only single requests.
 TEST(ConcurrencyLimit, ManyGatewaysSpaceRequestsOutFurther) {
   const auto sentBy = [](unsigned gateways) {
     PolicySettings settings = makeSettings();
--- a/tests/policy/endpoint_evidence_test.cpp
+++ b/tests/policy/endpoint_evidence_test.cpp
@@ -1,4 +1,4 @@
-// What the policy does once the endpoint list has expired and a drain or a removal may have been missed.
+// Tests the policy after the endpoint list has expired, when it may have missed a drain or a removal.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,13 +11,13 @@
 using Endpoints = std::vector<EndpointId>;
 
 constexpr Micros kHealthCheckMaxAge = 6 * kS;
-constexpr Micros kListAge = 8 * kS;  // since the list was last known to be true
+constexpr Micros kListAge = 8 * kS;  // since the list was last known to be valid
 
 void expireList(PolicyHarness& harness) {
   harness.handle(EndpointListExpired{kHealthCheckMaxAge, harness.now - kListAge});
 }
 
-// All is known of the endpoints, but too long ago to count as evidence.
+// All endpoints have been health checked, but too long ago to count as evidence.
 struct HarnessWithExpiredList : PolicyHarnessWithKnownGroup {
   HarnessWithExpiredList() {
     advance(kHealthCheckMaxAge);
@@ -25,7 +25,7 @@
   }
 };
 
-// An answer to a health check that was sent just now, over a connection of that age.
+// The answer to a health check that was sent 1 ms ago, over a connection of the given age.
 HealthCheckEnded answered(EndpointId endpoint, Micros connectionAge = 100 * kS) {
   HealthCheckEnded out;
   out.endpoint = endpoint;
@@ -41,7 +41,7 @@
   return out;
 }
 
-// Whether the last rejection was for the expired list.
+// Returns whether the reason of the last rejection is the expired list.
 bool rejectedForExpiredList(PolicyHarness& harness) {
   const auto rejected = harness.actionsOf<RejectRequest>();
   return !rejected.empty() && rejected.back().reason == RejectReason::EndpointListExpired;
@@ -95,16 +95,17 @@
   EXPECT_TRUE(harness.sentTo(harness.sendRequest(kUnsafeWrite)).empty());
 }
 
-// Issue 47: the endpoint answers, but may have been removed and restarted since the last list.
+// Failure: the endpoint answers, but may have been removed and restarted since the last list.
 TEST(EndpointEvidence, AConnectionYoungerThanTheListIsNoEvidence) {
   HarnessWithExpiredList harness;
   harness.handle(answered(1, kListAge - kMs));
   const auto write = harness.sendRequest(kUnsafeWrite);
   EXPECT_TRUE(harness.sentTo(write).empty());
-  EXPECT_TRUE(rejectedForExpiredList(harness)) << "at once, for no health check can help";
+  EXPECT_TRUE(rejectedForExpiredList(harness)) << "at once, because no health check can give evidence";
 }
 
-// Soak 40001: the list service may not report a return while it is unreachable.
+// Failure: an endpoint that was removed and restarted while the list service was unreachable is used
+// once its new connection is old enough.
 TEST(EndpointEvidence, ALateConnectionIsNoEvidenceHoweverOldItGrows) {
   HarnessWithExpiredList harness;
   harness.handle(answered(1, kListAge - kMs));
@@ -167,13 +168,13 @@
   const std::size_t before = harness.actionsOf<RejectRequest>().size();
   const auto waiting =
       std::count_if(writes.begin(), writes.end(), [&](RequestId id) { return harness.sentTo(id).empty(); });
-  ASSERT_GT(waiting, 0) << "the primary has its limit";
+  ASSERT_GT(waiting, 0) << "the primary's concurrency limit is reached";
   expireList(harness);
   harness.handle(answered(1, 0));
   EXPECT_EQ(harness.actionsOf<RejectRequest>().size(), before + static_cast<std::size_t>(waiting));
 }
 
-// Without health checks nothing shows a drain or a removal that an expired list has missed.
+// Without health checks nothing shows a drain or a removal that an expired list misses.
 TEST(EndpointEvidence, NothingIsSentWhereHealthChecksAreForbidden) {
   PolicySettings settings = makeSettings();
   settings.healthChecksAllowed = false;
--- a/tests/policy/endpoint_selection_test.cpp
+++ b/tests/policy/endpoint_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which endpoint of a group an attempt goes to.
+// Tests to which endpoint of a group an attempt is sent.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,7 +11,7 @@
 
 using Endpoints = std::vector<EndpointId>;
 
-// The usual settings with a class of long reads behind them.
+// The settings of makeSettings() with an additional class of long reads.
 constexpr std::uint32_t kLongRead = kKeyedWrite + 1;
 PolicySettings settingsWithLongReads(Micros aim, Micros requestTimeout) {
   PolicySettings settings = makeSettings();
@@ -20,7 +20,7 @@
   return settings;
 }
 
-// Short reads of 40 ms and one long one of 900 ms, so that the policy knows which are long.
+// Serves short reads of 40 ms and one long read of 900 ms, so that the policy learns which class is long.
 void serveReads(PolicyHarness& harness, int shortReads) {
   for (int i = 0; i < shortReads; ++i)
     harness.endAttempt(harness.sendRequest(kEventualRead), 0, AttemptOutcome::Ok, Role::Replica, {},
@@ -43,20 +43,21 @@
   for (int i = 0; i < 4; ++i) EXPECT_EQ(harness.sentTo(harness.sendRequest(kLongRead)), Endpoints{2});
 }
 
-// Failure: long reads go on to a replica that has turned slow.
+// Failure: long reads are still sent to a replica that has become slow.
 TEST(EndpointSelection, LongReadsAreNotPackedWhereEarlierOnesAreOverdue) {
   PolicyHarnessWithKnownGroup harness(settingsWithLongReads(8 * kS, 16 * kS));
   serveReads(harness, 2000);
-  const auto stuck = harness.sendRequest(kLongRead, 16 * kS);
+  const auto overdue = harness.sendRequest(kLongRead, 16 * kS);
   const auto other = harness.sendRequest(kLongRead, 16 * kS);
-  EXPECT_EQ(harness.sentTo(stuck), Endpoints{2});
+  EXPECT_EQ(harness.sentTo(overdue), Endpoints{2});
   harness.now += 1700 * kMs;
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kLongRead, 16 * kS)), Endpoints{2})
-      << "less than twice the usual";
+      << "less than twice the average latency";
   harness.now += 200 * kMs;
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kLongRead, 16 * kS)), Endpoints{3});
   harness.endAttempt(other, 0, AttemptOutcome::Ok, Role::Replica, {}, 1900 * kMs);
-  EXPECT_EQ(harness.sentTo(harness.sendRequest(kLongRead, 16 * kS)), Endpoints{2}) << "they end there again";
+  EXPECT_EQ(harness.sentTo(harness.sendRequest(kLongRead, 16 * kS)), Endpoints{2})
+      << "a long read has ended there";
 }
 
 TEST(EndpointSelection, LongReadsUseAsManyReplicasAsTheirShareOfTheWorkNeeds) {
@@ -67,7 +68,7 @@
   for (EndpointId id = 2; id <= 5; ++id) harness.healthCheckOk(id, Role::Replica, harness.now - 100 * kMs);
   std::set<EndpointId> used;
   for (int i = 0; i < 400; ++i) {
-    // One long read of 900 ms for 60 short ones of 40 ms: three eighths of the work, 1.5 even shares of four.
+    // One long read of 900 ms per 60 short reads of 40 ms is 3/8 of the work, so 1.5 of four replicas.
     const bool isHeavy = i % 61 == 60;
     const auto read = harness.sendRequest(isHeavy ? kLongRead : static_cast<std::uint32_t>(kEventualRead));
     const auto to = harness.sentTo(read);
@@ -97,7 +98,8 @@
       const auto first = harness.sendRequest(kEventualRead);
       crossed += harness.sentTo(first) == Endpoints{2} ? 1 : 0;
       EXPECT_EQ(harness.sentTo(harness.sendRequest(kEventualRead)).size(), 1U);
-      EXPECT_NE(harness.sentTo(harness.lastId), harness.sentTo(first)) << "not at the cost of a queue";
+      EXPECT_NE(harness.sentTo(harness.lastId), harness.sentTo(first))
+          << "the replica without a read in flight is used";
     }
     return crossed;
   };
@@ -125,7 +127,7 @@
   EXPECT_TRUE(harness.sentTo(harness.sendRequest(kUnsafeWrite)).empty());
 }
 
-// Failure: endpoints replaced again and again shrink the even share of those that are left.
+// Failure: endpoints that were replaced still count, which shrinks the fair share of the remaining ones.
 TEST(EndpointSelection, RemovedEndpointsDoNotCountForTheEvenShareOfAGroup) {
   PolicyHarnessWithKnownGroup harness;
   std::vector<Endpoint> replaced;
@@ -139,8 +141,8 @@
   harness.endAttempt(harness.sendRequest(kUnsafeWrite), 0, AttemptOutcome::Ok, Role::Primary);
   for (int i = 0; i < 20; ++i)
     harness.endAttempt(harness.sendRequest(kEventualRead), 0, AttemptOutcome::Ok, Role::Replica);
-  // No replica is current enough: a health check is on its way, and an idle primary with less than its share
-  // takes the read.
+  // No replica is fresh enough: a health check is in progress, and an idle primary with less than its fair
+  // share takes the read.
   harness.advance(4 * kS);
   harness.healthCheckOk(1, Role::Primary, harness.now);
   harness.clearActions();
--- a/tests/policy/fleet_faults_test.cpp
+++ b/tests/policy/fleet_faults_test.cpp
@@ -1,5 +1,4 @@
-// A fleet of 60 gateways through the kinds of faults that endpoints, networks and lists have, under a virtual
-// clock, with the real policy.
+// Simulates 60 gateways with the real policy and a virtual clock under faults of endpoints, network and list.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,7 +16,7 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-// Runs for 25 s, with the fault from the 4th to the 14th.
+// Runs for 25 s, with the fault from second 4 to second 14 by default.
 Result runWithFault(FaultEvent::Kind kind, double share, Micros lasts = 10 * kSecond) {
   Plan plan;
   plan.gateways = 60;
@@ -41,15 +40,16 @@
   const char* name;
   FaultEvent::Kind kind;
   double share;
-  double during;  // the least share of answers in time, in the worst five seconds
+  double during;  // least share of answers in time, in the worst window of 5 s
 };
 void PrintTo(const FleetFault& fault, std::ostream* out) { *out << fault.name; }
 
-// The shares are a little under what is reached, so that a change for the worse shows. Where health checks
-// fail no position is known; where the network takes half a latency objective little can be done.
+// The shares are slightly below those that are reached, so that a regression fails the test. Two faults have
+// low shares: if health checks fail, no position is known, and if the network takes half of a latency
+// objective, the policy can do little.
 class FleetFaults : public testing::TestWithParam<FleetFault> {};
 
-TEST_P(FleetFaults, KeepTheShareInTimeAndEnd) {
+TEST_P(FleetFaults, MostRequestsAreServedInTimeAndTheFleetRecovers) {
   const FleetFault& fault = GetParam();
   const Result result = runWithFault(fault.kind, fault.share);
   double worst = 1;
--- a/tests/policy/health_check_scheduler_test.cpp
+++ b/tests/policy/health_check_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// When an endpoint is health checked, and for which reason.
+// Tests when an endpoint is health checked, and for which reason.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
@@ -40,9 +40,9 @@
   const auto read = harness.sendRequest(kSessionRead, 0, 250 * kMs);
   EXPECT_TRUE(harness.sentTo(read).empty());
   ASSERT_EQ(harness.healthChecks(), 1U);
-  const EndpointId asked = harness.actionsOf<StartHealthCheck>()[0].endpoint;
-  harness.healthCheckOk(asked, Role::Replica, harness.now - 20 * kMs);
-  EXPECT_EQ(harness.sentTo(read), Endpoints{asked});
+  const EndpointId checked = harness.actionsOf<StartHealthCheck>()[0].endpoint;
+  harness.healthCheckOk(checked, Role::Replica, harness.now - 20 * kMs);
+  EXPECT_EQ(harness.sentTo(read), Endpoints{checked});
 }
 
 TEST(HealthCheckScheduler, ANewGatewayChecksOneEndpointWhenAReadNeedsAPosition) {
@@ -56,7 +56,7 @@
   EXPECT_EQ(harness.healthChecks(), 1U);
 }
 
-// With reads enough for both replicas, so that these need not wait for a health check each time.
+// There are enough reads that the positions of both replicas are kept up to date.
 TEST(HealthCheckScheduler, ChecksAgainWhenAPositionIsOlderThanHalfTheSmallestBound) {
   PolicyHarnessWithKnownGroup harness;
   for (int i = 0; i < 60; ++i) harness.sendRequest(kBoundedRead);
@@ -144,20 +144,20 @@
   EXPECT_EQ(harness.healthChecks(), 1U);
 }
 
-// Rejected health checks are not repeated at the rate at which they are rejected.
+// Failure: each rejected health check leads to the next one at once.
 TEST(HealthCheckScheduler, AnEndpointThatRejectsHealthChecksIsCheckedLessOften) {
   PolicyHarnessWithKnownGroup harness;
   harness.advance(4 * kS);
   std::size_t seen = harness.healthChecks();
   const auto read = harness.sendRequest(kStrongRead, 3 * kS);
   ASSERT_EQ(newHealthChecks(harness, seen), Endpoints{1});
-  std::size_t asked = 0;
+  std::size_t checked = 0;
   for (int i = 0; i < 100; ++i) {
     harness.handle(refusing(1));
     harness.advance(10 * kMs);
-    for (const EndpointId endpoint : newHealthChecks(harness, seen)) asked += endpoint == 1 ? 1 : 0;
+    for (const EndpointId endpoint : newHealthChecks(harness, seen)) checked += endpoint == 1 ? 1 : 0;
   }
-  EXPECT_LE(asked, 5U);
+  EXPECT_LE(checked, 5U);
   EXPECT_TRUE(harness.sentTo(read).empty());
 }
 
--- a/tests/policy/latency_estimator_test.cpp
+++ b/tests/policy/latency_estimator_test.cpp
@@ -1,4 +1,4 @@
-// What the policy knows of the speed of endpoints and request classes.
+// Tests the effect of the latency estimates of endpoints and request classes.
 #include <gtest/gtest.h>
 
 #include <map>
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// When an endpoint is ejected for failures and how it returns.
+// Tests when an endpoint is ejected for failures and how it returns.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,13 +10,13 @@
 
 using Endpoints = std::vector<EndpointId>;
 
-// Failure: one unreadable answer ejects a primary and starts its slow start.
+// Failure: one malformed answer ejects a primary and starts its slow start.
 TEST(OutlierDetection, AnEndpointIsEjectedOnlyForConsecutiveMalformedAnswers) {
   PolicyHarnessWithKnownGroup harness;
   for (int i = 0; i < 6; ++i) {
     const auto write = harness.sendRequest(kUnsafeWrite);
     ASSERT_EQ(harness.sentTo(write), Endpoints{1}) << i;
-    // Every other one is malformed, and may have run.
+    // Every other answer is malformed, and its write may have run.
     harness.endAttempt(write, 0, i % 2 == 0 ? AttemptOutcome::Malformed : AttemptOutcome::Ok);
     EXPECT_EQ(harness.failures(write), i % 2 == 0 ? 1 : 0);
   }
@@ -77,7 +77,7 @@
       harness.endAttempt(next, 0, AttemptOutcome::Ok, Role::Primary);
       const auto tries = static_cast<std::uint32_t>(harness.sentTo(broken).size());
       if (tries == 2) harness.endAttempt(broken, 1, AttemptOutcome::Ok, Role::Primary);
-      // No slow start: as many at once as before.
+      // There is no slow start: later writes are sent at once.
       for (int n = 0; n < 4; ++n) {
         const auto more = harness.sendRequest(kUnsafeWrite);
         ASSERT_EQ(harness.sentTo(more), Endpoints{1}) << i << " " << n;
@@ -95,7 +95,7 @@
   const auto rejected = harness.sendRequest(kEventualRead);
   const EndpointId endpoint = harness.sentTo(rejected).at(0);
   harness.endAttempt(rejected, 0, AttemptOutcome::ConnectFailed, {}, {}, kMs);
-  EXPECT_TRUE(harness.actionsOf<CloseIdleConnections>().empty());  // it may be dead: a health check decides
+  EXPECT_TRUE(harness.actionsOf<CloseIdleConnections>().empty());  // it may be down: a health check tells
   harness.healthCheckOk(endpoint, Role::Replica, harness.now - 100 * kMs);
   harness.endAttempt(harness.sendRequest(kUnsafeWrite), 0, AttemptOutcome::Ok, Role::Primary, harness.now);
   ASSERT_EQ(harness.actionsOf<CloseIdleConnections>().size(), 1U);
@@ -131,12 +131,12 @@
     harness.advance(2 * kS);
     harness.clearActions();
     harness.healthCheckOk(1, Role::Primary,
-                          harness.now - 200 * kMs);  // its health checks are slow as well, but they pass
+                          harness.now - 200 * kMs);  // its health checks are slow too, but succeed
     const auto write = harness.sendRequest(kUnsafeWrite);
     if (harness.sentTo(write).empty()) continue;
     ++served;
     ASSERT_EQ(harness.sentTo(write), Endpoints{1});
-    harness.now += 600 * kMs;  // past the objective, and still worth a half
+    harness.now += 600 * kMs;  // past the latency objective, with half of the value
     harness.endAttempt(write, 0, AttemptOutcome::Ok, Role::Primary, harness.now, 600 * kMs);
   }
   EXPECT_GE(served, 15);
--- a/tests/policy/primary_tracker_test.cpp
+++ b/tests/policy/primary_tracker_test.cpp
@@ -1,4 +1,4 @@
-// Who is the primary of a group, by its own claims and denials, answers and the endpoint list.
+// Tests which endpoint counts as the primary, from reported roles, answers and the endpoint list.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,20 +31,20 @@
   harness.now += 100 * kMs;
   harness.healthCheckOk(1, Role::Primary, harness.now - 150 * kMs);  // older than the answer
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kStrongRead)), Endpoints{});
-  EXPECT_EQ(harness.sentTo(harness.sendRequest(kUnsafeWrite)), Endpoints{}) << "an older claim";
+  EXPECT_EQ(harness.sentTo(harness.sendRequest(kUnsafeWrite)), Endpoints{})
+      << "the claim is older than the rejection";
   harness.healthCheckOk(1, Role::Primary, harness.now);
-  // A write shows by itself whether the endpoint leads; once it has taken one, strong reads go there too.
+  // A write shows whether the endpoint is the primary; after it served one, strong reads are sent there too.
   const auto write = harness.sendRequest(kUnsafeWrite);
   EXPECT_EQ(harness.sentTo(write), Endpoints{1});
-  const auto waits = harness.sendRequest(kStrongRead);
-  EXPECT_EQ(harness.sentTo(waits), Endpoints{})
-      << "it rejected a write, and its claim is no better than before that";
+  const auto waiting = harness.sendRequest(kStrongRead);
+  EXPECT_EQ(harness.sentTo(waiting), Endpoints{}) << "it rejected a write, and has served none since";
   harness.endAttempt(write, 0, AttemptOutcome::Ok, Role::Primary, harness.now);
-  EXPECT_EQ(harness.sentTo(waits), Endpoints{1});
+  EXPECT_EQ(harness.sentTo(waiting), Endpoints{1});
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kStrongRead)), Endpoints{1});
 }
 
-// Failure: a stale strong read from a primary that hands over: it rejects writes but still claims its role.
+// Failure: a strong read is stale because a primary that hands over rejects writes but still claims its role.
 TEST(PrimaryTracker, StrongReadsWaitWhileAPrimaryHandsOver) {
   PolicyHarnessWithKnownGroup harness;
   harness.endAttempt(harness.sendRequest(kUnsafeWrite), 0, AttemptOutcome::PreconditionFailed, Role::Replica);
@@ -53,13 +53,14 @@
   harness.healthCheckOk(2, Role::Replica, harness.now - 10 * kS);
   harness.healthCheckOk(3, Role::Replica, harness.now - 10 * kS);
   harness.clearActions();
-  const auto fresh = harness.sendRequest(kStrongRead);
-  EXPECT_EQ(harness.sentTo(fresh), Endpoints{});
+  const auto strongRead = harness.sendRequest(kStrongRead);
+  EXPECT_EQ(harness.sentTo(strongRead), Endpoints{});
   harness.healthCheckOk(2, Role::Primary, harness.now + 10 * kMs);
-  EXPECT_EQ(harness.sentTo(fresh), Endpoints{2});
+  EXPECT_EQ(harness.sentTo(strongRead), Endpoints{2});
 }
 
-// Where no other endpoint leads and no write shows the role.
+// Otherwise strong reads would wait for as long as no other endpoint becomes the primary and no write is
+// sent.
 TEST(PrimaryTracker, ARejectedWriteStopsCountingAfterTheSmallestStalenessBound) {
   PolicyHarnessWithKnownGroup harness;
   harness.endAttempt(harness.sendRequest(kUnsafeWrite), 0, AttemptOutcome::PreconditionFailed, Role::Replica);
@@ -77,7 +78,7 @@
   harness.healthCheckOk(2, Role::Primary, harness.now - 10 * kMs);
   harness.healthCheckOk(1, Role::Primary, harness.now - 400 * kMs);
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kUnsafeWrite)), Endpoints{2});
-  // The older claim does not come back when the newer one ends.
+  // The older claim does not become valid again when the newer one ends.
   const auto write = harness.sendRequest(kUnsafeWrite);
   harness.endAttempt(write, 0, AttemptOutcome::PreconditionFailed, Role::Replica);
   EXPECT_EQ(harness.sentTo(write), Endpoints{2});
@@ -91,7 +92,7 @@
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kStrongRead)), Endpoints{2});
 }
 
-// Failure: stale reads from a primary that a late list names and that has since denied its role.
+// Failure: reads are stale because an old list names a primary that has reported the replica role since.
 TEST(PrimaryTracker, ReadsTrustAnEndpointsOwnDenialOverALaterList) {
   PolicyHarnessWithKnownGroup harness;
   harness.now += kS;
@@ -105,25 +106,25 @@
   harness.updateEndpoints({makeEndpoint(2, true), makeEndpoint(3)});
   harness.clearActions();
   const auto bounded = harness.sendRequest(kBoundedRead);
-  const auto fresh = harness.sendRequest(kStrongRead);
+  const auto strongRead = harness.sendRequest(kStrongRead);
   EXPECT_EQ(harness.sentTo(bounded), Endpoints{});
-  EXPECT_EQ(harness.sentTo(fresh), Endpoints{});
+  EXPECT_EQ(harness.sentTo(strongRead), Endpoints{});
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kUnsafeWrite)), Endpoints{2})
       << "a write to a replica is rejected";
   harness.healthCheckOk(2, Role::Primary, harness.now);
-  EXPECT_EQ(harness.sentTo(fresh), Endpoints{2}) << "its own newer claim counts";
+  EXPECT_EQ(harness.sentTo(strongRead), Endpoints{2}) << "the endpoint's own newer report counts";
 }
 
-// Failure: an answer in flight while its endpoint falls counts as a claim newer than the denial.
+// Failure: an answer from before the endpoint lost its role counts as newer than the report of the loss.
 TEST(PrimaryTracker, AClaimInAnAnswerCountsFromItsCommitTime) {
   PolicyHarnessWithKnownGroup harness;
   harness.now += kS;
   const auto write = harness.sendRequest(kUnsafeWrite);
-  const LogPosition stood = harness.now + 10 * kMs;
+  const LogPosition lostRoleAt = harness.now + 10 * kMs;
   harness.now += 15 * kMs;
-  harness.endAttempt(write, 0, AttemptOutcome::Ok, Role::Primary, stood - kMs);
+  harness.endAttempt(write, 0, AttemptOutcome::Ok, Role::Primary, lostRoleAt - kMs);
   harness.now += 4 * kS;
-  harness.healthCheckOk(1, Role::Replica, stood);
+  harness.healthCheckOk(1, Role::Replica, lostRoleAt);
   harness.clearActions();
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kBoundedRead)), Endpoints{});
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kStrongRead)), Endpoints{});
@@ -175,8 +176,8 @@
   for (EndpointId id : {2, 3}) harness.healthCheckOk(id, Role::Replica, harness.now);
   harness.advance(kS);
   harness.clearActions();
-  // Nothing has been answered yet, so that an endpoint in slow start gets nothing; the new primary has to
-  // be found all the same.
+  // Nothing has been answered yet, so an endpoint in slow start gets no requests. The new primary still has
+  // to be found.
   const auto next = harness.sendRequest(kUnsafeWrite);
   EXPECT_TRUE(harness.sentTo(next).empty());
   EXPECT_EQ(harness.healthChecks(), 1U);
@@ -192,13 +193,13 @@
   EXPECT_EQ(harness.sentTo(write), Endpoints{1});
   harness.endAttempt(write, 0, AttemptOutcome::PreconditionFailed, Role::Replica);
   const auto second = harness.sentTo(write);
-  ASSERT_EQ(second.size(), 2U) << "it never ran";
+  ASSERT_EQ(second.size(), 2U) << "retried, because the first attempt never ran";
   harness.endAttempt(write, 1, AttemptOutcome::PreconditionFailed, Role::Replica);
   const auto third = harness.sentTo(write);
   ASSERT_EQ(third.size(), 3U);
-  EXPECT_EQ(std::set<EndpointId>(third.begin(), third.end()).size(), 3U) << "each once";
+  EXPECT_EQ(std::set<EndpointId>(third.begin(), third.end()).size(), 3U) << "each endpoint once";
   harness.endAttempt(write, 2, AttemptOutcome::PreconditionFailed, Role::Replica);
-  EXPECT_EQ(harness.sentTo(write).size(), 3U) << "nobody leads for now";
+  EXPECT_EQ(harness.sentTo(write).size(), 3U) << "no endpoint is the primary at this time";
   harness.advance(450 * kMs);
   EXPECT_EQ(harness.sentTo(write).size(), 4U);
   harness.endAttempt(write, 3, AttemptOutcome::Ok, Role::Primary, harness.now);
@@ -206,7 +207,7 @@
   EXPECT_EQ(harness.healthChecks(), 0U);
 }
 
-// Failure: a stale strong read from a primary that fell with an unanswered request.
+// Failure: a strong read is stale because the primary lost its role while a request went unanswered.
 TEST(PrimaryTracker, AStrongReadChecksAnUnresponsivePrimaryFirst) {
   PolicyHarnessWithKnownGroup harness;
   harness.sendRequest(kUnsafeWrite);
@@ -214,15 +215,15 @@
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kStrongRead)), Endpoints{1}) << "not unresponsive yet";
   harness.now += 100 * kMs;
   harness.clearActions();
-  const auto fresh = harness.sendRequest(kStrongRead);
-  EXPECT_EQ(harness.sentTo(fresh), Endpoints{});
+  const auto strongRead = harness.sendRequest(kStrongRead);
+  EXPECT_EQ(harness.sentTo(strongRead), Endpoints{});
   ASSERT_EQ(harness.healthChecks(), 1U);
   EXPECT_EQ(harness.actionsOf<StartHealthCheck>()[0].endpoint, 1U);
   harness.healthCheckOk(1, Role::Primary, harness.now);
-  EXPECT_EQ(harness.sentTo(fresh), Endpoints{1});
+  EXPECT_EQ(harness.sentTo(strongRead), Endpoints{1});
 }
 
-// Failure: the denial is lost on a broken connection, and reads trust the old claim.
+// Failure: the report of a lost role is lost with its connection, and reads trust the old claim.
 TEST(PrimaryTracker, AReadChecksAPrimaryWhoseClaimIsOlderThanItsBound) {
   PolicyHarnessWithKnownGroup harness;
   harness.advance(3100 * kMs);
@@ -234,9 +235,9 @@
   const auto healthChecks = harness.actionsOf<StartHealthCheck>();
   EXPECT_TRUE(std::any_of(healthChecks.begin(), healthChecks.end(),
                           [](const StartHealthCheck& p) { return p.endpoint == 1; }));
-  const auto fresh = harness.lastId - 1;
+  const auto strongRead = harness.lastId - 1;
   harness.healthCheckOk(1, Role::Primary, harness.now);
-  EXPECT_EQ(harness.sentTo(fresh), Endpoints{1});
+  EXPECT_EQ(harness.sentTo(strongRead), Endpoints{1});
 }
 
 TEST(PrimaryTracker, AReadChecksAPrimaryThatFailedAnAttemptSinceItsClaim) {
@@ -246,15 +247,15 @@
     const auto write = harness.sendRequest(kUnsafeWrite);
     harness.now += 600 * kMs;
     harness.endAttempt(write, 0, outcome);
-    harness.handle(HealthCheckEnded{1, true, kMs, {}});  // it lives, and reports no role
+    harness.handle(HealthCheckEnded{1, true, kMs, {}});  // alive, without a role in its report
     harness.clearActions();
-    const auto fresh = harness.sendRequest(kStrongRead);
-    EXPECT_EQ(harness.sentTo(fresh), Endpoints{});
+    const auto strongRead = harness.sendRequest(kStrongRead);
+    EXPECT_EQ(harness.sentTo(strongRead), Endpoints{});
     ASSERT_GE(harness.healthChecks(), 1U);
     EXPECT_EQ(harness.actionsOf<StartHealthCheck>()[0].endpoint, 1U);
     harness.now += kMs;
     harness.healthCheckOk(1, Role::Primary, harness.now);
-    EXPECT_EQ(harness.sentTo(fresh), Endpoints{1});
+    EXPECT_EQ(harness.sentTo(strongRead), Endpoints{1});
   }
 }
 
--- a/tests/policy/random_events_test.cpp
+++ b/tests/policy/random_events_test.cpp
@@ -1,4 +1,4 @@
-// The rules of the policy under random events, and equal actions for equal seeds.
+// Tests the rules of the policy under random events, and that equal seeds give equal actions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace heathflow::test {
 namespace {
 
-// What has happened to one request.
+// The history of one request.
 struct RequestRecord {
   int answers = 0;
   int attempts = 0;
@@ -27,7 +27,7 @@
   Micros deadline = 0;
 };
 
-// Plays random requests, outcomes, lists and health checks, and checks each action against the rules.
+// Generates random requests, outcomes, lists and health checks, and checks each action against the rules.
 class RandomEvents {
  public:
   RandomEvents(PolicySettings settings, std::uint64_t seed)
@@ -38,12 +38,12 @@
     for (int step = 0; step < 3000; ++step) {
       harness_.now += draw(15 * kMs);
       takeStep();
-      settle();
+      processDueEvents();
       if (testing::Test::HasFatalFailure()) return;
     }
     for (int i = 0; i < 2000; ++i) {
       harness_.now += 5 * kMs;
-      settle();
+      processDueEvents();
     }
     for (const auto& [id, record] : requests_) ASSERT_EQ(record.answers, 1) << "request " << id;
   }
@@ -101,10 +101,10 @@
   void sendRequest() {
     RequestRecord record;
     record.classIndex = static_cast<std::uint32_t>(draw(6));
-    const Micros patience = 200 * kMs + draw(3 * kS);
-    record.deadline = harness_.now + patience;
+    const Micros timeUntilDeadline = 200 * kMs + draw(3 * kS);
+    record.deadline = harness_.now + timeUntilDeadline;
     requests_[harness_.lastId + 1] = record;
-    harness_.sendRequest(record.classIndex, patience,
+    harness_.sendRequest(record.classIndex, timeUntilDeadline,
                          draw(2) == 0 ? std::optional<Micros>(draw(kS)) : std::nullopt,
                          static_cast<std::uint64_t>(draw(5)));
   }
@@ -134,8 +134,8 @@
     harness_.handle(event);
   }
 
-  // Times out what is past its deadline, and fires the timers that are due.
-  void settle() {
+  // Times out attempts whose requests are past their deadline, and fires the timers that are due.
+  void processDueEvents() {
     checkActions();
     for (std::size_t i = inFlight_.size(); i-- > 0;) {
       if (requests_[inFlight_[i].request].deadline <= harness_.now) endAttempt(i, AttemptOutcome::TimedOut);
@@ -171,8 +171,8 @@
   void checkAttempt(const SendAttempt& attempt) {
     RequestRecord& record = requests_[attempt.request];
     const RequestClassSettings& requestClass = settings_.classes[record.classIndex];
-    ASSERT_FALSE(record.ended) << "sent after its end";
-    ASSERT_FALSE(unavailable_.contains(attempt.endpoint)) << "sent to an endpoint that drains or is removed";
+    ASSERT_FALSE(record.ended) << "sent after the request ended";
+    ASSERT_FALSE(unavailable_.contains(attempt.endpoint)) << "sent to a draining or removed endpoint";
     ASSERT_LE(static_cast<unsigned>(++record.attempts), settings_.maxAttempts);
     ASSERT_TRUE(settings_.hedgingAllowed || record.pending == 0);
     ASSERT_TRUE(requestClass.idempotency != Idempotency::None || (!record.mayHaveRun && record.pending == 0));
@@ -225,7 +225,7 @@
   settings.healthChecksAllowed = seed % 4 != 3;
   settings.discoveryIsPolled = seed % 2 == 0;
   settings.hedgingAllowed = seed % 5 == 0;
-  settings.classes[kKeyedWrite].keyWindow = kS;  // shorter than the time of many requests
+  settings.classes[kKeyedWrite].keyWindow = kS;  // shorter than many requests take
   RandomEvents(settings, seed).run();
 }
 
--- a/tests/policy/replica_freshness_test.cpp
+++ b/tests/policy/replica_freshness_test.cpp
@@ -1,4 +1,4 @@
-// Which replicas are current enough for a read: log positions, session tokens and staleness bounds.
+// Tests which replicas are fresh enough for a read, by log position, session token and staleness bound.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -13,7 +13,7 @@
 
 using Endpoints = std::vector<EndpointId>;
 
-// Answers have reported a lag of 100 ms, ten seconds ago.
+// A harness in which answers reported a lag of 100 ms, ten seconds ago.
 class HarnessWithPastAnswers : public PolicyHarness {
  public:
   explicit HarnessWithPastAnswers(PolicySettings settings = settingsWithoutReports())
@@ -35,7 +35,7 @@
   harness.healthCheckOk(2, Role::Replica, harness.now - 3 * kS - 1);
   harness.healthCheckOk(3, Role::Replica, harness.now - 3 * kS);
   for (int i = 0; i < 5; ++i) EXPECT_EQ(harness.sentTo(harness.sendRequest(kBoundedRead)), Endpoints{3});
-  harness.now += 1;  // both are too old now
+  harness.now += 1;  // now both are too old
   EXPECT_NE(harness.sentTo(harness.sendRequest(kBoundedRead)), Endpoints{3});
 }
 
@@ -70,7 +70,7 @@
   EXPECT_EQ(harness.sentTo(none), Endpoints{1});
 }
 
-// Failure: a read of a session misses its write, whose answer is late or lost.
+// Failure: a read of a session does not see the session's write, because the answer to it was late or lost.
 TEST(ReplicaFreshness, SessionReadsGoToThePrimaryWhileAWriteOfTheSessionMayHaveRun) {
   PolicySettings settings = makeSettings();
   settings.sessionTokens = SessionTokenSource::Gateway;
@@ -79,17 +79,17 @@
     PolicyHarnessWithKnownGroup harness(settings);
     const auto write = harness.sendRequest(kUnsafeWrite, kS, {}, 9);
     EXPECT_EQ(harness.sentTo(harness.sendRequest(kSessionRead, 0, {}, 9)), Endpoints{1})
-        << "its answer is outstanding";
+        << "the write has no answer yet";
     EXPECT_NE(harness.sentTo(harness.sendRequest(kSessionRead, 0, {}, 8)), Endpoints{1}) << "another session";
     harness.endAttempt(write, 0, outcome);
     harness.now += 100 * kMs;
     harness.reportUsualState();
     EXPECT_EQ(harness.sentTo(harness.sendRequest(kSessionRead, 0, {}, 9)), Endpoints{1})
-        << "it may still start to run";
+        << "the write may still start to run";
     harness.now += 3 * kS;
     for (const EndpointId endpoint : {2U, 3U}) harness.healthCheckOk(endpoint, Role::Replica, harness.now);
     EXPECT_NE(harness.sentTo(harness.sendRequest(kSessionRead, 0, {}, 9)), Endpoints{1})
-        << "by now replicas would have it";
+        << "by now the replicas have the write if it was committed";
   }
 }
 
@@ -114,7 +114,7 @@
   PolicyHarnessWithKnownGroup harness(settings);
   const auto write = harness.sendRequest(kUnsafeWrite, 0, {}, 42);
   harness.endAttempt(write, 0, AttemptOutcome::Ok, Role::Primary, harness.now - 50 * kMs);
-  // In the same instant: the replicas lag 100 ms and lack that write.
+  // The time has not advanced: the replicas lag 100 ms and lack that write.
   const auto read = harness.sendRequest(kSessionRead, 0, {}, 42);
   const auto other = harness.sendRequest(kSessionRead, 0, {}, 43);
   harness.advance(300 * kMs);
@@ -174,7 +174,7 @@
     harness.endAttempt(write, 0, AttemptOutcome::Ok, Role::Primary, harness.now);
     harness.clearActions();
   }
-  // Session 1 has no token any more, but the replicas are known to lack its write.
+  // The token of session 1 was dropped, but the replicas are known to lack its write.
   harness.healthCheckOk(2, Role::Replica, first - kS);
   harness.healthCheckOk(3, Role::Replica, first - kS);
   const auto lacking = harness.sendRequest(kSessionRead, 0, {}, 1);
@@ -184,11 +184,11 @@
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kSessionRead, 0, {}, 1)), Endpoints{2});
 }
 
-// Failure: a client token is ignored outside session reads; it tightens the bound of any class.
+// Failure: a client token is ignored for classes other than session reads.
 TEST(ReplicaFreshness, AClientTokenBindsReadsOfAnyClass) {
   for (const std::uint32_t index : {kEventualRead, kBoundedRead, kSessionRead}) {
     PolicyHarnessWithKnownGroup harness;
-    // The replicas are 100 ms behind, the write is 50 ms old.
+    // The replicas lag 100 ms, and the write is 50 ms old.
     const auto bound = harness.sendRequest(index, 0, 50 * kMs);
     harness.advance(100 * kMs);
     EXPECT_EQ(harness.sentTo(bound), Endpoints{1}) << index;
@@ -212,7 +212,7 @@
   const auto missed = harness.sendRequest(kBoundedRead);
   const EndpointId behind = harness.sentTo(missed).at(0);
   harness.endAttempt(missed, 0, AttemptOutcome::PreconditionFailed, Role::Replica, harness.now - 5 * kS);
-  const auto goesThere = [&] {
+  const auto isUsed = [&] {
     bool any = false;
     for (int i = 0; i < 4; ++i) {
       const auto read = harness.sendRequest(kBoundedRead);
@@ -222,7 +222,7 @@
     return any;
   };
   harness.now += 79 * kS;
-  EXPECT_FALSE(goesThere());
+  EXPECT_FALSE(isUsed());
   harness.now += 2 * kS;
   const auto one = harness.sendRequest(kBoundedRead);
   const auto two = harness.sendRequest(kBoundedRead);
@@ -245,12 +245,12 @@
   harness.healthCheckOk(1, Role::Primary, harness.now);
   for (const EndpointId endpoint : {2U, 3U})
     harness.healthCheckOk(endpoint, Role::Replica, harness.now - 9 * kS);
-  harness.now += 3500 * kMs;  // longer than the read's bound; at most half of that can be caught up
+  harness.now += 3500 * kMs;  // longer than the bound; the lag shrinks by at most half of that
   harness.healthCheckOk(1, Role::Primary, harness.now);
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kBoundedRead)), Endpoints{1});
 }
 
-// Without a position in the answer the lag is only known to exceed the bound of the read.
+// Without a position in the answer, the lag is only known to exceed the bound of the read.
 TEST(ReplicaFreshness, AFailedPreconditionWithoutAPositionCountsAsLagOfTheReadsBound) {
   PolicySettings settings = settingsWhereReplicasWait();
   settings.responsesReportPosition = false;
@@ -266,10 +266,10 @@
 }
 
 TEST(ReplicaFreshness, SettingsNameTheSourcesOfPositionsAndRoles) {
-  const PolicySettings told = settings::parseSettings(kSettingsText).policy;
-  EXPECT_TRUE(told.healthChecksReportPosition);
-  EXPECT_TRUE(told.healthChecksReportRole);
-  EXPECT_FALSE(told.responsesReportPosition);
+  const PolicySettings reporting = settings::parseSettings(kSettingsText).policy;
+  EXPECT_TRUE(reporting.healthChecksReportPosition);
+  EXPECT_TRUE(reporting.healthChecksReportRole);
+  EXPECT_FALSE(reporting.responsesReportPosition);
   std::string text = kSettingsText;
   const auto replace = [&text](const std::string& what, const std::string& with) {
     const auto at = text.find(what);
@@ -279,16 +279,16 @@
   replace(R"("Fields": ["odd", "x0", "x1"])", R"("Fields": [])");
   replace(R"("CatchUpWait": 0)", R"("CatchUpWait": 20000)");
   replace(R"("Positions": false)", R"("Positions": true)");
-  const PolicySettings silent = settings::parseSettings(text).policy;
-  EXPECT_FALSE(silent.healthChecksReportPosition);
-  EXPECT_FALSE(silent.healthChecksReportRole);
-  EXPECT_TRUE(silent.responsesReportPosition);
-  EXPECT_EQ(silent.catchUpTimeout, 20 * kMs);
-  EXPECT_FALSE(silent.crossZoneTrafficHasCost);
+  const PolicySettings notReporting = settings::parseSettings(text).policy;
+  EXPECT_FALSE(notReporting.healthChecksReportPosition);
+  EXPECT_FALSE(notReporting.healthChecksReportRole);
+  EXPECT_TRUE(notReporting.responsesReportPosition);
+  EXPECT_EQ(notReporting.catchUpTimeout, 20 * kMs);
+  EXPECT_FALSE(notReporting.crossZoneTrafficHasCost);
   replace(R"("Az": 0)", R"("Az": 1, "Charges": {"CrossZone": 0.04})");
-  const PolicySettings priced = settings::parseSettings(text).policy;
-  EXPECT_TRUE(priced.crossZoneTrafficHasCost);
-  EXPECT_EQ(priced.zone, 1U);
+  const PolicySettings charged = settings::parseSettings(text).policy;
+  EXPECT_TRUE(charged.crossZoneTrafficHasCost);
+  EXPECT_EQ(charged.zone, 1U);
 }
 
 }  // namespace
--- a/tests/policy/request_queue_test.cpp
+++ b/tests/policy/request_queue_test.cpp
@@ -1,4 +1,4 @@
-// Requests that wait in the gateway for an endpoint.
+// Tests requests that are queued in the gateway.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which requests may be attempted again, where and for how long.
+// Tests which requests are retried, at which endpoints and for how long.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
@@ -8,17 +8,17 @@
 
 using Endpoints = std::vector<EndpointId>;
 
-// The attempt ran: an idempotent read is retried elsewhere, any other is failed.
+// The attempt ran, so an idempotent read is retried at another endpoint and any other is failed.
 TEST(RetryPolicy, AnAnswerAfterLostLeadershipIsRetriedOnlyWhereIdempotent) {
   auto settings = makeSettings();
   for (const Idempotency effect : {Idempotency::Idempotent, Idempotency::None}) {
     settings.classes[kStrongRead].idempotency = effect;
     PolicyHarnessWithKnownGroup harness(settings);
-    const auto fresh = harness.sendRequest(kStrongRead);
-    harness.endAttempt(fresh, 0, AttemptOutcome::LostLeadership, Role::Replica);
+    const auto strongRead = harness.sendRequest(kStrongRead);
+    harness.endAttempt(strongRead, 0, AttemptOutcome::LostLeadership, Role::Replica);
     harness.healthCheckOk(2, Role::Primary, harness.now);
-    EXPECT_EQ(harness.sentTo(fresh).size(), effect == Idempotency::Idempotent ? 2U : 1U);
-    EXPECT_EQ(harness.failures(fresh), effect == Idempotency::Idempotent ? 0 : 1);
+    EXPECT_EQ(harness.sentTo(strongRead).size(), effect == Idempotency::Idempotent ? 2U : 1U);
+    EXPECT_EQ(harness.failures(strongRead), effect == Idempotency::Idempotent ? 0 : 1);
   }
 }
 
@@ -116,28 +116,28 @@
   harness.endAttempt(read, 0, AttemptOutcome::ConnectionReset);
   harness.advance(kS);
   EXPECT_EQ(harness.sentTo(read).size(), 1U);
-  EXPECT_EQ(harness.rejections(read), 1) << "a retry is harmless";
+  EXPECT_EQ(harness.rejections(read), 1) << "a repeat by the client is harmless";
   EXPECT_EQ(harness.failures(read), 0);
 }
 
 TEST(RetryPolicy, APartlyAnsweredWriteIsFailedAndARolledBackOneRejected) {
   PolicyHarnessWithKnownGroup harness;
-  const auto end = [&](RequestId id, bool undone) {
+  const auto end = [&](RequestId id, bool reverted) {
     AttemptEnded e;
     e.request = id;
     e.outcome = AttemptOutcome::ConnectionReset;
-    e.rolledBack = undone;
+    e.rolledBack = reverted;
     harness.handle(ResponsePartForwarded{id, 0});
     harness.handle(e);
   };
   const auto ran = harness.sendRequest(kUnsafeWrite);
-  const auto undone = harness.sendRequest(kUnsafeWrite);
+  const auto reverted = harness.sendRequest(kUnsafeWrite);
   end(ran, false);
-  end(undone, true);
+  end(reverted, true);
   EXPECT_EQ(harness.failures(ran), 1);
   EXPECT_EQ(harness.rejections(ran), 0);
-  EXPECT_EQ(harness.rejections(undone), 1);
-  EXPECT_EQ(harness.sentTo(undone).size(), 1U);
+  EXPECT_EQ(harness.rejections(reverted), 1);
+  EXPECT_EQ(harness.sentTo(reverted).size(), 1U);
 }
 
 TEST(RetryPolicy, ARolledBackWriteIsRetried) {
@@ -157,14 +157,14 @@
   PolicyHarnessWithKnownGroup harness(settings);
   const auto read = harness.sendRequest(kEventualRead);
   harness.handle(ResponsePartForwarded{read, 0});
-  // An attempt that waits for its connection is not written any more.
+  // An attempt that still waits for its connection is not written.
   harness.handle(AttemptConnected{read, 0});
   const auto cancels = harness.actionsOf<CancelAttempt>();
   ASSERT_EQ(cancels.size(), 1U);
   EXPECT_EQ(cancels[0].request, read);
 }
 
-// Failure: a slow connect lets a retry out after the window in which repeats are discarded.
+// Failure: a slow connect delays a retry past the window in which endpoints discard repeats.
 TEST(RetryPolicy, ARetryIsCancelledWhereItsKeyWindowEndsBeforeItConnects) {
   PolicySettings settings = makeSettings();
   settings.classes[kKeyedWrite].keyWindow = kS;
@@ -181,7 +181,7 @@
   harness.endAttempt(write, 1, AttemptOutcome::NotSent);
   EXPECT_EQ(harness.sentTo(write).size(), 2U);
   EXPECT_EQ(harness.failures(write), 1);
-  EXPECT_EQ(harness.rejections(write), 0) << "the first may have run";
+  EXPECT_EQ(harness.rejections(write), 0) << "the first attempt may have run";
 }
 
 TEST(RetryPolicy, AnAttemptThatNeverRanStartsNoKeyWindow) {
--- a/tests/policy/routing_policy_test.cpp
+++ b/tests/policy/routing_policy_test.cpp
@@ -1,4 +1,4 @@
-// The policy as a whole: the way of a request, timers, discovery and shutdown.
+// Tests the policy as a whole: requests from arrival to answer, timers, discovery and shutdown.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
@@ -27,12 +27,12 @@
   EXPECT_TRUE(asPrimary(harness.sendRequest(kStrongRead)));
   EXPECT_FALSE(asPrimary(harness.sendRequest(kUnsafeWrite)));
   EXPECT_FALSE(asPrimary(harness.sendRequest(kEventualRead)));
-  EXPECT_FALSE(asPrimary(harness.sendRequest(kBoundedRead))) << "a replica covers it";
+  EXPECT_FALSE(asPrimary(harness.sendRequest(kBoundedRead))) << "a replica is fresh enough";
   harness.now += 4 * kS;
   harness.healthCheckOk(1, Role::Primary, harness.now);
   harness.healthCheckOk(2, Role::Replica, harness.now - 10 * kS);
   harness.healthCheckOk(3, Role::Replica, harness.now - 10 * kS);
-  EXPECT_TRUE(asPrimary(harness.sendRequest(kBoundedRead))) << "none does";
+  EXPECT_TRUE(asPrimary(harness.sendRequest(kBoundedRead))) << "no replica is fresh enough";
 }
 
 TEST(RoutingPolicy, ATimeoutAtTheDeadlineIsAnsweredAtOnce) {
@@ -94,7 +94,7 @@
   EXPECT_EQ(harness.actionsOf<CancelAttempt>().size(), 1U);
 }
 
-// Failure: the staleness bound is checked before a slow connect and not when the read is written.
+// Failure: the staleness bound is checked before a slow connect but not again when the read is written.
 TEST(RoutingPolicy, AReadIsCancelledWhereItsEndpointIsTooStaleOnceConnected) {
   PolicyHarness harness;
   harness.listUsualGroup();
@@ -111,7 +111,7 @@
   ASSERT_EQ(harness.actionsOf<CancelAttempt>().size(), 1U);
   EXPECT_EQ(harness.actionsOf<CancelAttempt>()[0].attempt, 0U);
   harness.endAttempt(read, 0, AttemptOutcome::NotSent);
-  EXPECT_EQ(harness.sentTo(read).size(), 2U) << "it is sent elsewhere";
+  EXPECT_EQ(harness.sentTo(read).size(), 2U) << "sent to another endpoint";
   EXPECT_EQ(harness.sentTo(read).back(), 1U);
   EXPECT_EQ(harness.rejections(read) + harness.failures(read), 0);
 }
@@ -135,7 +135,7 @@
   EXPECT_EQ(harness.actionsOf<CancelAttempt>().size(), 1U);
 }
 
-// Failure: requests pending at the end of the process get no answer.
+// Failure: requests that are pending when the process shuts down get no answer.
 TEST(RoutingPolicy, ShutdownAnswersPendingRequestsAndRejectsLaterOnes) {
   PolicyHarnessWithKnownGroup harness;
   const auto write = harness.sendRequest(kUnsafeWrite);
@@ -146,9 +146,9 @@
       harness.failures(write) + harness.rejections(write) + harness.failures(read) + harness.rejections(read),
       0);
   const auto late = harness.sendRequest(kEventualRead);
-  EXPECT_EQ(harness.sentTo(late).size(), 1U) << "until then requests are admitted";
+  EXPECT_EQ(harness.sentTo(late).size(), 1U) << "requests are accepted until the deadline";
   harness.advance(200 * kMs);
-  EXPECT_EQ(harness.failures(write), 1) << "it may have run";
+  EXPECT_EQ(harness.failures(write), 1) << "the write may have run";
   EXPECT_EQ(harness.rejections(read), 1);
   EXPECT_EQ(harness.rejections(late), 1);
   EXPECT_EQ(harness.actionsOf<CancelAttempt>().size(), 3U);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// The limited share of requests that an endpoint gets after its start.
+// Tests the limited share of requests that an endpoint gets after its start.
 #include <gtest/gtest.h>
 
 #include "policy_harness.h"
@@ -6,7 +6,7 @@
 namespace heathflow::test {
 namespace {
 
-// Plays traffic against a group in which endpoint 3 has just started, and counts the attempts that it gets.
+// Sends reads to a group and returns the number of attempts at endpoint 3, which end with `coldOutcome`.
 int attemptsAtEndpoint3(PolicyHarness& harness, AttemptOutcome coldOutcome, int requests,
                         Micros elapsed = 10 * kMs) {
   int sent = 0;
@@ -15,7 +15,7 @@
     harness.healthCheckOk(1, Role::Primary, harness.now);
     harness.healthCheckOk(2, Role::Replica, harness.now);
     harness.healthCheckOk(3, Role::Replica, harness.now);
-    // Two at a time, so that both replicas have something to do.
+    // Two reads at a time, so that both replicas get some.
     const RequestId reads[] = {harness.sendRequest(kEventualRead), harness.sendRequest(kEventualRead)};
     for (const RequestId read : reads) {
       for (std::uint32_t n = 0; n < harness.sentTo(read).size(); ++n) {
@@ -50,8 +50,8 @@
   harness.now += 8 * kS;  // it was down for a while
   harness.updateEndpoints({makeEndpoint(3, false, EndpointStatus::Ready, harness.now)},
                           EndpointsChanged::Scope::Delta);
-  // In one window no more than its multiple of its capacity: a warm one answered 50 a second, it has a fifth
-  // to a third of that.
+  // The limit is the allowed multiple of its capacity per window: at full capacity it answered 50 reads per
+  // second, and in slow start it has a fifth to a third of that.
   EXPECT_LE(attemptsAtEndpoint3(harness, AttemptOutcome::Overloaded, 200), 100);
 }
 
--- a/tests/policy_harness.h
+++ b/tests/policy_harness.h
@@ -1,4 +1,4 @@
-// Drives one RoutingPolicy with a fake clock and collects its actions.
+// A RoutingPolicy with a fake clock, and a record of its actions.
 #pragma once
 
 #include <algorithm>
@@ -65,8 +65,8 @@
   return out;
 }
 
-// Replicas check the staleness of reads themselves and wait a little before they reject one; each answer
-// reports a position.
+// Settings with replicas that check the staleness of reads themselves and wait for a short time before they
+// reject one. Each answer reports a position.
 inline PolicySettings settingsWhereReplicasWait() {
   PolicySettings out = makeSettings();
   out.staleReads = StaleReadBehavior::Waits;
@@ -104,11 +104,11 @@
                        EndpointsChanged::Scope scope = EndpointsChanged::Scope::Full) {
     handle(EndpointsChanged{scope, std::move(endpoints)});
   }
-  // Endpoints 1 (the primary), 2 and 3.
+  // Lists endpoint 1 as the primary and endpoints 2 and 3 as replicas.
   void listUsualGroup() { updateEndpoints({makeEndpoint(1, true), makeEndpoint(2), makeEndpoint(3)}); }
 
-  // @param patience  the time until the deadline; 0: 5 s.
-  RequestId sendRequest(std::uint32_t classIndex, Micros patience = 0,
+  // @param timeUntilDeadline  the time until the deadline; 0: 5 s.
+  RequestId sendRequest(std::uint32_t classIndex, Micros timeUntilDeadline = 0,
                         std::optional<Micros> timeSinceLastWrite = {}, std::uint64_t session = 0,
                         GroupId group = 1) {
     Request request;
@@ -117,7 +117,7 @@
     request.classIndex = classIndex;
     request.session = session;
     request.timeSinceLastWrite = timeSinceLastWrite;
-    request.deadline = now + (patience != 0 ? patience : 5 * kS);
+    request.deadline = now + (timeUntilDeadline != 0 ? timeUntilDeadline : 5 * kS);
     handle(RequestArrived{request});
     return request.id;
   }
@@ -128,14 +128,14 @@
     handle(HealthCheckEnded{endpoint, true, kMs, report});
   }
   void healthCheckFailed(EndpointId endpoint) { handle(HealthCheckEnded{endpoint, false, 250 * kMs, {}}); }
-  // Answers every health check since clearActions(), and those that the answers lead to.
+  // Answers every health check since clearActions(), including those that result from the answers.
   void answerHealthChecks(Role role, LogPosition position) {
     for (std::size_t i = 0; i < actions.size(); ++i) {
       if (const auto* healthCheck = std::get_if<StartHealthCheck>(&actions[i]))
         healthCheckOk(healthCheck->endpoint, role, position);
     }
   }
-  // Reports the roles and recent positions of the usual group.
+  // Reports roles and recent positions of the group of listUsualGroup(), then clears the actions.
   void reportUsualState() {
     healthCheckOk(1, Role::Primary, now);
     healthCheckOk(2, Role::Replica, now - 100 * kMs);
@@ -154,7 +154,7 @@
     event.position = position;
     handle(event);
   }
-  // Moves the clock on, and fires every timer when it is due.
+  // Advances the clock and fires every timer when it is due.
   void advance(Micros span) {
     const Micros until = now + span;
     for (;;) {
@@ -169,7 +169,7 @@
     now = until;
   }
 
-  // The actions of one type since clearActions().
+  // Returns the actions of one type since clearActions().
   template <typename A>
   std::vector<A> actionsOf() const {
     std::vector<A> found;
@@ -178,7 +178,7 @@
     }
     return found;
   }
-  // The endpoints of the request's attempts.
+  // Returns the endpoints of a request's attempts since clearActions().
   std::vector<EndpointId> sentTo(RequestId id) const {
     std::vector<EndpointId> found;
     for (const SendAttempt& attempt : actionsOf<SendAttempt>()) {
@@ -190,7 +190,7 @@
   int failures(RequestId id) const { return countFor<FailRequest>(id); }
   std::size_t healthChecks() const { return actionsOf<StartHealthCheck>().size(); }
 
-  // Drops the actions so far; their timers stay.
+  // Drops the actions so far, but keeps their timers.
   void clearActions() {
     collectTimers();
     actions.clear();
@@ -217,10 +217,10 @@
     }
   }
 
-  std::size_t timersCollected = 0;  // the actions whose timers are in `timers`
+  std::size_t timersCollected = 0;  // number of actions whose timers are in `timers`
 };
 
-// With the usual group, its roles and its positions known.
+// A harness with the group of listUsualGroup(), whose roles and positions are known.
 class PolicyHarnessWithKnownGroup : public PolicyHarness {
  public:
   explicit PolicyHarnessWithKnownGroup(PolicySettings settings = makeSettings(), std::uint64_t seed = 7)
@@ -230,8 +230,8 @@
   }
 };
 
-// The endpoints of the health checks since the last call.
-// @param seen  how many health checks earlier calls have returned; kept up to date here.
+// Returns the endpoints of the health checks since the last call.
+// @param seen  number of health checks that earlier calls returned; updated by the call.
 inline std::vector<EndpointId> newHealthChecks(const PolicyHarness& harness, std::size_t& seen) {
   std::vector<EndpointId> out;
   const auto healthChecks = harness.actionsOf<StartHealthCheck>();
@@ -239,7 +239,7 @@
   return out;
 }
 
-// An answer to a health check from an endpoint that starts or drains.
+// Returns the rejection of a health check by an endpoint that is starting or draining.
 inline HealthCheckEnded refusing(EndpointId endpoint) {
   HealthCheckEnded out;
   out.endpoint = endpoint;
--- a/tests/record_decisions.cpp
+++ b/tests/record_decisions.cpp
@@ -1,8 +1,9 @@
 // Records the decisions of one gateway, and replays a recording.
 //
-//   heathflow_record_decisions record INSTANCE FILE.events   stands in for heathflow_wirehost and keeps one
-//                                                            instance's events
-//   heathflow_record_decisions replay FILE.events FILE.actions   writes the actions that the events lead to
+//   heathflow_record_decisions record INSTANCE FILE.events
+//     Runs in place of heathflow_wirehost and writes the events of one instance to the file.
+//   heathflow_record_decisions replay FILE.events FILE.actions
+//     Writes the actions that result from the events.
 #include <cstdio>
 #include <cstdlib>
 #include <exception>
--- a/tests/subset_test.cpp
+++ b/tests/subset_test.cpp
@@ -1,4 +1,4 @@
-// Which gateways serve a group: balance, and what changes when one goes.
+// Tests which gateways serve a group: the balance, and the changes when a gateway is removed.
 #include "subset/subset.h"
 
 #include <gtest/gtest.h>
@@ -57,7 +57,7 @@
     EXPECT_EQ(std::set<std::size_t>(indexes.begin(), indexes.end()).size(), 20U);
     for (const std::size_t index : indexes) ++groups[index];
   }
-  // 400 groups in rounds of five take every gateway once a round.
+  // 400 groups make 80 rounds of five groups, and each round uses every gateway once.
   ASSERT_EQ(groups.size(), 100U);
   for (const auto& [index, count] : groups) EXPECT_EQ(count, 80) << index;
   EXPECT_TRUE(deterministicSubset(0, 0, 5).empty());
