--- a/src/discovery/cached_list_trust.cpp
+++ b/src/discovery/cached_list_trust.cpp
@@ -3,7 +3,8 @@
 namespace heathflow::discovery {
 namespace {
 
-// A clock may be set back by so much without the list counting as one from the future.
+// A list that appears to be from the future by up to this much is still trusted: the clock may have been set
+// back a little.
 constexpr Micros kClockTolerance = 1'000'000;
 
 }  // namespace
@@ -13,8 +14,8 @@
   CachedListTrust out;
   out.endpoints = true;
   out.drains = true;
-  // After the poll interval there may be another primary, and a write must not go to the old one. Without
-  // health checks the list is the only source of roles.
+  // After the poll interval another endpoint may have become the primary, and a write must not go to the old
+  // one. Without health checks the list is the only source of roles.
   out.roles = age <= settings.maxPollInterval || !settings.healthChecksAllowed;
   return out;
 }
--- a/src/discovery/call_spreading.cpp
+++ b/src/discovery/call_spreading.cpp
@@ -10,12 +10,12 @@
 namespace heathflow::discovery {
 namespace {
 
-// Calls may wait in the service's queue for so long, or for this share of the time for all, so that they need
-// not be spread over all of it.
-constexpr double kQueueTime = 600'000;
-constexpr double kQueueShare = 0.5;
-// First calls are spread over no more than this share of the recovery time, which leaves time to repeat one
-// that fails.
+// Calls need not be spread over the service's whole time for all of them: each may wait in the service's
+// queue for kMaxQueueTime microseconds or, where that is less, for kMaxQueueShare of the whole time.
+constexpr double kMaxQueueTime = 600'000;
+constexpr double kMaxQueueShare = 0.5;
+// First calls are spread over at most this share of the recovery time, which leaves time to repeat a failed
+// call.
 constexpr double kMaxSpreadShare = 0.4;
 
 }  // namespace
@@ -31,8 +31,8 @@
 }
 
 Micros spreadDelay(const std::string& gatewayName, const GatewayFleet& fleet, double callCost) {
-  const double forAll = fleet.serviceTime(callCost);
-  const double window = std::max(kQueueShare * forAll, forAll - kQueueTime);
+  const double totalTime = fleet.serviceTime(callCost);
+  const double window = std::max(kMaxQueueShare * totalTime, totalTime - kMaxQueueTime);
   const double maxWindow = kMaxSpreadShare * static_cast<double>(fleet.recoveryTime());
   const auto bounded = static_cast<Micros>(std::min(window, maxWindow));
   return static_cast<Micros>(spreadPosition(gatewayName) * static_cast<double>(bounded));
--- a/src/discovery/call_spreading.h
+++ b/src/discovery/call_spreading.h
@@ -1,5 +1,5 @@
-// How gateways that start at once, or learn of a move at once, spread their calls of the list service over
-// the time that it needs for all of them. Decisions only.
+// Spreads the calls of gateways that start together, or learn together that the list service has moved, over
+// the time that the service needs for all of them. Pure logic without I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,20 @@
 // The gateways that share a list service.
 struct GatewayFleet {
   unsigned gatewayCount = 1;
-  Micros maxPollInterval = 0;  // the longest time between two polls; 0: not known, watches are the shortest
+  // The longest time between two polls; 0: unknown, and watches are as short as possible.
+  Micros maxPollInterval = 0;
 
-  // The time, in microseconds, that the service needs for one call of each gateway.
+  // Returns the time, in microseconds, that the service needs to answer one call of each gateway.
   double serviceTime(double callCost) const;
-  // Within which a failed call has to be repeated with success: the notification timeout, or the poll
-  // interval where that is shorter.
+  // Returns the time within which a repeated call has to succeed after a failed one: the notification
+  // timeout, or the poll interval if that is shorter.
   Micros recoveryTime() const;
 };
 
-// A gateway's fixed position among all, from 0 to 1: the hash (xxHash) of its name.
+// Returns the fixed position of a gateway among all gateways, from 0 to 1: the hash (xxHash) of its name.
 double spreadPosition(const std::string& gatewayName);
 
-// How long the gateway of that name waits so that the calls of all are spread evenly.
+// Returns how long this gateway delays its call so that the calls of all gateways are spread evenly.
 Micros spreadDelay(const std::string& gatewayName, const GatewayFleet& fleet, double callCost);
 
 }  // namespace heathflow::discovery
--- a/src/discovery/crash_loop_delay.cpp
+++ b/src/discovery/crash_loop_delay.cpp
@@ -7,7 +7,7 @@
 
 constexpr Micros kInitialDelay = 500'000;
 constexpr unsigned kMaxDoublings = 6;
-// The delay stays within this share of the time within which a gateway has to poll.
+// The delay is at most this share of the poll interval.
 constexpr double kPollIntervalShare = 0.5;
 
 }  // namespace
--- a/src/discovery/crash_loop_delay.h
+++ b/src/discovery/crash_loop_delay.h
@@ -1,4 +1,5 @@
-// How long a gateway that crashes soon after each start waits before it calls other systems. Decisions only.
+// Decides how long a gateway that crashes soon after each start waits before it calls other systems. Pure
+// logic without I/O.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +8,10 @@
 
 using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
-// A process that ends before it has run for so long has crashed early.
+// A process that ends within this time of its start has crashed early.
 inline constexpr Micros kEarlyCrashTime = 10'000'000;
 
-// The wait before the first call, after so many early crashes in a row. There is none after a single crash.
+// Returns the delay of the first call after this many early crashes in a row; 0 after a single one.
 Micros crashLoopDelay(unsigned earlyCrashes, Micros maxPollInterval);
 
 }  // namespace heathflow::discovery
--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -1,5 +1,6 @@
 #include "discovery/discovery_call.h"
 
+#include <cstring>
 #include <utility>
 
 namespace heathflow::discovery {
@@ -48,7 +49,8 @@
   stream_ =
       std::make_unique<transport::Stream>(loop_, static_cast<transport::StreamOwner&>(*this), kStreamLimits);
   int error = 0;
-  if (!stream_->connect(socketAddress_, error)) fail(CallFailure::Unreachable, "it can't be reached");
+  if (!stream_->connect(socketAddress_, error))
+    fail(CallFailure::Unreachable, std::string("can't connect: ") + std::strerror(error));
 }
 
 void DiscoveryCall::send() {
@@ -59,7 +61,7 @@
 
 void DiscoveryCall::onInput() {
   if (!inProgress_ || !response_) {
-    // Unrequested input must not be taken for the next answer.
+    // Unsolicited input must not be taken for the response to the next request.
     stream_->close();
     return;
   }
@@ -70,30 +72,31 @@
 
 void DiscoveryCall::onEnd(transport::StreamEnd how) {
   if (!inProgress_) return;
-  // A reused connection may have been closed just as the request went out: try once more, on a new one.
+  // The service may have closed a reused connection just as the request was sent: retry once on a new one.
   if (connectionReused_ && (!response_ || !response_->begun())) {
     connectionReused_ = false;
     return open();
   }
-  if (!response_) return fail(CallFailure::Unreachable, "it can't be reached");
-  // Half a list is not used: a response without a length ends with an orderly close, not with a reset.
+  if (!response_) return fail(CallFailure::Unreachable, "can't connect");
+  // An incomplete list must not be used: a response without a length is complete when the connection is
+  // closed, but not when it is reset.
   if (!response_->begun() || how != transport::StreamEnd::Closed)
-    return fail(CallFailure::ConnectionReset, "its connection broke");
+    return fail(CallFailure::ConnectionReset, "the connection was closed before the response was complete");
   response_->ended();
   finish();
 }
 
 void DiscoveryCall::finish() {
   if (response_->state() == protocol::HttpResponse::State::Malformed)
-    return fail(CallFailure::Malformed, "its response can't be read");
+    return fail(CallFailure::Malformed, "the response is not valid HTTP");
   if (response_->status() != 200) {
     std::optional<Micros> retryAfter;
     if (const auto seconds = response_->retryAfter()) retryAfter = *seconds * kMicrosPerSecond;
-    return fail(CallFailure::Rejected, "status " + std::to_string(response_->status()), retryAfter);
+    return fail(CallFailure::Rejected, "HTTP status " + std::to_string(response_->status()), retryAfter);
   }
   std::string error;
   const auto list = protocol::parseEndpointList(response_->body(), error);
-  if (!list) return fail(CallFailure::Malformed, "its list can't be read: " + error);
+  if (!list) return fail(CallFailure::Malformed, "the endpoint list can't be parsed: " + error);
   inProgress_ = false;
   if (!response_->keepAlive() || !stream_->input().empty()) stream_->close();
   response_.reset();
--- a/src/discovery/discovery_call.h
+++ b/src/discovery/discovery_call.h
@@ -1,4 +1,4 @@
-// One HTTP call to the list service: a request for the endpoint list, and the list or why there is none.
+// One HTTP request to the list service, which results in an endpoint list or an error.
 #pragma once
 
 #include <memory>
@@ -14,16 +14,16 @@
 
 using transport::Micros;
 
-// Why a call brought no list.
+// Describes why a call returned no list.
 struct CallError {
   stats::CallFailure failure = stats::CallFailure::Unreachable;
   std::string message;               // for the log
-  std::optional<Micros> retryAfter;  // the wait that the service requested
+  std::optional<Micros> retryAfter;  // the delay that the service requested
 };
 
 class DiscoveryCall;
 
-// Is called once at each request's end. It may start the call again or retire it there.
+// Receives the result of each request, exactly once. From there it may start the call again or retire it.
 class DiscoveryCallOwner {
  public:
   virtual ~DiscoveryCallOwner() = default;
@@ -36,20 +36,21 @@
   DiscoveryCall(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
                 DiscoveryCallOwner& owner);
 
-  // Sends a request, over the connection of the one before while that is still good.
-  // @param since the service answers with changes after this revision; below 0: with the complete list.
-  // @param wait how long the service waits for a change.
+  // Sends a request, over the connection of the previous one if that is still usable.
+  // @param since the service answers with the changes after this revision; below 0: with the complete list.
+  // @param wait how long the service waits for a change before it answers.
   void start(std::int64_t since, Micros wait);
-  // Closes the connection; the owner is not called any more.
+  // Closes the connection. The owner gets no result.
   void close();
 
   Micros startedAt() const { return startedAt_; }
-  // When the list in the answer is known to have been true: at the call's start, or, where nothing had
-  // changed, at the end of its wait.
-  Micros provenAt(bool changed) const {
+  // Returns the latest time at which the received list is known to have been correct: the start of the call
+  // or, if nothing had changed after the whole wait, the end of the wait.
+  Micros validAsOf(bool changed) const {
     return changed || loop_.now() < startedAt_ + wait_ ? startedAt_ : startedAt_ + wait_;
   }
-  // The service did not have to wait for a change: how long the answer took shows what a call costs.
+  // Returns whether the service answers without waiting for a change. Then the duration of the call shows
+  // what it costs the service.
   bool immediate() const { return immediate_; }
 
  private:
@@ -71,7 +72,7 @@
   Micros wait_ = 0;
   bool immediate_ = false;
   bool inProgress_ = false;
-  bool connectionReused_ = false;  // the request went out on a connection that had carried one before
+  bool connectionReused_ = false;  // the request was sent over a connection that had carried an earlier one
 };
 
 }  // namespace heathflow::discovery
--- a/src/discovery/discovery_schedule.cpp
+++ b/src/discovery/discovery_schedule.cpp
@@ -7,7 +7,8 @@
 namespace heathflow::discovery {
 namespace {
 
-// PROTOCOL: after SIGHUP a gateway counts as notified of the new service's list soon.
+// Limits the delay of the first call to a new address: the gateway counts as notified of the list there
+// kNotificationAfterMove after the reload (SIGHUP).
 constexpr Micros kMaxDelayAfterMove = 1'000'000;
 
 }  // namespace
--- a/src/discovery/discovery_schedule.h
+++ b/src/discovery/discovery_schedule.h
@@ -1,4 +1,5 @@
-// When a gateway calls the list service and for how long it watches. Decisions only, under any one clock.
+// Decides when a gateway calls the list service and how long its watches last. Pure logic without I/O; all
+// times are readings of one clock, which may be any.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +13,12 @@
 namespace heathflow::discovery {
 
 struct DiscoveryScheduleSettings {
-  std::string gatewayName;         // no other gateway has it
+  std::string gatewayName;         // unique among the gateways
   unsigned gatewayCount = 1;       // how many gateways share the service
   bool dedicatedService = false;   // no other gateway calls the service
   Micros maxPollInterval = 0;      // the longest time between two polls
-  std::optional<Micros> callCost;  // what one call costs the service, as an earlier process learned it
-  Micros startDelay = 0;           // there is no call before so much time has passed
+  std::optional<Micros> callCost;  // the cost of one call for the service, as measured by an earlier process
+  Micros startDelay = 0;           // the minimum delay of the first call
   std::uint64_t seed = 0;
 };
 
@@ -27,20 +28,21 @@
 
   bool dedicatedService() const { return settings_.dedicatedService; }
   Micros firstCallAt() const { return firstCallAt_; }
-  // When to call after a call brought no list.
-  // @param retryAfter the wait that the service requested.
+  // Returns when to call again after a failed call.
+  // @param retryAfter the delay that the service requested.
   Micros nextCallAfterFailure(Micros now, CallFailure failure, std::optional<Micros> retryAfter = {});
-  // When to call the service at its new address, of which all gateways learn at once.
+  // Returns when to call the service at its new address. All gateways learn of the address at the same time.
   Micros nextCallAfterMove(Micros now);
 
-  // A call that did not have to wait brought a list after so long.
+  // Records that a call without a wait returned a list.
+  // @param elapsed the duration of the call.
   void callSucceeded(Micros elapsed);
-  // A watch brought a list, which says nothing about the cost of a call.
+  // Records that a watch returned a list. Its duration does not show what a call costs.
   void watchSucceeded();
 
-  // How long the next watch waits for an event.
+  // Returns how long the service waits for a change during the next watch.
   Micros watchDuration() const;
-  // What one call costs the service, for the snapshot.
+  // Returns the cost of one call for the service, to be stored in the snapshot; std::nullopt if unknown.
   std::optional<Micros> callCost() const { return cost_.toCache(); }
 
  private:
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -8,14 +8,15 @@
 
 using stats::Topic;
 using transport::kMicrosPerMilli;
-// PROTOCOL, Discovery: the service counts calls no more than 200 ms apart as one watch. After an unchanged
-// list before half of the wait there is this pause, so that there is no tight loop.
+// The pause after an unchanged list that arrives before half of the wait, which prevents a tight loop. The
+// service treats calls at most 200 ms apart as one continuous watch.
 constexpr Micros kPauseAfterEarlyAnswer = 50'000;
-// Calls that are not watches (the first, after a failure, after a move) wait for no change. Without a
-// revision they request the complete list.
+// The wait of calls that are not watches: the first call and those after a failure or a move. They are
+// answered without waiting for a change; without a revision they request the complete list.
 constexpr Micros kNoWait = kMicrosPerMilli;
-// So many timed-out calls may be open beside the newest one. Closing one loses its position in the service's
-// queue, while an open one may be dead: the service was restarted, or the path to it is cut.
+// The number of timed-out calls that stay open in addition to the newest one. Closing a call gives up its
+// position in the service's queue, while an open one may never be answered: the service may have restarted,
+// or the network path may be broken.
 constexpr std::size_t kMaxOverdueCalls = 2;
 
 std::string millisecondsOf(Micros time) { return std::to_string(time / kMicrosPerMilli) + " ms"; }
@@ -41,7 +42,7 @@
 
 void DiscoveryWatch::subscribe() {
   subscribed_ = true;
-  // A call that is out or scheduled brings the list already.
+  // A call in flight or scheduled will return the list.
   if (calling_ || nextCall_.armed()) return;
   callAt(schedule_.firstCallAt(), kNoWait);
 }
@@ -52,8 +53,8 @@
   nextCall_.arm(at);
 }
 
-// Calls to the old address end here: the complete list of the new one replaces whatever they would bring, and
-// revisions of two services are not comparable.
+// Closes the calls to the old address: the complete list from the new one replaces whatever they would
+// return, and revisions of two services are not comparable.
 void DiscoveryWatch::moveTo(const transport::SocketAddress& socketAddress) {
   if (socketAddress == socketAddress_) return;
   socketAddress_ = socketAddress;
@@ -78,7 +79,8 @@
   newest_->start(revision_, wait);
 }
 
-// Whichever call is answered first has the newest list, because all requested changes after one revision.
+// Uses the first answer and closes all other calls: all of them requested the changes after the same
+// revision, so that the first answer has the newest list.
 void DiscoveryWatch::onList(DiscoveryCall& call, const protocol::EndpointList& list) {
   closeAllExcept(call);
   calling_ = false;
@@ -92,14 +94,14 @@
   }
   recordRecovery();
   const bool changed = list.revision != revision_;
-  lease_.renew(call.provenAt(changed));
+  lease_.renew(call.validAsOf(changed));
   revision_ = list.revision;
   traceList(call, changed);
   const Micros watchDuration = schedule_.watchDuration();
   const bool early = !changed && elapsed < watchDuration / 2;
   onList_(list);
   if (!calling_) callAt(loop_.now() + (early ? kPauseAfterEarlyAnswer : 0), watchDuration);
-  // The routing policy uses this list now. An answer that was long delayed may have expired already.
+  // The routing policy uses this list from now on, although a long delayed one may have expired already.
   expired_ = false;
   leaseChanged();
 }
@@ -110,14 +112,15 @@
   const Micros lasted = loop_.now() - expiredAt_;
   observer_.counters.listsExpiredFor += static_cast<std::uint64_t>(lasted);
   observer_.note(Topic::Discovery,
-                 "the endpoint list is confirmed again, " + millisecondsOf(lasted) + " after it expired");
+                 "the endpoint list is confirmed again " + millisecondsOf(lasted) + " after it expired");
 }
 
 void DiscoveryWatch::traceList(const DiscoveryCall& call, bool changed) {
   if (!observer_.tracing) return;
   observer_.trace(Topic::Discovery,
-                  "revision " + std::to_string(revision_) + (changed ? ", changed" : ", unchanged") +
-                      ", from a " + (call.immediate() ? "call" : "watch") + " of " +
+                  "endpoint list revision " + std::to_string(revision_) +
+                      (changed ? ", changed" : ", unchanged") + ", from a " +
+                      (call.immediate() ? "call" : "watch") + " of " +
                       millisecondsOf(loop_.now() - call.startedAt()) + "; the list expires in " +
                       millisecondsOf(lease_.endsAt() - loop_.now()),
                   {});
@@ -125,11 +128,11 @@
 
 void DiscoveryWatch::onError(DiscoveryCall& call, const CallError& error) {
   if (&call == newest_.get()) return callFailed(error, loop_.now() - call.startedAt());
-  // An overdue call has counted as failed since it timed out.
+  // An overdue call was already counted as failed when it timed out.
   if (auto overdue = takeOverdue(call)) loop_.retire(std::move(overdue));
 }
 
-// Removes and returns an overdue call; null where the call is none of them.
+// Removes and returns an overdue call; returns null if the call is not overdue.
 std::unique_ptr<DiscoveryCall> DiscoveryWatch::takeOverdue(const DiscoveryCall& call) {
   const auto at =
       std::find_if(overdue_.begin(), overdue_.end(), [&](const auto& entry) { return entry.get() == &call; });
@@ -148,15 +151,15 @@
   expired_ = true;
   expiredAt_ = loop_.now();
   ++observer_.counters.listsExpired;
-  observer_.note(Topic::Discovery,
-                 "the endpoint list expired: only endpoints with current evidence of their own get requests "
-                 "(revision " +
-                     std::to_string(revision_) + ", " + std::to_string(failuresInRow_) +
-                     " failed calls in a row)");
+  observer_.note(
+      Topic::Discovery,
+      "the endpoint list expired: until it is confirmed, only endpoints that answered a recent health check "
+      "over a connection older than the list get requests (revision " +
+          std::to_string(revision_) + ", " + std::to_string(failuresInRow_) + " failed calls in a row)");
   onLeaseEnd_(lease_.connectedBefore());
 }
 
-// The call stays open beside the next one.
+// Keeps the call open while the next one is made.
 void DiscoveryWatch::callTimedOut() {
   const Micros elapsed = loop_.now() - newest_->startedAt();
   overdue_.push_back(std::move(newest_));
@@ -165,10 +168,10 @@
     loop_.retire(std::move(overdue_.front()));
     overdue_.erase(overdue_.begin());
   }
-  callFailed({CallFailure::TimedOut, "no answer in time", {}}, elapsed);
+  callFailed({CallFailure::TimedOut, "no response", {}}, elapsed);
 }
 
-// The list is kept, but its lease may end.
+// The list stays in use until its lease ends, which a failure may bring forward.
 void DiscoveryWatch::callFailed(const CallError& error, Micros elapsed) {
   calling_ = false;
   ++failuresInRow_;
@@ -190,13 +193,14 @@
 }
 
 void DiscoveryWatch::logFailure(const CallError& error, Micros elapsed) {
-  observer_.note(Topic::Discovery, "a call to the list service failed: " + error.message + ", " +
-                                       nameOf(error.failure) + " after " + millisecondsOf(elapsed) +
-                                       ", revision " + std::to_string(revision_) + ", the list expires in " +
+  observer_.note(Topic::Discovery, "a call to the list service failed: " + toText(socketAddress_) + ": " +
+                                       error.message + " (" + nameOf(error.failure) + " after " +
+                                       millisecondsOf(elapsed) + "); retrying, endpoint list revision " +
+                                       std::to_string(revision_) + " expires in " +
                                        millisecondsOf(lease_.endsAt() - loop_.now()));
 }
 
-// The remaining call is the newest from then on.
+// Makes the remaining call the newest one.
 void DiscoveryWatch::closeAllExcept(DiscoveryCall& call) {
   if (&call != newest_.get()) {
     if (newest_) overdue_.push_back(std::move(newest_));
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,5 +1,5 @@
 // Keeps the endpoint list current: calls the list service, watches it for changes, and repeats calls that
-// failed or had no answer in time.
+// failed or timed out.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +22,20 @@
  public:
   using OnList = std::function<void(const protocol::EndpointList&)>;
   using OnFailure = std::function<void()>;
-  // The lease on the list has ended, so that the list may lack a change.
-  // @param connectedBefore endpoints with a connection that has stood since then are still in the list;
-  //        nothing: that is known of none.
+  // Called when the lease on the list ends; from then on the list may lack a change that counts.
+  // @param connectedBefore an endpoint with a connection that has been open since then was in the newest list
+  //        and has not been removed since; std::nullopt: that is known of no endpoint.
   using OnLeaseEnd = std::function<void(std::optional<Micros> connectedBefore)>;
 
   DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
                  DiscoverySchedule& schedule, stats::Observer& observer, OnList onList, OnFailure onFailure,
                  OnLeaseEnd onLeaseEnd);
 
-  // The revision of the cached list from which the first call asks for changes.
+  // Sets the revision of the cached list; the first call requests the changes after it.
   void startFrom(std::int64_t revision) { revision_ = revision; }
-  // Calls as soon as the schedule allows, and from then on watches and retries by itself.
+  // Makes the first call when the schedule allows it, and watches and retries from then on.
   void subscribe();
-  // The service is reached at another address from now on; the complete list is requested there.
+  // Switches to a new address of the service and requests the complete list there.
   void moveTo(const transport::SocketAddress& socketAddress);
 
  private:
@@ -63,21 +63,21 @@
   OnList onList_;
   OnFailure onFailure_;
   OnLeaseEnd onLeaseEnd_;
-  std::int64_t revision_ = -1;  // of the current list; below 0: there is none
+  std::int64_t revision_ = -1;  // of the current list; below 0: none
   std::unique_ptr<DiscoveryCall> newest_;
-  // Calls that timed out, the oldest first: a service with a long queue may still answer them.
+  // Calls that timed out, oldest first. A service with a long queue may still answer them.
   std::vector<std::unique_ptr<DiscoveryCall>> overdue_;
   ListLease lease_;
   transport::Timer leaseEnd_;
-  bool expired_ = false;  // the lease has ended, and the routing policy knows
+  bool expired_ = false;  // the lease has ended, and the routing policy was told
   Micros expiredAt_ = 0;
   std::uint64_t failuresInRow_ = 0;
   transport::Timer callTimeout_;  // of the newest call
   transport::Timer nextCall_;
-  Micros nextWait_ = 0;      // of the call that the timer is for
+  Micros nextWait_ = 0;      // of the call that nextCall_ makes
   bool subscribed_ = false;  // the routing policy wants the list
-  bool calling_ = false;     // the newest call is out
-  bool watching_ = false;    // it is a watch
+  bool calling_ = false;     // the newest call is in flight
+  bool watching_ = false;    // the newest call is a watch
 };
 
 }  // namespace heathflow::discovery
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -12,8 +12,8 @@
 using stats::Topic;
 using transport::kMicrosPerMilli;
 using Phase = ListedEndpoint::Phase;
-// With more names than this, removed ones are forgotten, which bounds memory.
-constexpr std::size_t kMaxNamesKept = 4096;
+// Bounds memory: above this number of names, those of removed endpoints are dropped.
+constexpr std::size_t kMaxRetainedNames = 4096;
 
 const char* phaseName(Phase phase) {
   if (phase == Phase::Ready) return "ready";
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-// A name has the same id at every gateway, because the routing policy sorts by it.
+// Derives the id from the name, so that it is the same at every gateway: the routing policy sorts by it.
 EndpointDirectory::Entry& EndpointDirectory::entryFor(const std::string& name) {
   const auto [entry, isNew] = byName_.try_emplace(name);
   if (isNew) {
@@ -40,7 +40,7 @@
 }
 
 void EndpointDirectory::forgetRemoved() {
-  if (byName_.size() <= kMaxNamesKept) return;
+  if (byName_.size() <= kMaxRetainedNames) return;
   std::erase_if(byName_, [this](const auto& entry) {
     if (!entry.second.removed) return false;
     names_.erase(entry.second.id);
@@ -50,8 +50,8 @@
   });
 }
 
-// Where each protocol reaches an endpoint: at the port that the list names, else at the default port of the
-// same machine.
+// Returns the address for each protocol: the port that the list gives for it, otherwise the default port of
+// the same host; std::nullopt if there is neither.
 EndpointDirectory::SocketAddresses EndpointDirectory::addressesOf(
     const ListedEndpoint& listed, const transport::SocketAddress& listedAddress) const {
   const auto ofGroup = portsByGroup_.find(listed.cell);
@@ -62,9 +62,9 @@
                                          [&](const auto& entry) { return entry.first == ports[i].protocol; });
     if (ports[i].atListedAddress) {
       out[i] = listedAddress;
-    } else if (ports[i].spoken && listedPort != listed.ports.end()) {
+    } else if (ports[i].supported && listedPort != listed.ports.end()) {
       out[i] = transport::SocketAddress{listedAddress.address, listedPort->second};
-    } else if (ports[i].spoken && ports[i].defaultPort != 0) {
+    } else if (ports[i].supported && ports[i].defaultPort != 0) {
       out[i] = transport::SocketAddress{listedAddress.address, ports[i].defaultPort};
     }
   }
@@ -75,8 +75,8 @@
   if (entry.phase == listed.phase) return;
   entry.phase = listed.phase;
   if (!observer_.tracing) return;
-  observer_.trace(Topic::Upstream, listed.id + " at " + listed.hostPort + " is " + phaseName(listed.phase),
-                  {});
+  observer_.trace(Topic::Upstream,
+                  "endpoint " + listed.id + " at " + listed.hostPort + " is " + phaseName(listed.phase), {});
 }
 
 Endpoint EndpointDirectory::endpointOf(const ListedEndpoint& listed, EndpointId id) {
@@ -110,7 +110,8 @@
     if (!removed) {
       const auto address = transport::parseSocketAddress(listed.hostPort);
       if (!address) {
-        observer_.note(Topic::Discovery, "an endpoint's address can't be read: " + listed.hostPort);
+        observer_.note(Topic::Discovery, "the address of endpoint " + listed.id +
+                                             " can't be read, ignoring the entry: " + listed.hostPort);
         continue;
       }
       pool_.setAddresses(entry.id, addressesOf(listed, *address));
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -1,5 +1,5 @@
-// The endpoints by the names that the list service gives them: assigns the ids that the routing policy and
-// the connection pool use, and turns lists into events of the policy.
+// Maps the endpoint names of the list service to the ids that the routing policy and the connection pool use,
+// and converts endpoint lists to events of the policy.
 #pragma once
 
 #include <optional>
@@ -16,19 +16,19 @@
 
 namespace heathflow::discovery {
 
-// How a protocol reaches an endpoint.
+// The port at which endpoints accept a protocol.
 struct ProtocolPort {
   std::string protocol;
-  bool spoken = false;           // the endpoint speaks it
-  bool atListedAddress = false;  // at the address that the list gives
-  std::uint16_t defaultPort =
-      0;  // of the same machine, where the list names no port; 0: then it is not reached
+  bool supported = false;        // endpoints accept the protocol
+  bool atListedAddress = false;  // at the address in the list
+  // On the same host, if the list gives no port; 0: then the protocol can't be used.
+  std::uint16_t defaultPort = 0;
 };
-using ProtocolPorts = std::vector<ProtocolPort>;  // in the order of the pool's protocols
+using ProtocolPorts = std::vector<ProtocolPort>;  // in the order of the connection pool's protocols
 
 class EndpointDirectory {
  public:
-  // @param portsByGroup of groups that differ from 'defaultPorts'.
+  // @param portsByGroup the ports of groups that differ from 'defaultPorts'.
   EndpointDirectory(upstream::ConnectionPool& pool, ProtocolPorts defaultPorts,
                     std::unordered_map<GroupId, ProtocolPorts> portsByGroup, stats::Observer& observer)
       : pool_(pool),
@@ -36,8 +36,9 @@
         portsByGroup_(std::move(portsByGroup)),
         observer_(observer) {}
 
-  // Stores a list, complete or of changes, and returns it as an event of the routing policy.
-  // @param confirmed the list service has just given it; a cached list is not confirmed.
+  // Stores a complete list or a list of changes, and returns it as an event of the routing policy. Entries
+  // with an unreadable address are skipped.
+  // @param confirmed whether the list service has just sent the list; a cached list is not confirmed.
   EndpointsChanged apply(const protocol::EndpointList& list, transport::Micros now, bool confirmed);
 
  private:
@@ -45,7 +46,7 @@
   struct Entry {
     EndpointId id = 0;
     bool removed = false;
-    std::optional<protocol::ListedEndpoint::Phase> phase;  // in the newest list that named it
+    std::optional<protocol::ListedEndpoint::Phase> phase;  // in the newest list that contained it
   };
   Entry& entryFor(const std::string& name);
   SocketAddresses addressesOf(const protocol::ListedEndpoint& listed,
--- a/src/discovery/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -1,5 +1,5 @@
-// For how long an endpoint list may be used without confirmation by the list service. Decisions only, under
-// any one clock.
+// Decides how long an endpoint list may be used without confirmation by the list service. Pure logic without
+// I/O; all times are readings of one clock, which may be any.
 #pragma once
 
 #include <algorithm>
@@ -10,56 +10,61 @@
 
 using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
-// STANDING: a gateway counts as notified of a change so long after the service had it and could be reached,
-// whatever calls failed, were rejected or given up.
+// A gateway counts as notified of a change once this much time has passed since the service recorded the
+// change and could be reached, no matter which calls failed, were rejected or timed out. From then on it must
+// not send requests to endpoints that the change drains or removes.
 inline constexpr Micros kNotificationTimeout = 6'000'000;
-// STANDING: during a watch, so long after the end of its wait, where that is later.
+// During a watch it counts as notified this long after the end of the watch's wait, if that is later.
 inline constexpr Micros kNotificationAfterWatch = 2'000'000;
-// STANDING: after a move of the service (SIGHUP) the gateway counts as notified of its list so much later.
+// After the service has moved to a new address (configuration reload by SIGHUP), the gateway counts as
+// notified of the list there this long after the reload.
 inline constexpr Micros kNotificationAfterMove = 4'000'000;
 
-// The longest time for which an event of a rejected watch may have waited in the service's queue.
+// The longest time that a change may wait in the service's queue before its watch is rejected.
 inline constexpr Micros kMaxServiceQueueTime = kNotificationTimeout / 2;
 
-// The longest time until the list service has recorded an endpoint's return (BENCH, site files: 'add_s').
+// The longest time from an endpoint's return to its entry in the list of the list service.
 inline constexpr Micros kMaxReturnRecordingDelay = 2'000'000;
 
-// A lease on the list. Until it ends, the list lacks no change that the gateway counts as notified of;
-// afterwards it may.
+// The lease on the endpoint list. While it lasts, the list contains every change that the gateway counts as
+// notified of; afterwards it may lack one.
 class ListLease {
  public:
-  // For a process that starts with a cached list.
-  // @param pushed changes count as soon as the service has them, so the cached list has no lease; else it may
-  //        be used for the notification timeout, or until a call has failed before the first answer.
+  // Creates the lease of a process that starts with a cached list.
+  // @param pushed whether changes count as soon as the service has recorded them. Then the cached list has no
+  //        lease; otherwise the list may be used for the notification timeout, or until a call fails before
+  //        the first answer.
   ListLease(Micros now, bool pushed) : endsAt_(pushed ? now : now + kNotificationTimeout) {}
 
-  // The service has answered. The answer may have been delayed.
-  // @param provenAt when the list is known to have been true.
-  void renew(Micros provenAt) {
+  // Renews the lease after an answer of the service, which may have been delayed.
+  // @param validAsOf the latest time at which the list is known to have been correct.
+  void renew(Micros validAsOf) {
     wasRenewed_ = true;
-    renewedUntil_ = endsAt_ = provenAt + kNotificationTimeout;
+    renewedUntil_ = endsAt_ = validAsOf + kNotificationTimeout;
   }
-  // A watch begins, which waits for so long.
+  // Extends the lease at the start of a watch.
+  // @param wait how long the service waits for a change.
   void watchStarted(Micros now, Micros wait) {
     endsAt_ = std::max(endsAt_, now + wait + kNotificationAfterWatch);
   }
-  // A watch was rejected, or its connection broke: up to now it would have delivered changes, except those in
-  // the service's queue.
+  // Shortens the lease after a watch was rejected or its connection was reset. Until now the watch would have
+  // delivered all changes except those still in the service's queue.
   void watchEnded(Micros now) {
     endsAt_ = std::max(renewedUntil_, now + kNotificationTimeout - kMaxServiceQueueTime);
   }
-  // A watch had no response after its wait: a change since the last confirmation may count by now.
+  // Shortens the lease after a watch had no response at the end of its wait: a change since the last
+  // confirmation may count by now.
   void watchTimedOut(Micros now) { endsAt_ = std::max(renewedUntil_, now); }
-  // A call failed. Before this process's first answer that ends the lease at once.
+  // Ends the lease after a failed call, if this process has had no answer yet.
   void callFailed(Micros now) {
     if (!wasRenewed_) endsAt_ = std::min(endsAt_, now);
   }
-  // The service is reached at another address from now on.
+  // Limits the lease after the service has moved to a new address.
   void serviceMoved(Micros now) { endsAt_ = std::min(endsAt_, now + kNotificationAfterMove); }
 
   Micros endsAt() const { return endsAt_; }
-  // An endpoint with a connection that has stood since then was in the newest confirmed list and has not been
-  // removed since. Nothing where this process has no confirmed list.
+  // Returns a time such that an endpoint with a connection open since then was in the newest confirmed list
+  // and has not been removed since; std::nullopt if this process has had no confirmed list.
   std::optional<Micros> connectedBefore() const {
     if (!wasRenewed_) return std::nullopt;
     return renewedUntil_ - kNotificationTimeout - kMaxReturnRecordingDelay;
@@ -67,7 +72,7 @@
 
  private:
   bool wasRenewed_ = false;  // by this process
-  Micros renewedUntil_ = 0;  // by the last answer; extensions by watches not included
+  Micros renewedUntil_ = 0;  // by the last answer, without extensions by watches
   Micros endsAt_;
 };
 
--- a/src/discovery/service_call_cost.cpp
+++ b/src/discovery/service_call_cost.cpp
@@ -7,12 +7,13 @@
 namespace heathflow::discovery {
 namespace {
 
-// Of a service of which nothing is known: one that serves 250 calls in a second.
+// Microseconds per call of a service about which nothing is known: 250 calls per second.
 constexpr double kDefaultCost = 4'000;
-// After each rejection the cost is assumed to be so many times higher than the guess was.
-constexpr double kGuessGrowth = 4;
-// A cached cost changes by this factor at most: with each rejection, and from one process to the next.
-constexpr double kCachedGrowth = 2;
+// The factor by which each rejection raises the assumed cost, if no cost was cached.
+constexpr double kDefaultCostGrowth = 4;
+// The factor by which each rejection raises a cached cost, and the most by which the cost to cache may exceed
+// the one cached by the previous process.
+constexpr double kCachedCostGrowth = 2;
 
 }  // namespace
 
@@ -25,15 +26,15 @@
 }
 
 void ServiceCallCost::observeRejection() {
-  const double growth = cached_ ? kCachedGrowth : kGuessGrowth;
+  const double growth = cached_ ? kCachedCostGrowth : kDefaultCostGrowth;
   assumed_ = std::min(assumed_ * growth, static_cast<double>(kNotificationTimeout));
 }
 
 std::optional<Micros> ServiceCallCost::toCache() const {
   if (!fastest_) return cached_;
   if (!cached_) return fastest_;
-  // All calls of this process may have waited in the service's queue.
-  return std::min(*fastest_, static_cast<Micros>(kCachedGrowth * static_cast<double>(*cached_)));
+  // The limit is needed because all calls of this process may have waited in the service's queue.
+  return std::min(*fastest_, static_cast<Micros>(kCachedCostGrowth * static_cast<double>(*cached_)));
 }
 
 }  // namespace heathflow::discovery
--- a/src/discovery/service_call_cost.h
+++ b/src/discovery/service_call_cost.h
@@ -1,4 +1,4 @@
-// What one call costs the list service in time, as far as this gateway has learned it.
+// Estimates the time, in microseconds, that one call takes the list service.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 class ServiceCallCost {
  public:
-  // @param cached what an earlier process has learned.
+  // @param cached the cost that an earlier process stored.
   explicit ServiceCallCost(std::optional<Micros> cached);
 
-  // A call that did not have to wait was answered after so long.
+  // Records the duration of a call that was answered without waiting for a change.
   void observeAnswer(Micros elapsed);
-  // The service rejected a call: it is slower than was assumed.
+  // Records that the service rejected a call, which suggests that it is slower than assumed.
   void observeRejection();
 
-  // The cost by which calls are spread: what was cached or guessed, raised by rejections.
+  // Returns the cost used to spread calls: the cached or default cost, raised by rejections.
   double assumed() const { return assumed_; }
-  // The fastest answer of this process; else what is assumed.
+  // Returns the duration of this process's fastest call, or the assumed cost if there was none.
   double observedOrAssumed() const { return fastest_ ? static_cast<double>(*fastest_) : assumed_; }
-  // An upper bound for the snapshot, where anything is known.
+  // Returns an upper bound of the cost, to store in the snapshot; std::nullopt if nothing is known.
   std::optional<Micros> toCache() const;
 
  private:
--- a/src/discovery/watch_interval.h
+++ b/src/discovery/watch_interval.h
@@ -1,12 +1,12 @@
-// How long one watch of the endpoint list waits for an event. Decisions only.
+// Decides how long one watch of the endpoint list waits for a change. Pure logic without I/O.
 #pragma once
 
 #include "discovery/call_spreading.h"
 
 namespace heathflow::discovery {
 
-// Long enough for the service to bear that all gateways renew their watches so often, and short enough for
-// the poll interval.
+// Returns a duration that is long enough for the service to handle the watch renewals of all gateways, and at
+// most the poll interval.
 Micros watchDuration(const GatewayFleet& fleet, double callCost);
 
 }  // namespace heathflow::discovery
