--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -178,7 +178,7 @@
 // The snapshot holds the complete list, for changes alone would be of no use to the next incarnation.
 void Gateway::onList(const protocol::EndpointList& list) {
   if (!installation_.snapshot.file.empty()) {
-    snapshot_.listTrueAt = loop_.now();
+    snapshot_.listValidAsOf = loop_.now();
     if (!newListSource_.empty()) snapshot_.source = std::exchange(newListSource_, {});
     protocol::apply(list, snapshot_.list);
   }
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -14,24 +14,24 @@
 namespace heathflow::snapshot {
 namespace {
 
-// A file begins with the magic text, the version and the checksum of the content, both little-endian.
+// A file begins with the magic text, the format version and the checksum of the content, both little-endian.
 constexpr std::string_view kMagic = "heathflow-snapshot\n";
 constexpr std::size_t kVersionSize = 4;
 constexpr std::size_t kChecksumSize = 8;
 constexpr std::size_t kHeaderSize = kMagic.size() + kVersionSize + kChecksumSize;
-// Version 1 had no source.
+// Version 1 did not contain the source of the list.
 constexpr std::uint32_t kVersion = 2;
 constexpr std::uint32_t kOldestVersion = 1;
-// Bound the memory that a file can take.
+// Limit the memory that is needed to read a file.
 constexpr std::size_t kMaxFileSize = 16 << 20;
 constexpr std::size_t kMaxEndpoints = 100'000;
 constexpr std::size_t kMaxMapSize = 64;
 constexpr std::size_t kMaxDepth = 16;
 constexpr int kReadAttempts = 3;
-// Stands for an unknown cost in the file.
+// Represents an unknown cost in the file.
 constexpr std::int64_t kNoCallCost = -1;
 
-// The file's content, as arrays: the order of the fields is the format.
+// The content of a file, encoded as arrays: the order of the fields is part of the format.
 using PortRecord = std::tuple<std::string, std::uint16_t>;
 using EndpointRecord = std::tuple<std::string, std::string, std::string, std::uint32_t, std::uint8_t, double,
                                   std::int64_t, bool, std::vector<PortRecord>>;
@@ -64,7 +64,7 @@
           ports};
 }
 
-// Throws msgpack::type_error where the phase is unknown.
+// Throws msgpack::type_error if the phase is unknown.
 protocol::ListedEndpoint endpointOf(const EndpointRecord& record) {
   protocol::ListedEndpoint out;
   std::uint8_t phase = 0;
@@ -77,23 +77,23 @@
   return out;
 }
 
-// Why the header or the checksum is wrong; empty where they are right.
+// Returns what is wrong with the header or the checksum; empty if both are valid.
 std::string headerProblem(std::string_view bytes) {
-  if (bytes.substr(0, kMagic.size()) != kMagic.substr(0, bytes.size())) return "it is no snapshot";
+  if (bytes.substr(0, kMagic.size()) != kMagic.substr(0, bytes.size())) return "it is not a snapshot file";
   if (bytes.size() < kHeaderSize) return "it is truncated";
   const std::uint64_t version = fromLittleEndian(bytes.substr(kMagic.size(), kVersionSize));
   if (version < kOldestVersion || version > kVersion)
-    return "it has version " + std::to_string(version) + ", and only those up to " +
-           std::to_string(kVersion) + " are known here";
+    return "its format is version " + std::to_string(version) + ", but only versions up to " +
+           std::to_string(kVersion) + " are supported";
   const std::string_view content = bytes.substr(kHeaderSize);
   const auto checksum = fromLittleEndian(bytes.substr(kMagic.size() + kVersionSize, kChecksumSize));
   if (checksum != XXH3_64bits(content.data(), content.size()))
-    return "its checksum is wrong: it is truncated or damaged";
+    return "its checksum does not match: it is truncated or damaged";
   return {};
 }
 
-// Throws where the content can't be read. The limits are needed because a checksum guards against accidents
-// only.
+// Throws if the content can't be decoded. The limits are needed because the checksum protects against
+// accidental damage only.
 Snapshot parseContent(std::string_view content, bool hasSource) {
   const msgpack::unpack_limit limits(kMaxEndpoints, kMaxMapSize, kMaxFileSize, kMaxFileSize, 0, kMaxDepth);
   const msgpack::object_handle handle =
@@ -108,7 +108,7 @@
   std::vector<EndpointRecord> endpoints;
   std::int64_t callCost = kNoCallCost;
   std::uint32_t earlyCrashes = 0;
-  std::tie(out.name, out.writtenAt, out.listTrueAt, out.list.revision, endpoints, callCost, earlyCrashes,
+  std::tie(out.name, out.writtenAt, out.listValidAsOf, out.list.revision, endpoints, callCost, earlyCrashes,
            out.initialLatency) = record;
   out.list.complete = true;
   if (callCost > 0) out.callCost = callCost;
@@ -125,7 +125,7 @@
     endpoints.push_back(recordOf(endpoint));
   const Version1Record record{snapshot.name,
                               snapshot.writtenAt,
-                              snapshot.listTrueAt,
+                              snapshot.listValidAsOf,
                               snapshot.list.revision,
                               endpoints,
                               snapshot.callCost.value_or(kNoCallCost),
@@ -148,17 +148,18 @@
   try {
     Snapshot out = parseContent(bytes.substr(kHeaderSize), version >= kVersion);
     if (out.name == name) return out;
-    problem = "it is that of '" + out.name + "'";
+    problem = "it belongs to gateway '" + out.name + "'";
   } catch (const std::exception&) {
-    problem = "its content can't be read";
+    problem = "its content can't be decoded";
   }
   return {};
 }
 
 std::optional<protocol::EndpointList> trustedList(const Snapshot& snapshot, Micros now,
                                                   const discovery::CachedListSettings& settings) {
-  if (snapshot.listTrueAt <= 0) return {};
-  const discovery::CachedListTrust trust = discovery::trustInCachedList(now - snapshot.listTrueAt, settings);
+  if (snapshot.listValidAsOf <= 0) return {};
+  const discovery::CachedListTrust trust =
+      discovery::trustInCachedList(now - snapshot.listValidAsOf, settings);
   if (!trust.endpoints) return {};
   protocol::EndpointList out = snapshot.list;
   for (protocol::ListedEndpoint& endpoint : out.endpoints) {
@@ -174,19 +175,20 @@
   for (int attempts = 1; attempts < kReadAttempts && !file.bytes && file.error != ENOENT; ++attempts)
     file = files::read(path, kMaxFileSize);
   if (file.error == ENOENT) return {};
-  // A disk that fails for a moment must not cost a good file.
+  // The file stays in place: after a temporary disk error it may still be good.
   if (!file.bytes && file.error != EFBIG) {
-    problem = "the snapshot " + path + " can't be read: " + std::strerror(file.error);
+    problem = "the snapshot " + path + " can't be read, starting without it: " + std::strerror(file.error);
     return {};
   }
-  std::string reason = "it is larger than any snapshot";
+  std::string reason = "it is too large";
   std::optional<Snapshot> out;
   if (file.bytes) out = decode(*file.bytes, name, reason);
   if (out) return out;
   const std::string unusable = path + ".unusable";
   const bool renamed = std::rename(path.c_str(), unusable.c_str()) == 0;
-  problem = "the snapshot " + path + " is not used: " + reason +
-            (renamed ? "; it was set aside as " + unusable : "; it can't be set aside");
+  problem = "the snapshot " + path + " can't be used, starting without it: " + reason +
+            (renamed ? "; it was set aside as " + unusable
+                     : "; renaming it to " + unusable + " failed: " + std::strerror(errno));
   return {};
 }
 
--- a/tests/snapshot_compatibility_test.cpp
+++ b/tests/snapshot_compatibility_test.cpp
@@ -25,7 +25,7 @@
   ASSERT_TRUE(snapshot) << problem;
   EXPECT_EQ(snapshot->name, "gateway-7");
   EXPECT_EQ(snapshot->writtenAt, 1'700'000'000'123'456);
-  EXPECT_EQ(snapshot->listTrueAt, 1'699'999'999'000'001);
+  EXPECT_EQ(snapshot->listValidAsOf, 1'699'999'999'000'001);
   EXPECT_EQ(snapshot->source, "127.0.0.3:8500");
   EXPECT_EQ(snapshot->callCost, 20'000);
   EXPECT_EQ(snapshot->initialLatency, 4'200);
@@ -64,7 +64,7 @@
   ASSERT_TRUE(snapshot) << problem;
   EXPECT_EQ(snapshot->name, "gateway-8");
   EXPECT_EQ(snapshot->writtenAt, 1'700'000'000'000'000);
-  EXPECT_EQ(snapshot->listTrueAt, 0);
+  EXPECT_EQ(snapshot->listValidAsOf, 0);
   EXPECT_EQ(snapshot->source, "");
   EXPECT_EQ(snapshot->callCost, std::nullopt);
   EXPECT_EQ(snapshot->initialLatency, 0);
--- a/tests/snapshot_source_test.cpp
+++ b/tests/snapshot_source_test.cpp
@@ -24,7 +24,7 @@
     installation.snapshot.file = folder.path() + "/n0.snapshot";
     snapshot::Snapshot earlier;
     earlier.name = "n0";
-    earlier.listTrueAt = loop.now();
+    earlier.listValidAsOf = loop.now();
     earlier.source = source.empty() ? discovery.address() : source;
     protocol::EndpointList list = config.known;
     list.revision = kCachedRevision;
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -21,7 +21,7 @@
   Snapshot out;
   out.name = "n7";
   out.writtenAt = 1'700'000'000 * kS;
-  out.listTrueAt = out.writtenAt - kS;
+  out.listValidAsOf = out.writtenAt - kS;
   out.list.revision = 41;
   out.list.complete = true;
   protocol::ListedEndpoint endpoint;
@@ -110,14 +110,14 @@
 TEST(Snapshots, GiveNoRolesAfterThePollIntervalAndNoListAfterItsMaximumAge) {
   const discovery::CachedListSettings settings{10 * kS, 600 * kS, true};
   const Snapshot kept = example();
-  const auto recent = trustedList(kept, kept.listTrueAt + 5 * kS, settings);
+  const auto recent = trustedList(kept, kept.listValidAsOf + 5 * kS, settings);
   ASSERT_TRUE(recent);
   EXPECT_TRUE(recent->endpoints[0].primary);
-  const auto old = trustedList(kept, kept.listTrueAt + 60 * kS, settings);
+  const auto old = trustedList(kept, kept.listValidAsOf + 60 * kS, settings);
   ASSERT_TRUE(old);
   EXPECT_FALSE(old->endpoints[0].primary);
   EXPECT_EQ(old->endpoints[1].phase, protocol::ListedEndpoint::Phase::Terminating);
-  EXPECT_FALSE(trustedList(kept, kept.listTrueAt + 601 * kS, settings));
+  EXPECT_FALSE(trustedList(kept, kept.listValidAsOf + 601 * kS, settings));
   EXPECT_FALSE(trustedList(Snapshot{}, kS, settings)) << "no list at all";
 }
 
