--- a/src/wallclock/endpoint_time.cpp
+++ b/src/wallclock/endpoint_time.cpp
@@ -5,13 +5,14 @@
 namespace heathflow::wallclock {
 namespace {
 
-// A position counts for the rest of its window and for the next one.
+// The highest lead in a window counts until the end of the next window.
 constexpr Micros kWindow = 30'000'000;
-// Positions are rounded to milliseconds, so that they may lead by so much where clocks agree.
+// Positions are rounded to milliseconds, so that they may lead by this much even if the clocks agree.
 constexpr Micros kRounding = 2'000;
-// A position is older than its arrival by the network delay; PROTOCOL gives each limit so much more.
+// A position is older than its arrival by the network delay, for which the protocol allows this much on top
+// of each limit.
 constexpr Micros kMaxNetworkDelay = 50'000;
-// A session token that leads by more than this is cut to it.
+// A session token's position that leads by more than this is reduced to it.
 constexpr Micros kMaxTokenLead = 86'400'000'000;
 
 }  // namespace
--- a/src/wallclock/launch_times.cpp
+++ b/src/wallclock/launch_times.cpp
@@ -11,8 +11,9 @@
   if (confirmed) confirmedAt_ = now;
 }
 
-// A start is not in the future, and not long before a time at which this incarnation was not yet running.
-// @param notRunningAt when a list named an earlier incarnation of the endpoint, or none; kNever: not known.
+// Limits a listed start: it can't be in the future, nor long before a time at which this incarnation was not
+// yet running.
+// @param notRunningAt when a list contained an earlier incarnation of the endpoint, or none; kNever: unknown.
 Micros LaunchTimes::bounded(Micros listed, Micros notRunningAt) const {
   const Micros startedAt = std::min(listed, now_);
   const bool possible = notRunningAt == kNever || startedAt >= notRunningAt - kMaxListDelay;
@@ -23,10 +24,10 @@
   const auto [entry, isNew] = records_.try_emplace(endpoint);
   Record& record = entry->second;
   if (isNew) {
-    // It started after the last confirmed list, which did not name it, or that list was late.
+    // It started after the last confirmed list, which did not contain it, or that list was late.
     record.startedAt = listed == 0 ? 0 : bounded(listed, confirmed_ ? previousConfirmedAt_ : kNever);
   } else if (listed != record.listed && listed != 0) {
-    // Another incarnation: it started after the earlier one, whichever way its clock was stepped.
+    // A new incarnation: it started after the previous one, even if the endpoint's clock was set back.
     record.startedAt = std::max(bounded(listed, record.confirmedAt), record.startedAt + 1);
   }
   record.listed = listed;
--- a/src/wallclock/launch_times.h
+++ b/src/wallclock/launch_times.h
@@ -1,6 +1,6 @@
-// When endpoints started, by this process's own clock. The endpoint list gives it as a reading of another
-// wall clock, which may have been stepped or differ from this one; what this process has observed bounds it.
-// Decisions only, under any one clock.
+// Determines when endpoints started, by this process's own clock. The endpoint list gives the start as a
+// reading of another wall clock, which may have been set or may differ from this one; it is limited by what
+// this process has observed. Pure logic without I/O; all times are readings of one clock.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,17 @@
 
 using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
-// A list may be so late without any clock being wrong (STANDING: a gateway counts as notified of a change
-// within 6 s).
+// A list may be this late although all clocks are right: a gateway counts as notified of a change only 6 s
+// after the list service recorded it.
 inline constexpr Micros kMaxListDelay = 6'000'000;
 
 class LaunchTimes {
  public:
-  // A list has arrived, whose endpoints follow.
-  // @param confirmed the list service has just given it; a cached list says nothing about the present.
+  // Starts a new list; a call of launchedAt() for each of its endpoints follows.
+  // @param confirmed whether the list service has just sent it; a cached list says nothing about the present.
   void beginList(Micros now, bool confirmed);
-  // When an endpoint that the list names started; 0: long ago.
-  // @param listed the start that the list gives, in Unix microseconds; 0: long ago.
+  // Returns when an endpoint of the current list started; 0: long ago.
+  // @param listed the start according to the list, in Unix microseconds; 0: long ago.
   Micros launchedAt(const std::string& endpoint, Micros listed);
   void forget(const std::string& endpoint) { records_.erase(endpoint); }
   std::size_t size() const { return records_.size(); }
@@ -32,14 +32,14 @@
   struct Record {
     Micros listed = 0;
     Micros startedAt = 0;
-    Micros confirmedAt = kNever;  // when the list service last named the endpoint with this start
+    Micros confirmedAt = kNever;  // the last confirmed list that contained the endpoint with this start
   };
   Micros bounded(Micros listed, Micros notRunningAt) const;
 
   std::unordered_map<std::string, Record> records_;
   Micros now_ = 0;
   bool confirmed_ = false;
-  Micros previousConfirmedAt_ = kNever;  // of the list before this one
+  Micros previousConfirmedAt_ = kNever;  // of the list before the current one
   Micros confirmedAt_ = kNever;
 };
 
