--- a/src/invariants/invariant_checker.cpp
+++ b/src/invariants/invariant_checker.cpp
@@ -23,7 +23,7 @@
   return std::accumulate(counts_.begin(), counts_.end(), std::uint64_t{0});
 }
 
-void InvariantChecker::violated(Invariant invariant, RequestId request) {
+void InvariantChecker::reportViolation(Invariant invariant, RequestId request) {
   ++counts_[static_cast<std::size_t>(invariant)];
   if (onViolation_) onViolation_(invariant, request);
 }
@@ -32,7 +32,7 @@
   if (list.scope == EndpointsChanged::Scope::Failed) return;
   listReceived_ = true;
   for (const Endpoint& endpoint : list.endpoints) {
-    // Where the list is only advisory, a removal does not forbid the use of the endpoint.
+    // If removals are advisory, a removed endpoint may still be used.
     const bool binding = endpoint.status == EndpointStatus::Draining ||
                          (endpoint.status == EndpointStatus::Removed && !settings_.removalIsAdvisory);
     if (binding) {
@@ -44,7 +44,7 @@
 }
 
 void InvariantChecker::servingStarted() {
-  if (!listReceived_) violated(Invariant::StartedUnready, 0);
+  if (!listReceived_) reportViolation(Invariant::StartedUnready, 0);
 }
 
 void InvariantChecker::requestAccepted(const Request& request) {
@@ -54,19 +54,19 @@
 }
 
 void InvariantChecker::requestAcceptedOn(RequestId request, bool closing) {
-  if (closing) violated(Invariant::AcceptedAfterClose, request);
+  if (closing) reportViolation(Invariant::AcceptedAfterClose, request);
 }
 
 bool InvariantChecker::maySend(Micros now, const AttemptToSend& sending) {
   if (const auto violation = violationOf(now, sending)) {
-    violated(*violation, sending.request);
+    reportViolation(*violation, sending.request);
     return false;
   }
   records_.at(sending.request).attempts.push_back({sending.attempt, now});
   return true;
 }
 
-// The first invariant that the attempt would violate.
+// Returns the first invariant that sending the attempt would violate.
 std::optional<Invariant> InvariantChecker::violationOf(Micros now, const AttemptToSend& sending) const {
   const auto found = records_.find(sending.request);
   if (found == records_.end() || found->second.answered) return Invariant::SentAfterAnswer;
@@ -108,7 +108,7 @@
   const auto found = records_.find(request);
   if (found == records_.end()) return;
   RequestRecord& record = found->second;
-  if (record.answered) return violated(Invariant::SecondAnswer, request);
+  if (record.answered) return reportViolation(Invariant::SecondAnswer, request);
   record.answered = true;
   if (answer != FinalAnswer::Rejected || record.classIndex >= settings_.classes.size()) return;
   const RequestClassSettings& entry = settings_.classes[record.classIndex];
@@ -116,7 +116,7 @@
                           (entry.idempotency == Idempotency::WithKey && entry.keyScope == KeyScope::Global);
   const auto mayHaveRun = [](const AttemptRecord& attempt) { return attempt.mayHaveRun; };
   if (!repeatable && std::any_of(record.attempts.begin(), record.attempts.end(), mayHaveRun))
-    violated(Invariant::RejectedAfterEffect, request);
+    reportViolation(Invariant::RejectedAfterEffect, request);
 }
 
 void InvariantChecker::requestCancelled(RequestId request) {
@@ -125,7 +125,7 @@
 }
 
 void InvariantChecker::connectionClosing(RequestId request, bool unanswered) {
-  if (unanswered) violated(Invariant::ClosedUnanswered, request);
+  if (unanswered) reportViolation(Invariant::ClosedUnanswered, request);
 }
 
 }  // namespace heathflow::invariants
--- a/src/invariants/invariant_checker.h
+++ b/src/invariants/invariant_checker.h
@@ -1,6 +1,6 @@
-// Checks the rules of the deployment as invariants of one process: when it sends, retries, answers, closes
-// and starts. The checker keeps its own record of requests, independent of the policy that it checks, and
-// counts every violation; it prevents those by an attempt. It does no input or output and reads no clock.
+// Checks the deployment's rules on sending, retrying, answering, closing and starting as invariants of this
+// process. The checker keeps its own record of requests, independent of the policy that it checks. It counts
+// every violation, and prevents those that sending an attempt would cause. It does no I/O and reads no clock.
 #pragma once
 
 #include <array>
@@ -19,62 +19,62 @@
   SentAfterAnswer,      // an attempt of a request that has its final answer
   SentAfterDisconnect,  // an attempt of a request that its client has cancelled
   SentAfterDeadline,    // an attempt of a request whose deadline has passed
-  TimeoutTooLong,       // an endpoint was given more time than the client has left
-  SentToDraining,       // to an endpoint that has been draining or removed for longer than the grace
-  ForbiddenHedge,       // a second attempt in flight, where the settings allow none
-  RepeatedEffect,       // a retry after an attempt that may have run, where the class allows none
-  SecondAnswer,         // a request got two final answers
-  RejectedAfterEffect,  // a rejection promises that there was no effect; seen while another attempt is in
-                        // flight
-  ClosedUnanswered,     // this process closed a connection whose request has no answer
-  AcceptedAfterClose,   // a request was accepted on a connection that is closing
+  TimeoutTooLong,       // an attempt with a timeout beyond the time that the client has left
+  SentToDraining,       // an attempt to an endpoint draining or removed for longer than the grace period
+  ForbiddenHedge,       // a second attempt in flight although the settings forbid hedging
+  RepeatedEffect,       // a retry after an attempt that may have run, which the class forbids
+  SecondAnswer,         // a second final answer to a request
+  RejectedAfterEffect,  // a rejection, which promises that there was no effect, although an attempt may have
+                        // run or is in flight
+  ClosedUnanswered,     // the gateway closed a connection with an unanswered request
+  AcceptedAfterClose,   // a request was accepted on a closing connection
   StartedUnready        // clients were accepted before there was an endpoint list
 };
 inline constexpr std::size_t kInvariants = 12;
 const char* nameOf(Invariant invariant);
-// Begins the log line of a violation.
+// The first word of the log line of a violation.
 inline constexpr const char* kViolated = "violated";
 
-// STANDING: by how much the timeout that an endpoint is given may exceed the client's.
+// The timeout sent to an endpoint may exceed the client's remaining time by at most this.
 inline constexpr Micros kTimeoutSlack = 150'000;
 
 class InvariantChecker {
  public:
-  // Called for each violation, with the request's id or 0.
+  // Called for each violation, with the id of the request or 0.
   using OnViolation = std::function<void(Invariant invariant, RequestId request)>;
-  // @param settings    outlive the checker.
-  // @param drainGrace  for how long an endpoint may still be sent to after the list reported it as draining.
+  // @param settings must outlive the checker.
+  // @param drainGrace how long an endpoint may still get requests after the list reported it as draining.
   InvariantChecker(const PolicySettings& settings, Micros drainGrace, OnViolation onViolation);
 
   // ---- Start ----
   void endpointsChanged(Micros now, const EndpointsChanged& list);
-  // Clients are accepted from here on.
+  // To be called when the gateway begins to accept clients.
   void servingStarted();
 
   // ---- A request ----
   void requestAccepted(const Request& request);
-  // @param closing  whether the request's connection is closing.
+  // @param closing whether the request's connection is closing.
   void requestAcceptedOn(RequestId request, bool closing);
 
   struct AttemptToSend {
     RequestId request = 0;
     std::uint32_t attempt = 0;
     EndpointId endpoint = 0;
-    Micros timeout = 0;  // that the endpoint is given
+    Micros timeout = 0;  // sent to the endpoint
   };
-  // @return whether the attempt may be written; where not it must not be.
+  // Returns whether the attempt may be sent, and then records it as sent. If not, it must not be sent.
   bool maySend(Micros now, const AttemptToSend& sending);
-  // @param mayHaveRun  it was written, and nothing says that it had no effect.
+  // @param mayHaveRun whether the attempt was sent and may have had an effect.
   void attemptEnded(RequestId request, std::uint32_t attempt, bool mayHaveRun);
   enum class FinalAnswer { Served, Rejected, Failed };
   void requestAnswered(RequestId request, FinalAnswer answer);
   void requestCancelled(RequestId request);
-  // The request has ended and no attempt of it is in flight.
+  // Drops the record of a request that has ended and has no attempt in flight.
   void forget(RequestId request) { records_.erase(request); }
 
   // ---- Closing ----
-  // This process closes a client's connection.
-  // @param unanswered  whether a request that was read there has no answer.
+  // To be called when this process closes a client connection.
+  // @param unanswered whether a request that was read from it has no answer.
   void connectionClosing(RequestId request, bool unanswered);
 
   std::uint64_t count(Invariant invariant) const { return counts_[static_cast<std::size_t>(invariant)]; }
@@ -93,9 +93,9 @@
     Micros deadline = 0;
     bool answered = false;
     bool cancelled = false;
-    std::vector<AttemptRecord> attempts;  // that were written
+    std::vector<AttemptRecord> attempts;  // those sent
   };
-  void violated(Invariant invariant, RequestId request);
+  void reportViolation(Invariant invariant, RequestId request);
   std::optional<Invariant> violationOf(Micros now, const AttemptToSend& sending) const;
   bool mayRetry(const RequestRecord& record, Micros now) const;
 
