--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -11,35 +11,36 @@
 
 using Json = nlohmann::json;
 
-const Json& need(const Json& object, const char* key) {
+const Json& requiredValue(const Json& object, const char* key) {
   if (!object.is_object() || !object.contains(key)) {
     throw SettingsError(std::string("settings: the key '") + key + "' is missing");
   }
   return object.at(key);
 }
 
-[[noreturn]] void wrong(const char* key, const char* how) {
-  throw SettingsError(std::string("settings: the key '") + key + "' holds a value " + how);
+[[noreturn]] void throwInvalidValue(const char* key, const char* problem) {
+  throw SettingsError(std::string("settings: the key '") + key + "' holds a value " + problem);
 }
 
-// Times, counts and shares are at least 0 and fit their type; the zero of positions may be negative.
-enum class Sign { Positive, Any };
+// Times, counts and shares are at least 0 and must fit their type; 'PositionZero' may be negative.
+enum class Sign { NonNegative, Any };
 
-template <typename T, Sign kSign = Sign::Positive>
+template <typename T, Sign kSign = Sign::NonNegative>
 T read(const Json& object, const char* key) {
-  const Json& value = need(object, key);
+  const Json& value = requiredValue(object, key);
   if constexpr (std::is_arithmetic_v<T> && !std::is_same_v<T, bool>) {
-    if (!value.is_number()) wrong(key, "of the wrong type");
+    if (!value.is_number()) throwInvalidValue(key, "of the wrong type");
     const auto given = value.get<double>();
-    if (kSign == Sign::Positive && given < 0) wrong(key, "below 0");
+    if (kSign == Sign::NonNegative && given < 0) throwInvalidValue(key, "below 0");
     if (kSign == Sign::Any && given <= static_cast<double>(std::numeric_limits<T>::lowest()))
-      wrong(key, "that is too small");
-    if (given >= static_cast<double>(std::numeric_limits<T>::max())) wrong(key, "that is too large");
+      throwInvalidValue(key, "that is too small");
+    if (given >= static_cast<double>(std::numeric_limits<T>::max()))
+      throwInvalidValue(key, "that is too large");
   }
   try {
     return value.get<T>();
   } catch (const Json::exception&) {
-    wrong(key, "of the wrong type");
+    throwInvalidValue(key, "of the wrong type");
   }
 }
 
@@ -49,7 +50,7 @@
   return read<T>(object, key);
 }
 
-// An unknown word gets the most cautious meaning, which is the last line of each function.
+// An unknown word maps to the most cautious value, in the last line of each function.
 Consistency consistencyOf(const std::string& word) {
   if (word == "fresh") return Consistency::Strong;
   if (word == "session") return Consistency::Session;
@@ -147,25 +148,26 @@
   policy.overloadMultiple = readOr<double>(contract, "FallMultiple", 1.0);
 }
 
-// A missing setting is derived from the others or gets the most cautious value, and is reported.
+// Adds a note on each missing optional setting. A missing connect timeout is derived from the request
+// timeouts; the other settings keep their defaults, which are the most cautious values.
 void noteMissing(InstanceSettings& out) {
   PolicySettings& policy = out.policy;
   const auto note = [&](const std::string& what) { out.notes.push_back("settings: " + what); };
   if (policy.connectTimeout <= 0) {
     for (const RequestClassSettings& entry : policy.classes)
       policy.connectTimeout = std::max(policy.connectTimeout, entry.requestTimeout);
-    note("no 'ConnectTimeout': a connection may take as long as the longest deadline");
+    note("no 'ConnectTimeout': using the longest request timeout");
   }
-  if (out.idleTime <= 0) note("no 'ConnIdle': idle connections to members are kept");
+  if (out.idleTime <= 0) note("no 'ConnIdle': idle connections to endpoints are kept open");
   if (policy.discoveryIsPolled && policy.maxPollInterval <= 0)
-    note("no 'AskWithin': the list is asked for every second");
+    note("no 'AskWithin': polling the endpoint list every second");
   for (std::size_t i = 0; i < policy.classes.size(); ++i) {
     const RequestClassSettings& entry = policy.classes[i];
     const std::string name = "class '" + out.classNames[i] + "': ";
     if (entry.consistency == Consistency::BoundedStaleness && entry.maxStaleness <= 0)
-      note(name + "no 'MaxAge': its reads go to primaries");
+      note(name + "no 'MaxAge': sending its reads to primaries");
     if (entry.idempotency == Idempotency::WithKey && entry.keyWindow <= 0)
-      note(name + "no 'Window': it is never repeated once it may have run");
+      note(name + "no 'Window': not retrying its requests once they may have run");
   }
 }
 
@@ -178,14 +180,14 @@
 
   InstanceSettings out;
   PolicySettings& policy = out.policy;
-  const Json& classes = need(json, "Classes");
-  if (!classes.is_array()) wrong("Classes", "of the wrong type");
+  const Json& classes = requiredValue(json, "Classes");
+  if (!classes.is_array()) throwInvalidValue("Classes", "of the wrong type");
   for (const Json& entry : classes) {
     policy.classes.push_back(readClass(entry));
     out.classNames.push_back(readOr<std::string>(entry, "Name", ""));
   }
 
-  readFamily(need(json, "FamilyInfo"), out);
+  readFamily(requiredValue(json, "FamilyInfo"), out);
   policy.zone = readOr<std::uint32_t>(json, "Az", 0);
   if (json.contains("Charges"))
     policy.crossZoneTrafficHasCost = readOr<double>(json.at("Charges"), "CrossZone", 0.0) > 0;
@@ -193,8 +195,8 @@
   policy.timerResolution = readOr<Micros>(json, "Tick", 0);
   policy.discoveryIsPolled = readOr<std::string>(json, "Discovery", "") != "push";
 
-  readLimits(need(json, "Limits"), out);
-  readContract(need(json, "Contract"), out);
+  readLimits(requiredValue(json, "Limits"), out);
+  readContract(requiredValue(json, "Contract"), out);
   if (json.contains("Report")) {
     out.report = readLayout(json.at("Report"));
     policy.healthChecksReportPosition = out.report.position >= 0;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,4 @@
-// Reads the settings that an instance is started with, on the simulator's wire and on sockets alike.
+// Parses the settings that a gateway is started with, both in the simulator and on sockets.
 #pragma once
 
 #include <stdexcept>
@@ -14,7 +14,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// The index of each field in a load report; -1: not reported.
+// The layout of a load report: its field names and the index of each known field; -1: not reported.
 struct ReportLayout {
   std::vector<std::string> fields;
   int position = -1;
@@ -27,13 +27,14 @@
   ReportLayout report;
   Micros positionZero = 0;
   std::vector<std::string> classNames;
-  Micros idleTime = 0;    // after which endpoints close an idle connection; 0: never
-  Micros drainGrace = 0;  // for how long an endpoint may get requests after its drain was announced
-  // For the log: a sentence on each missing setting and the value used instead.
+  Micros idleTime = 0;    // the time after which endpoints close an idle connection; 0: never
+  Micros drainGrace = 0;  // how long an endpoint may get requests after its drain was announced
+  // For the log: each missing setting and what is used instead.
   std::vector<std::string> notes;
 };
 
-// Throws SettingsError, naming the key, when the text is not JSON or lacks a required setting.
+// Parses the settings. Throws SettingsError if the text is not a JSON object, or if a required setting is
+// missing or a value is invalid; then the message names the key.
 InstanceSettings parseSettings(std::string_view text);
 
 }  // namespace heathflow::settings
