--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -10,10 +10,10 @@
 
 using EventKind = MembershipEvent::Kind;
 
-// A gateway that joins makes so many quick syncs, and one more for each doubling of gateways.
+// The number of syncs in quick succession that a joining gateway makes, plus one for each doubling of the
+// number of gateways.
 constexpr double kJoinSyncs = 4;
-// The share of syncs with a gateway that is thought to have failed, or with a seed; of a joining gateway's
-// syncs with a seed.
+// The shares of syncs with gateways that were declared failed, with seeds, and with seeds while joining.
 constexpr double kFailedSyncShare = 0.25, kSeedSyncShare = 0.25, kJoinSeedSyncShare = 0.5;
 constexpr unsigned kWorstLocalHealth = 8;
 
@@ -22,7 +22,7 @@
 Detector::Detector(const DetectorSettings& settings, Micros now)
     : settings_(settings), random_(settings.seed), table_(settings_, random_), lastTickAt_(now) {
   incarnation_ = {static_cast<std::uint64_t>(std::max<Micros>(1, now)), random_()};
-  // Gateways that start at once neither probe nor join at the same moment.
+  // The random offsets keep gateways that start together from probing and joining at the same moment.
   const auto period = static_cast<double>(settings_.probePeriod);
   nextProbeAt_ = now + static_cast<Micros>(random() * period);
   nextSyncAt_ = now + static_cast<Micros>(random() * period / 2);
@@ -36,7 +36,7 @@
     if (gateway.state == State::Suspected) out = std::min(out, table_.suspicionEndsAt(gateway));
   }
   for (const auto& [sequence, relayed] : relayedProbes_) out = std::min(out, relayed.endsAt);
-  // A late tick shows that this gateway was stalled, so that there have to be ticks.
+  // Regular ticks are needed because a late tick shows that this gateway was stalled.
   return std::min(out, lastTickAt_ + settings_.stallThreshold / 2);
 }
 
@@ -48,12 +48,12 @@
 }
 
 bool Detector::isJoining() const {
-  return syncs_ < kJoinSyncs + std::log2(static_cast<double>(livingCount()) + 1);
+  return syncs_ < kJoinSyncs + std::log2(static_cast<double>(runningCount()) + 1);
 }
 
 unsigned Detector::maxTransmissions() const {
   return static_cast<unsigned>(
-      std::ceil(settings_.retransmitFactor * std::log2(static_cast<double>(livingCount()) + 2)));
+      std::ceil(settings_.retransmitFactor * std::log2(static_cast<double>(runningCount()) + 2)));
 }
 
 StateUpdate Detector::ownUpdate() const {
@@ -67,7 +67,7 @@
   return out;
 }
 
-// A message without updates of its own carries gossip.
+// Sends a message. If it contains no updates yet, gossip is added.
 void Detector::send(const std::string& address, Message message, std::vector<OutgoingMessage>& out) {
   message.from = settings_.name;
   if (message.updates.empty()) {
@@ -77,7 +77,7 @@
   out.push_back({address, std::move(message)});
 }
 
-std::vector<std::string> Detector::randomChoice(std::vector<std::string> from, std::size_t count) {
+std::vector<std::string> Detector::randomSample(std::vector<std::string> from, std::size_t count) {
   std::shuffle(from.begin(), from.end(), random_);
   from.resize(std::min(count, from.size()));
   return from;
@@ -93,7 +93,7 @@
 
 void Detector::improveLocalHealth() { localHealth_ = localHealth_ > 0 ? localHealth_ - 1 : 0; }
 
-// Answers that arrived during the stall must not lead to suspicions.
+// Restarts probing after a stall: answers that could not be read during the stall must not cause suspicions.
 void Detector::recoverFromStall(Micros now, Micros stalledFor) {
   worsenLocalHealth();
   setContactLost(true);
@@ -118,20 +118,21 @@
   table_.forgetEnded(now);
 }
 
-// Exchanges everything with one other gateway. Syncs with failed ones join partitions again, and syncs with
-// seeds join groups that started with different seeds.
+// Exchanges the full state with one other gateway. Syncs with failed gateways rejoin partitions, and syncs
+// with seeds join groups that started with different seeds.
 void Detector::sync(Micros now, std::vector<OutgoingMessage>& out) {
-  const bool alone = livingCount() == 0;
+  const bool alone = runningCount() == 0;
   const bool withFailed = random() < kFailedSyncShare;
   const bool withSeed = alone || random() < (isJoining() ? kJoinSeedSyncShare : kSeedSyncShare);
-  for (const std::string& address : randomChoice(syncAddresses(withSeed, withFailed), 1)) {
+  for (const std::string& address : randomSample(syncAddresses(withSeed, withFailed), 1)) {
     Message message;
     message.kind = Message::Kind::SyncRequest;
     message.updates = allUpdates();
     send(address, std::move(message), out);
   }
   ++syncs_;
-  // Quick syncs while joining: gateways that join at once learn of each other from all, not from one seed.
+  // Syncs are frequent while joining, so that gateways that join together learn of each other from all
+  // gateways and not from a single seed.
   const Micros interval = alone || isJoining() ? settings_.probePeriod : settings_.syncInterval;
   nextSyncAt_ = now + static_cast<Micros>((0.5 + random()) * static_cast<double>(interval));
 }
@@ -154,9 +155,9 @@
   return out;
 }
 
-// Refutes a suspicion of this gateway, and begins a new incarnation where it was declared ended.
+// Refutes a suspicion of this gateway, and begins a new incarnation if this one was declared failed or left.
 void Detector::applyToSelf(Micros now, const StateUpdate& update) {
-  if (update.incarnation.salt != incarnation_.salt) return applyToOtherOfOwnName(update);
+  if (update.incarnation.salt != incarnation_.salt) return resolveNameConflict(update);
   if (update.state == State::Alive || hasLeft_ || update.incarnation < incarnation_) return;
   if (update.state == State::Suspected) {
     if (update.refutations < refutations_) return;
@@ -170,9 +171,9 @@
   table_.gossip().add(ownUpdate());
 }
 
-// Another incarnation of this gateway's name. A later start ends an earlier one of ours; one that is alive is
-// a second gateway of this name, unless the update is old.
-void Detector::applyToOtherOfOwnName(const StateUpdate& update) {
+// Handles an update about another incarnation with this gateway's name. If that one is later, this gateway
+// begins an even later one. If it is alive, a second gateway has this name, unless the update is old.
+void Detector::resolveNameConflict(const StateUpdate& update) {
   if (update.incarnation <= incarnation_) return;
   if (update.state == State::Alive) table_.record(EventKind::DuplicateName, settings_.name);
   incarnation_.start = update.incarnation.start + 1;
@@ -216,7 +217,7 @@
 
 void Detector::leave(std::vector<OutgoingMessage>& out) {
   hasLeft_ = true;
-  for (const std::string& name : randomChoice(table_.aliveNames(""), maxTransmissions())) {
+  for (const std::string& name : randomSample(table_.aliveNames(""), maxTransmissions())) {
     Message message;
     message.kind = Message::Kind::SyncResponse;
     message.updates = {ownUpdate()};
--- a/src/membership/detector.h
+++ b/src/membership/detector.h
@@ -1,7 +1,6 @@
-// Which other gateways are running: failure detection by random probes, suspicion and gossip (SWIM, Das,
-// Gupta and Motivala, 2002; local health after "Lifeguard", Dadgar, Phillips and Currey, 2018). A state
-// machine that is given messages and the time; it has no socket and no clock. Clocks of gateways need not
-// agree.
+// Detects which other gateways are running, by random probes, suspicion and gossip (SWIM: Das, Gupta and
+// Motivala, 2002; local health as in "Lifeguard": Dadgar, Phillips and Currey, 2018). A state machine that is
+// passed messages and the time; it has no socket and no clock. The clocks of gateways need not agree.
 #pragma once
 
 #include <cstdint>
@@ -24,43 +23,44 @@
   Detector(const Detector&) = delete;
   Detector& operator=(const Detector&) = delete;
 
-  // When the next call of tick() is due at the latest.
+  // Returns the time by which tick() has to be called next.
   Micros nextTickAt() const;
   void tick(Micros now, std::vector<OutgoingMessage>& out);
   void receive(Micros now, const std::string& fromAddress, const Message& message,
                std::vector<OutgoingMessage>& out);
-  // Announces that this gateway stops, to as many others as an update is sent to.
+  // Announces that this gateway leaves, to as many others as an update is sent to.
   void leave(std::vector<OutgoingMessage>& out);
 
   struct GatewayView {
     State state = State::Alive;
-    bool directPathLost = false;  // others reach it, and this gateway does not
+    bool directPathLost = false;  // others reach it, but this gateway does not
     Incarnation incarnation;
     Micros since = 0;
   };
-  // All other gateways that are known, also those that ended lately.
+  // Returns all other known gateways, including those that failed or left recently.
   std::map<std::string, GatewayView> view() const;
-  // How many others have not ended, including the suspected.
-  std::size_t livingCount() const { return table_.livingCount(); }
-  // This gateway can't judge others: it was stalled, or receives no messages.
+  // Returns the number of other gateways that have neither failed nor left, including suspected ones.
+  std::size_t runningCount() const { return table_.runningCount(); }
+  // Returns whether this gateway can't judge others, because it was stalled or receives no messages.
   bool contactLost() const { return contactLost_; }
-  // Grows with each change of the view.
+  // Returns a number that grows with each change of the view.
   std::uint64_t version() const { return table_.version(); }
-  // What has happened since the last call.
+  // Returns the events since the last call.
   std::vector<MembershipEvent> events() { return table_.takeEvents(); }
   const Incarnation& incarnation() const { return incarnation_; }
-  // 0: good. A higher number makes this gateway probe more slowly, for it may be slow itself.
+  // Returns Lifeguard's local health score, 0 if healthy. With a higher score this gateway probes more
+  // slowly, because it may be slow itself.
   unsigned localHealth() const { return localHealth_; }
 
  private:
   struct Probe {
     std::string target;
     std::uint64_t sequence = 0;
-    Micros indirectAt = 0;  // when other gateways get a PingRequest, if there is no Ack by then
+    Micros indirectAt = 0;  // when other gateways get a PingRequest if there is no Ack yet
     Micros endsAt = 0;
     bool indirect = false;
     unsigned nacks = 0;
-    unsigned helpers = 0;  // to how many gateways that was sent
+    unsigned helpers = 0;  // the number of gateways that got a PingRequest
   };
   struct RelayedProbe {  // on behalf of another gateway
     std::string requester;
@@ -69,7 +69,7 @@
     Micros endsAt = 0;
   };
 
-  // Probing (detector_probes.cpp).
+  // Probing, in detector_probes.cpp.
   void startProbe(Micros now, std::vector<OutgoingMessage>& out);
   void ping(const std::string& name, const KnownGateway& gateway, std::uint64_t sequence,
             std::vector<OutgoingMessage>& out);
@@ -85,7 +85,7 @@
   std::vector<std::string> syncAddresses(bool withSeed, bool withFailed) const;
   void recoverFromStall(Micros now, Micros stalledFor);
   void applyToSelf(Micros now, const StateUpdate& update);
-  void applyToOtherOfOwnName(const StateUpdate& update);
+  void resolveNameConflict(const StateUpdate& update);
   void setContactLost(bool lost);
   void worsenLocalHealth();
   void improveLocalHealth();
@@ -95,7 +95,7 @@
   unsigned maxTransmissions() const;
   bool isJoining() const;
   double random() { return uniformUnit(random_()); }
-  std::vector<std::string> randomChoice(std::vector<std::string> from, std::size_t count);
+  std::vector<std::string> randomSample(std::vector<std::string> from, std::size_t count);
 
   DetectorSettings settings_;
   std::mt19937_64 random_;
@@ -110,7 +110,7 @@
   Micros lastTickAt_ = 0;
   unsigned localHealth_ = 0;
   unsigned syncs_ = 0;
-  unsigned unansweredProbes_ = 0;  // in a row, without a message from any gateway
+  unsigned unansweredProbes_ = 0;  // in a row, with no message from any gateway in between
   bool contactLost_ = false;
   bool hasLeft_ = false;
 };
--- a/src/membership/detector_probes.cpp
+++ b/src/membership/detector_probes.cpp
@@ -1,4 +1,5 @@
-// The probes of the failure detector: its own, direct and indirect, and those on behalf of other gateways.
+// The probing part of the failure detector: its own direct and indirect probes, and those on behalf of other
+// gateways.
 #include <utility>
 
 #include "membership/detector.h"
@@ -6,15 +7,15 @@
 namespace heathflow::membership {
 namespace {
 
-// After so many unanswered probes in a row, without a message from any gateway, this gateway takes itself for
-// cut off and not the others for failed.
+// After this many unanswered probes in a row, with no message from any gateway in between, this gateway
+// assumes that it is isolated itself, rather than that the others have failed.
 constexpr unsigned kMaxUnansweredProbes = 3;
 // Bounds memory.
 constexpr std::size_t kMaxRelayedProbes = 1000;
 
 }  // namespace
 
-// A suspected gateway gets the suspicion with the ping, so that it can refute it.
+// Sends a ping. To a suspected gateway it carries the suspicion, so that the gateway can refute it.
 void Detector::ping(const std::string& name, const KnownGateway& gateway, std::uint64_t sequence,
                     std::vector<OutgoingMessage>& out) {
   Message message;
@@ -23,7 +24,7 @@
   if (gateway.state == State::Suspected) out.back().message.updates.push_back(table_.updateOf(name, gateway));
 }
 
-// Each suspected gateway learns of it in each period until it has refuted the suspicion or has failed.
+// Sends each suspected gateway the suspicion, in each period until it has refuted it or was declared failed.
 void Detector::pingSuspects(std::vector<OutgoingMessage>& out) {
   for (const auto& [name, gateway] : table_.gateways()) {
     if (gateway.state == State::Suspected) ping(name, gateway, ++sequence_, out);
@@ -39,7 +40,7 @@
     return gateway != nullptr && !hasEnded(gateway->state);
   };
   const auto target = table_.probeRound().next(
-      mayProbe, [this] { return table_.livingNames(); }, random_);
+      mayProbe, [this] { return table_.runningNames(); }, random_);
   if (!target) return;
   probe_ = Probe{};
   probe_->target = *target;
@@ -55,7 +56,7 @@
   if (target == nullptr) return;
   ping(probe_->target, *target, probe_->sequence, out);  // the first ping may have been lost
   for (const std::string& helper :
-       randomChoice(table_.aliveNames(probe_->target), settings_.indirectProbes)) {
+       randomSample(table_.aliveNames(probe_->target), settings_.indirectProbes)) {
     Message request;
     request.kind = Message::Kind::PingRequest;
     request.sequence = probe_->sequence;
@@ -66,19 +67,20 @@
   }
 }
 
-// The probe had no answer.
+// Handles a probe that had no answer.
 void Detector::endProbe(Micros now) {
   const Probe probe = *probe_;
   probe_.reset();
-  // Helpers that do not answer either show that it is this gateway that is cut off.
+  // If the helpers do not answer either, it is likely this gateway that is isolated.
   const bool noAnswerAtAll = probe.helpers > 0 && probe.nacks == 0;
   if (noAnswerAtAll || probe.nacks < probe.helpers) worsenLocalHealth();
   if (probe.nacks == 0) ++unansweredProbes_;
-  if (unansweredProbes_ >= kMaxUnansweredProbes && (noAnswerAtAll || livingCount() > 1)) setContactLost(true);
+  if (unansweredProbes_ >= kMaxUnansweredProbes && (noAnswerAtAll || runningCount() > 1))
+    setContactLost(true);
   if (!contactLost_) table_.suspect(now, probe.target, settings_.name);
 }
 
-// An Ack that names its target answers a PingRequest: the target answered a helper.
+// Handles an Ack. One with a target answers a PingRequest: the target has answered a helper.
 void Detector::onAck(Micros now, const Message& message, std::vector<OutgoingMessage>& out) {
   const bool direct = message.target.empty();
   const auto relayed = relayedProbes_.find(message.sequence);
--- a/src/membership/gateway_table.cpp
+++ b/src/membership/gateway_table.cpp
@@ -34,12 +34,12 @@
   return found == gateways_.end() ? nullptr : &found->second;
 }
 
-std::size_t GatewayTable::livingCount() const {
+std::size_t GatewayTable::runningCount() const {
   return static_cast<std::size_t>(std::count_if(
       gateways_.begin(), gateways_.end(), [](const Entry& entry) { return !hasEnded(entry.second.state); }));
 }
 
-std::vector<std::string> GatewayTable::livingNames() const {
+std::vector<std::string> GatewayTable::runningNames() const {
   std::vector<std::string> out;
   for (const auto& [name, gateway] : gateways_) {
     if (!hasEnded(gateway.state)) out.push_back(name);
@@ -104,7 +104,7 @@
 }
 
 Micros GatewayTable::suspicionEndsAt(const KnownGateway& gateway) const {
-  return gateway.suspectedAt + suspicionTimeout(settings_, livingCount(), gateway.suspectedBy.size());
+  return gateway.suspectedAt + suspicionTimeout(settings_, runningCount(), gateway.suspectedBy.size());
 }
 
 void GatewayTable::endSuspicions(Micros now) {
@@ -135,7 +135,8 @@
   if (!hasEnded(found->second.state)) applyToIncarnation(now, *found, update);
 }
 
-// An ended incarnation of an unknown gateway is no event, but is stored so that it can't return.
+// Adds an unknown gateway. If its incarnation has ended there is no event, but it is stored so that it can't
+// return.
 void GatewayTable::addGateway(Micros now, const StateUpdate& update) {
   if (gateways_.size() >= kMaxGateways) return;
   KnownGateway gateway;
@@ -154,7 +155,7 @@
   if (update.state == State::Suspected) suspect(now, entry, update.suspectedBy);
 }
 
-// Nothing that was known of the earlier incarnation counts any more.
+// Replaces all that was known about the earlier incarnation.
 void GatewayTable::startIncarnation(Micros now, Entry& entry, const StateUpdate& update) {
   auto& [name, gateway] = entry;
   gateway.incarnation = update.incarnation;
--- a/src/membership/gateway_table.h
+++ b/src/membership/gateway_table.h
@@ -1,5 +1,5 @@
-// The other gateways as this one knows them. Decides which updates are newer than what is known, and queues
-// them as gossip.
+// The other gateways that this one knows. Decides which updates are newer than the known state, and queues
+// those as gossip.
 #pragma once
 
 #include <cstddef>
@@ -24,7 +24,7 @@
   std::uint32_t refutations = 0;
   State state = State::Alive;
   Micros since = 0;             // when the state or the direct path changed
-  bool directPathLost = false;  // others reach it, and this gateway does not
+  bool directPathLost = false;  // others reach it, but this gateway does not
   std::set<std::string> suspectedBy;
   Micros suspectedAt = 0;
 };
@@ -38,20 +38,20 @@
 
   const Gateways& gateways() const { return gateways_; }
   const KnownGateway* find(const std::string& name) const;
-  std::size_t livingCount() const;  // including the suspected
-  std::vector<std::string> livingNames() const;
-  std::vector<std::string> aliveNames(const std::string& except) const;  // without the suspected
+  std::size_t runningCount() const;  // including suspected ones
+  std::vector<std::string> runningNames() const;
+  std::vector<std::string> aliveNames(const std::string& except) const;  // without suspected ones
   StateUpdate updateOf(const std::string& name, const KnownGateway& gateway) const;
 
-  // Takes in an update about another gateway. A later incarnation counts above an earlier one; within one,
-  // its end counts above all else, then a higher number of refutations, then a suspicion.
+  // Applies an update about another gateway. A later incarnation takes precedence over an earlier one; within
+  // an incarnation its end takes precedence, then a higher number of refutations, then a suspicion.
   void apply(Micros now, const StateUpdate& update);
   void suspect(Micros now, const std::string& name, const std::string& by);
   void setDirectPathLost(Micros now, const std::string& name, bool lost);
-  // Declares those failed that have not refuted a suspicion in time.
+  // Declares gateways failed that have not refuted a suspicion in time.
   void endSuspicions(Micros now);
   Micros suspicionEndsAt(const KnownGateway& gateway) const;
-  // This gateway was stalled, and may have missed refutations meanwhile.
+  // Extends the time for refutations, which this gateway may have missed while it was stalled.
   void extendSuspicions(Micros stalledFor);
   void forgetEnded(Micros now);
 
@@ -59,7 +59,7 @@
   ProbeRound& probeRound() { return probeRound_; }
   void record(MembershipEvent::Kind kind, const std::string& name) { events_.push_back({kind, name}); }
   std::vector<MembershipEvent> takeEvents();
-  // Grows with each change of the table.
+  // Returns a number that grows with each change of the table.
   std::uint64_t version() const { return version_; }
 
  private:
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -8,7 +8,8 @@
 // Bounds memory.
 constexpr std::size_t kMaxEntries = 20'000;
 
-// Suspicions of one incarnation by different gateways are kept side by side, because each confirms the other.
+// Returns whether an update replaces an older one. Suspicions of one incarnation by different gateways are
+// all kept, because they confirm each other.
 bool replaces(const StateUpdate& update, const StateUpdate& older) {
   return older.name == update.name &&
          (update.state != State::Suspected || older.suspectedBy == update.suspectedBy ||
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -1,4 +1,4 @@
-// Updates that this gateway passes on with its messages, each a limited number of times.
+// The updates that this gateway passes on with its messages, each a limited number of times.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +11,10 @@
 
 class GossipQueue {
  public:
-  // Adds an update, which replaces older ones about the same gateway.
+  // Adds an update, which replaces older updates about the same gateway.
   void add(const StateUpdate& update);
   // Appends the updates that were sent least often, until the message has 'maxUpdates'.
-  // @param maxTransmissions after so many an update is dropped.
+  // @param maxTransmissions the number of transmissions after which an update is dropped.
   void appendTo(std::vector<StateUpdate>& updates, std::size_t maxUpdates, unsigned maxTransmissions);
 
  private:
--- a/src/membership/messages.h
+++ b/src/membership/messages.h
@@ -1,4 +1,4 @@
-// What gateways send each other to detect failures (SWIM), and what a gateway learns from it.
+// The messages that gateways exchange to detect failures (SWIM), and the resulting events.
 #pragma once
 
 #include <compare>
@@ -10,11 +10,12 @@
 
 using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
-// One run of a gateway's process, from its start to its end. A later one of the same name compares higher.
+// Identifies one run of a gateway: a new incarnation begins when the process starts, and when the gateway
+// learns that it was declared failed by mistake. A later incarnation of the same name compares higher.
 struct Incarnation {
-  std::uint64_t start =
-      0;  // by the gateway's own clock, and above that of any earlier incarnation it knows of
-  std::uint64_t salt = 0;  // random, so that two running gateways of one name differ
+  // The start by the gateway's own clock, and later than that of any earlier incarnation it knows of.
+  std::uint64_t start = 0;
+  std::uint64_t salt = 0;  // random, to distinguish two running gateways of the same name
   auto operator<=>(const Incarnation&) const = default;
 };
 
@@ -24,14 +25,14 @@
 const char* nameOf(State state);
 inline bool hasEnded(State state) { return state == State::Failed || state == State::Left; }
 
-// What one gateway says about another, or about itself.
+// A gateway's claim about another gateway or about itself.
 struct StateUpdate {
   std::string name;
-  std::string address;  // where it receives messages
+  std::string address;  // at which the gateway receives messages
   Incarnation incarnation;
-  std::uint32_t refutations = 0;  // of suspicions in this incarnation
+  std::uint32_t refutations = 0;  // the number of suspicions refuted in this incarnation
   State state = State::Alive;
-  std::string suspectedBy;  // only of a suspicion
+  std::string suspectedBy;  // only for suspicions
 };
 
 struct Message {
@@ -40,12 +41,12 @@
     Ack,          // to the ping of this sequence number
     PingRequest,  // the receiver pings the target and passes its Ack on, or answers with Nack
     Nack,         // the target did not answer the receiver of a PingRequest
-    SyncRequest,  // everything the sender knows; answered with the same
+    SyncRequest,  // the sender's full state; answered with the receiver's
     SyncResponse
   } kind = Kind::Ping;
   std::string from;
   std::uint64_t sequence = 0;
-  std::string target;         // of PingRequest, and of the Ack or Nack that answers it
+  std::string target;         // of PingRequest, and of the Ack or Nack in response
   std::string targetAddress;  // of PingRequest
   std::vector<StateUpdate> updates;
 };
@@ -62,7 +63,7 @@
     Refuted,
     Failed,
     Left,
-    DirectPathLost,  // others reach the gateway, and this one does not
+    DirectPathLost,  // others reach the gateway, but this one does not
     DirectPathRestored,
     DuplicateName,  // another running gateway has this one's name
     ContactLost,    // this gateway can't judge others
--- a/src/membership/probe_round.h
+++ b/src/membership/probe_round.h
@@ -1,4 +1,4 @@
-// The order in which gateways are probed: each once in a round, in a random order drawn for each round.
+// The order in which gateways are probed: each one once per round, in an order shuffled for each round.
 #pragma once
 
 #include <functional>
@@ -11,14 +11,14 @@
 
 class ProbeRound {
  public:
-  // A gateway that has just joined gets a random position in the current round.
-  // @param position from 0 to 1.
+  // Inserts a gateway that has just joined into the current round.
+  // @param position the relative position in the round, from 0 to 1; a random one.
   void insert(const std::string& name, double position);
-  // A gateway that has returned is probed next.
+  // Inserts a gateway that has returned, so that it is probed next.
   void insertNext(const std::string& name) { names_.push_back(name); }
-  // The next gateway to probe; nothing where there is none.
-  // @param mayProbe whether a gateway can still be probed.
-  // @param candidates the gateways of a new round.
+  // Returns the next gateway to probe; std::nullopt if there is none.
+  // @param mayProbe returns whether a gateway can still be probed.
+  // @param candidates returns the gateways for a new round.
   std::optional<std::string> next(const std::function<bool(const std::string&)>& mayProbe,
                                   const std::function<std::vector<std::string>()>& candidates,
                                   std::mt19937_64& random);
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,4 +1,4 @@
-// How long a suspected gateway has time to refute the suspicion before it is declared failed (Lifeguard).
+// Decides how long a suspected gateway has to refute the suspicion before it is declared failed (Lifeguard).
 #pragma once
 
 #include <cstddef>
@@ -7,13 +7,14 @@
 
 namespace heathflow::membership {
 
-// So many gateways that confirm a suspicion shorten its timeout; further ones do not.
+// The number of confirmations that shorten the timeout of a suspicion; further ones have no effect.
 inline constexpr std::size_t kMaxConfirmations = 3;
 
-// Longer in larger fleets, where a refutation takes longer to spread; shorter with each confirmation.
-// @param livingGateways the others that have not ended.
-// @param suspectedBy how many gateways suspect it.
-Micros suspicionTimeout(const DetectorSettings& settings, std::size_t livingGateways,
+// Returns a timeout that is longer with more gateways, among which a refutation takes longer to spread, and
+// shorter with each confirmation.
+// @param runningGateways the number of other gateways that have neither failed nor left.
+// @param suspectedBy the number of gateways that suspect it.
+Micros suspicionTimeout(const DetectorSettings& settings, std::size_t runningGateways,
                         std::size_t suspectedBy);
 
 }  // namespace heathflow::membership
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -58,7 +58,7 @@
   for (unsigned i = 0; i < 35; ++i) talk.kill(i);
   talk.run(60 * kS);
   EXPECT_TRUE(talk.agreed());
-  for (unsigned i = 35; i < 50; ++i) EXPECT_EQ(talk.at(i).livingCount(), 14U);
+  for (unsigned i = 35; i < 50; ++i) EXPECT_EQ(talk.at(i).runningCount(), 14U);
 }
 
 TEST(Membership, LostMessagesCauseNoFailures) {
