--- a/tests/announced_drain_test.cpp
+++ b/tests/announced_drain_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr long kMaxPollIntervalMs = 10'000;
 
-// A draining endpoint rejects health checks and serves requests.
+// Makes an endpoint behave as draining: it rejects health checks, but serves requests.
 void drain(EndpointStandIn& endpoint) {
   endpoint.healthCheck = [&endpoint](Line& line, const std::string&) { line.say(endpoint.error("57P03")); };
 }
@@ -28,7 +28,7 @@
   return out;
 }
 
-// The service ends the watch with a rejection, and rejects all calls from then on.
+// Rejects the current watch and all later calls of the list service.
 void rejectAllCalls(GatewayRig& rig) {
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   rig.discovery.fails = true;
@@ -36,7 +36,7 @@
   ASSERT_TRUE(rig.until([&] { return rig.counters().discoveryFailures > 0; }));
 }
 
-// Every endpoint gets a connection that is more than 2 s older than the newest list.
+// Opens a connection to every endpoint that is more than 2 s older than the newest list.
 void connectAll(GatewayRig& rig) {
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   ClientStandIn one(rig.loop, rig.socketAddress), two(rig.loop, rig.socketAddress),
@@ -59,7 +59,7 @@
   }
 }
 
-// The list expires, and every endpoint has a connection that is older.
+// Lets the list expire, with a connection to every endpoint that is older than the list.
 void expireList(GatewayRig& rig) {
   connectAll(rig);
   rejectAllCalls(rig);
@@ -76,7 +76,8 @@
 };
 INSTANTIATE_TEST_SUITE_P(Protocols, DrainRule, kBoth, nameOf);
 
-// Both replicas drain while every call is rejected: requests need a health check, and go to the primary.
+// Both replicas drain while every call is rejected. Requests need a recent health check, and go to the
+// primary.
 TEST_P(DrainRule, DrainingEndpointsGetNoRequestsSixSecondsLater) {
   GatewayRig rig(speaking());
   expireList(rig);
@@ -94,7 +95,7 @@
   EXPECT_EQ(rig.endpoints[0]->statements.size(), 5U);
 }
 
-// However many requests come, an endpoint gets one health check in 6 s.
+// Each endpoint gets one health check in 6 s, however many requests arrive.
 TEST_P(DrainRule, RemainingEndpointsServeWithOneHealthCheckInSixSeconds) {
   GatewayRig rig(speaking());
   expireList(rig);
@@ -132,8 +133,8 @@
   EXPECT_EQ(rig.endpoints[0]->statements.size(), 16U - before);
 }
 
-// Guards against requests to an endpoint that was removed and returned while every call was rejected (issue
-// 47): it answers health checks, but only the next list can say that it is back.
+// Guards against requests to an endpoint that was removed and returned while every call was rejected: it
+// answers health checks, but only the next list can confirm that it is back.
 TEST_P(DrainRule, AReturnedEndpointGetsNoRequestsBeforeTheNextList) {
   GatewayRig rig(speaking(), 2);
   expireList(rig);
@@ -156,11 +157,11 @@
     client.ask(request("any", "late" + std::to_string(i)));
     ASSERT_TRUE(client.answered(++answers));
   }
-  EXPECT_FALSE(rig.endpoints[1]->statements.empty()) << "the list names it";
+  EXPECT_FALSE(rig.endpoints[1]->statements.empty()) << "the list contains it";
 }
 
-// The endpoint is chosen before the list expires, and its connection is open after that.
-TEST_P(DrainRule, AnAttemptThatWaitedForItsConnectionIsPlacedAgain) {
+// The endpoint is chosen before the list expires, but its connection is open only after that.
+TEST_P(DrainRule, AnAttemptThatWaitedForItsConnectionIsReassigned) {
   GatewayRig rig(speaking(), 2);
   rejectAllCalls(rig);
   const transport::Micros rejectedAt = rig.loop.now();
@@ -176,7 +177,7 @@
       << "no connection is old enough, so that no endpoint gets the request";
 }
 
-// With the next list, requests need no health checks any more.
+// After the next list, requests need no health checks any more.
 TEST_P(DrainRule, TheNextListIsUsedAgain) {
   GatewayRig rig(speaking());
   rejectAllCalls(rig);
@@ -193,7 +194,7 @@
 }
 
 // Replicas began to drain before this process started. After the failed call the configured list is not used,
-// and no endpoint has a connection old enough.
+// and no endpoint has a connection that is old enough.
 TEST(FirstCalls, ThatFailEndTheUseOfTheConfiguredList) {
   GatewayRig rig(byHand(kMaxPollIntervalMs));
   rig.discovery.fails = true;
@@ -229,8 +230,8 @@
   EXPECT_TRUE(rig.statements().empty());
 }
 
-// The lease does not last for the wait of 10 s of a watch that was rejected.
-TEST(RejectedWatches, EndTheirWait) {
+// The lease does not last for the 10 s wait of a watch that was rejected.
+TEST(RejectedWatches, DoNotExtendTheLeaseForTheirWait) {
   GatewayOptions options = byHand(kMaxPollIntervalMs);
   options.gateways = 300;
   GatewayRig rig(options, 2);
@@ -253,7 +254,7 @@
 
 // ---- Several calls in flight ----
 
-// The service's queue is long: the first call is answered after the second was sent.
+// The service has a long queue and answers the first call after the second one was sent.
 TEST(OverdueCalls, AreUsedWhenTheyAreAnsweredLate) {
   GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
@@ -275,8 +276,8 @@
   EXPECT_TRUE(rig.endpoints[1]->statements.empty());
 }
 
-// A service that never answers holds three connections of a gateway at most, and each next call goes out in
-// time for an answer.
+// A gateway has at most three connections to a service that never answers, and makes each next call in time
+// for an answer.
 TEST(OverdueCalls, AreThreeAtMostWithTheNewest) {
   GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
@@ -304,7 +305,7 @@
   EXPECT_EQ(rig.discovery.calls.size(), 3U) << "the call that was due is the watch";
 }
 
-// An overdue call is rejected: it was counted as failed when it became overdue.
+// An overdue call that is rejected was already counted as failed when it became overdue.
 TEST(OverdueCalls, ThatFailLaterChangeNothing) {
   GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
@@ -322,7 +323,7 @@
 
 // ---- Health checks of a draining endpoint ----
 
-// Reads that need the position of a draining primary do not repeat its health checks without a pause.
+// Guards against health checks in a tight loop, while a read needs the position of a draining primary.
 TEST(RejectedHealthChecks, AreNotRepeatedWithoutAPause) {
   GatewayOptions options = byHand(kMaxPollIntervalMs);
   options.viewConsistency = "fresh";
--- a/tests/cached_list_trust_test.cpp
+++ b/tests/cached_list_trust_test.cpp
@@ -1,4 +1,4 @@
-// How far a cached endpoint list is trusted, and how long a gateway that crashes repeatedly waits.
+// The trust in a cached endpoint list by its age, and the start delay of a gateway that crashes repeatedly.
 #include "discovery/cached_list_trust.h"
 
 #include <gtest/gtest.h>
@@ -21,12 +21,12 @@
   EXPECT_FALSE(trustInCachedList(-2 * kS, settings).endpoints) << "from the future";
   EXPECT_TRUE(trustInCachedList(-kS / 2, settings).endpoints);
   const CachedListSettings withoutHealthChecks{10 * kS, 600 * kS, false};
-  EXPECT_TRUE(trustInCachedList(11 * kS, withoutHealthChecks).roles) << "no other source of roles";
+  EXPECT_TRUE(trustInCachedList(11 * kS, withoutHealthChecks).roles) << "there is no other source of roles";
 }
 
 TEST(CrashLoopDelay, GrowsWithEachEarlyCrashWithinThePollInterval) {
   EXPECT_EQ(crashLoopDelay(0, 10 * kS), 0);
-  EXPECT_EQ(crashLoopDelay(1, 10 * kS), 0) << "one crash is no crash loop";
+  EXPECT_EQ(crashLoopDelay(1, 10 * kS), 0) << "one crash is not a crash loop";
   EXPECT_EQ(crashLoopDelay(2, 10 * kS), 500 * kMs);
   EXPECT_EQ(crashLoopDelay(3, 10 * kS), kS);
   EXPECT_EQ(crashLoopDelay(1000, 10 * kS), 5 * kS);
--- a/tests/discovery_schedule_test.cpp
+++ b/tests/discovery_schedule_test.cpp
@@ -1,4 +1,4 @@
-// When a gateway calls the list service, and how long it watches.
+// The times at which a gateway calls the list service, and the duration of its watches.
 #include "discovery/discovery_schedule.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
   return out;
 }
 
-// The highest number of times that lie within any span of that length.
+// Returns the highest number of times within any span of the given length.
 std::size_t mostWithin(std::vector<Micros> times, Micros span) {
   std::sort(times.begin(), times.end());
   std::size_t most = 0;
@@ -47,7 +47,8 @@
     times.push_back(DiscoverySchedule(settingsOf(i, 300, 8 * kMs), 0).firstCallAt());
   EXPECT_GT(*std::max_element(times.begin(), times.end()), 1500 * kMs);
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 2400 * kMs);
-  // One call after the other, 8 ms each: none waits for a second, and the last is served soon after.
+  // The service answers one call at a time, in 8 ms each: none waits for a second, and the last is answered
+  // in time.
   std::sort(times.begin(), times.end());
   Micros free = 0;
   Micros longest = 0;
@@ -59,7 +60,7 @@
   EXPECT_LE(free, 2700 * kMs);
 }
 
-// Two timeouts and an answer have to fit into the notification timeout of 6 s.
+// Two timeouts and an answer must fit into the notification timeout of 6 s.
 TEST(FirstCall, LeavesTimeForTwoTimeoutsAndAnAnswerHoweverSlowTheService) {
   for (unsigned i = 0; i < 100; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 10'000, kS), 0);
@@ -94,7 +95,7 @@
   EXPECT_EQ(DiscoverySchedule(settings, kS).firstCallAt(), kS + settings.startDelay);
 }
 
-// A second rejection and an answer still fit into the notification timeout.
+// A second rejection and an answer must still fit into the notification timeout.
 TEST(BackoffAfterFailure, SpreadsRejectedCallsOverAQuarterOfTheTimeout) {
   std::vector<Micros> first, second;
   for (unsigned i = 0; i < 300; ++i) {
@@ -106,12 +107,12 @@
     EXPECT_GT(*std::max_element(times.begin(), times.end()), 1400 * kMs);
     EXPECT_LE(*std::max_element(times.begin(), times.end()), 1500 * kMs);
     EXPECT_GE(*std::min_element(times.begin(), times.end()), 250 * kMs);
-    // The delays below the minimum of 250 ms are raised to it and return together.
+    // Delays below the minimum of 250 ms are raised to it, so that those calls are made together.
     EXPECT_LE(mostWithin(times, 100 * kMs), 90U);
   }
 }
 
-// None waits longer than the service needs for all.
+// The delay is at most the time that the service needs for the calls of all gateways.
 TEST(BackoffAfterFailure, OfASmallFleetIsShortAfterARejection) {
   for (unsigned i = 0; i < 10; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 10), 0);
@@ -130,7 +131,7 @@
   EXPECT_LE(mostWithin(times, 100 * kMs), 90U);
 }
 
-// The notification timeout holds whatever the service asks for.
+// The notification timeout applies whatever delay the service requests.
 TEST(BackoffAfterFailure, CutsARetryAfterThatIsBeyondTheTimeout) {
   std::vector<Micros> times;
   for (unsigned i = 0; i < 100; ++i) {
@@ -138,12 +139,13 @@
     times.push_back(schedule.nextCallAfterFailure(0, CallFailure::Rejected, 3600 * kS));
   }
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 1500 * kMs);
-  EXPECT_LE(mostWithin(times, 50 * kMs), 35U) << "and they come back apart";
+  EXPECT_LE(mostWithin(times, 50 * kMs), 35U) << "the calls are spread";
 }
 
-// Guards against gateways that call faster than the service can answer, so that none gets a list (issue 47):
-// at 300 gateways at most 25 calls in 100 ms, where over a quarter of the timeout there are up to 90.
-TEST(BackoffAfterFailure, SpreadsRepeatedRejectionsOverTheWholeDeadline) {
+// Guards against gateways that keep calling faster than the service can answer, so that none gets a list.
+// With 300 gateways there are at most 25 calls in 100 ms; spread over a quarter of the timeout, there were up
+// to 90.
+TEST(BackoffAfterFailure, SpreadsRepeatedRejectionsOverTheWholeTimeout) {
   std::vector<Micros> third, fourth;
   for (unsigned i = 0; i < 300; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 300), 0);
@@ -162,8 +164,8 @@
   EXPECT_LE(mostWithin(fourth, 100 * kMs), 25U);
 }
 
-// Any two failures in a row, with any number of failures before that are no rejections: the third call goes
-// out in time for its answer. The test above covers further rejections.
+// After any two failures in a row, and any number of earlier failures other than rejections, the third call
+// is made in time for its answer. The test above covers further rejections.
 TEST(BackoffAfterFailure, LeavesTimeForAnAnswerAfterAnyTwoFailures) {
   using Kind = CallFailure;
   const std::vector<Kind> kinds = {Kind::Rejected, Kind::ConnectionReset, Kind::TimedOut, Kind::Unreachable,
@@ -196,14 +198,15 @@
   EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::ConnectionReset), 500 * kMs);
 }
 
-// Hundreds of watches that time out together are renewed soon, because changes they miss count, and spread.
+// Hundreds of watches that time out together are renewed soon, because the changes that they miss count
+// already, but not all at once.
 TEST(BackoffAfterFailure, IsShortButSpreadAfterATimeout) {
   std::vector<Micros> times;
   for (unsigned i = 0; i < 300; ++i) {
     DiscoverySchedule schedule(settingsOf(i, 300), 0);
     schedule.watchSucceeded();
     times.push_back(schedule.nextCallAfterFailure(0, CallFailure::TimedOut));
-    // The second in a row as well.
+    // So is the delay after a second timeout in a row.
     EXPECT_LE(schedule.nextCallAfterFailure(0, CallFailure::TimedOut), 250 * kMs);
   }
   EXPECT_LE(*std::max_element(times.begin(), times.end()), 250 * kMs);
@@ -239,11 +242,11 @@
   DiscoverySchedule few(settingsOf(0, 10), 0);
   few.callSucceeded(4 * kMs);
   EXPECT_EQ(few.watchDuration(), 2500 * kMs);
-  // 300 gateways at 8 ms a call: a renewal each 2.4 s would take all of its time.
+  // 300 gateways at 8 ms a call: renewals every 2.4 s would take all of the service's time.
   DiscoverySchedule many(settingsOf(0, 300), 0);
   many.callSucceeded(8 * kMs);
   EXPECT_EQ(many.watchDuration(), 9600 * kMs);
-  // Never longer than the poll interval.
+  // At most the poll interval.
   DiscoverySchedule slow(settingsOf(0, 5'000), 0);
   slow.callSucceeded(50 * kMs);
   EXPECT_EQ(slow.watchDuration(), 10 * kS);
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -1,5 +1,5 @@
-// Violates each invariant on purpose: the violation is counted once and reported, and the attempt is not
-// sent.
+// Violates each invariant on purpose: the violation is counted once and reported, and a violating attempt is
+// not sent.
 #include "invariants/invariant_checker.h"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
   bool send(RequestId request, std::uint32_t attempt = 0, Micros after = 0, Micros time = 500 * kMs) {
     return checker.maySend(kStart + after, {request, attempt, kEndpoint, time});
   }
-  // That invariant was violated once, and no other.
+  // Checks that this invariant was violated once, and no other.
   void expectOnly(Invariant invariant) {
     EXPECT_EQ(checker.count(invariant), 1U) << nameOf(invariant);
     EXPECT_EQ(checker.total(), 1U);
@@ -49,7 +49,7 @@
   RequestId lastId = 0;
 };
 
-TEST_F(InvariantCheckerTest, CountsNothingOnAnOrdinaryPath) {
+TEST_F(InvariantCheckerTest, CountsNothingWithoutAViolation) {
   const RequestId id = accept();
   EXPECT_TRUE(send(id));
   checker.attemptEnded(id, 0, false);
@@ -91,7 +91,8 @@
 TEST_F(InvariantCheckerTest, SentToDraining) {
   checker.endpointsChanged(kStart, listWith(EndpointStatus::Draining));
   checker.endpointsChanged(kStart + kGrace, listWith(EndpointStatus::Draining));
-  EXPECT_TRUE(send(accept(), 0, kGrace)) << "the grace counts from the first list";
+  EXPECT_TRUE(send(accept(), 0, kGrace))
+      << "the grace period starts with the first list that reports the drain";
   EXPECT_FALSE(send(accept(), 0, kGrace + 1));
   expectOnly(Invariant::SentToDraining);
   checker.endpointsChanged(kStart + kS, listWith(EndpointStatus::Ready));
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -1,5 +1,5 @@
-// Lists of 1,500 endpoints, and settings for 1,500 gateways, in the built program: they are used, also when
-// indented, with one thread and within 32 MB of memory.
+// Runs the gateway program with lists of 1,500 endpoints and settings for 1,500 gateways: it uses the lists,
+// even when indented, with one thread and within 32 MB of memory.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -18,11 +18,11 @@
 constexpr std::size_t kRequestsAtTheEnd = 50;
 constexpr std::size_t kGroupClients = 20;
 constexpr long kShortTimeoutMs = 100;
-// Long names, because the protocol does not limit them.
+// Long names, because the protocol does not limit their length.
 const std::string kName(48, 'n');
 const std::string kLocality(32, 'z');
 
-// A JSON document with a line for each value and deep indentation.
+// Returns the JSON document with a line for each value and deep indentation.
 std::string indented(const std::string& json) {
   std::string out;
   std::size_t depth = 0;
@@ -48,7 +48,8 @@
   Site() : first(loop, kLoopback + 1), second(loop, kLoopback + 2), discovery(loop) {
     first.primary = second.primary = true;
   }
-  // Endpoints of all groups. The primary of the first group is a stand-in; the others can't be reached.
+  // Returns the list entries of all groups. The primary of the first group is a stand-in; the other endpoints
+  // can't be reached.
   std::string entries(const std::string& primaryAddress, std::int64_t upSinceMs) const {
     std::string out;
     for (std::size_t i = 0; i < kEndpoints; ++i) {
@@ -87,7 +88,7 @@
   return out;
 }
 
-// A write to the first group has to reach its primary.
+// Sends a write to the first group, which has to reach its primary.
 void expectServedBy(ClientStandIn& client, const EndpointStandIn& primary, const std::string& id) {
   client.forget();
   client.ask(request("save", id));
@@ -95,7 +96,7 @@
   EXPECT_EQ(client.value(), "from " + primary.address());
 }
 
-// Each list changes every entry, and names another primary of the first group.
+// Sends lists that each change every entry, with another primary of the first group.
 void changeAllEntries(Site& site, Process& process, ClientStandIn& client, int times) {
   for (int i = 0; i < times; ++i) {
     EndpointStandIn& primary = i % 2 == 0 ? site.first : site.second;
@@ -108,7 +109,7 @@
   }
 }
 
-// Only the first group can be reached; requests to the others have to be answered nevertheless.
+// Sends a request to each group that can't be reached; all have to be answered nevertheless.
 void requestFromOtherGroups(Site& site, Process& process) {
   std::list<ClientStandIn> clients;
   for (std::size_t i = 0; i < kGroupClients; ++i) clients.emplace_back(site.loop, process.socketAddress());
@@ -129,7 +130,8 @@
   }));
 }
 
-// Lists come from the configuration, as a complete list with another primary, and as changes of all entries.
+// The lists are the one in the configuration, a complete list with another primary, and changes of all
+// entries.
 TEST(LargeLists, AreUsedWithinTheMemoryOfASmallProcess) {
   Site site;
   site.discovery.silent = true;
@@ -155,7 +157,7 @@
   }
   EXPECT_GT(statusOf(process.pid(), "VmHWM"), 0U);
   if (kResidentIsOwn) {
-    EXPECT_LT(statusOf(process.pid(), "VmHWM") * 1024, kMemoryMb * 1'000'000) << "at its highest";
+    EXPECT_LT(statusOf(process.pid(), "VmHWM") * 1024, kMemoryMb * 1'000'000) << "peak memory";
   }
   EXPECT_EQ(statusOf(process.pid(), "Threads"), 1U);
   EXPECT_FALSE(process.says("can't be read")) << process.log();
--- a/tests/launch_times_test.cpp
+++ b/tests/launch_times_test.cpp
@@ -1,4 +1,4 @@
-// Starts of endpoints, bounded by what this process has observed, and the lead of their clocks.
+// The start times of endpoints, limited by what this process has observed, and the lead of their clocks.
 #include "wallclock/launch_times.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 constexpr Micros kHour = 3600 * kSecond;
 constexpr Micros kStart = 1'000'000 * kSecond;
 
-// Takes in a list that names one endpoint, and returns its start.
+// Applies a list that contains one endpoint, and returns its start.
 Micros startAfterList(LaunchTimes& times, Micros now, Micros listed, bool confirmed = true) {
   times.beginList(now, confirmed);
   return times.launchedAt("m", listed);
@@ -25,7 +25,7 @@
   EXPECT_EQ(startAfterList(times, kStart + 30 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
 }
 
-// Guards against an endpoint that is taken for warm after a restart with a stepped clock.
+// Guards against an endpoint that is treated as warm after a restart because its clock was set.
 TEST(LaunchTimes, OfARestartedEndpointAreBoundedByObservation) {
   for (const Micros step : {-kHour, -10 * kSecond, kSecond, 10 * kSecond, kHour}) {
     LaunchTimes times;
@@ -36,7 +36,7 @@
     const Micros launched = startAfterList(times, now, restarted + step);
     EXPECT_GE(launched, kStart + 50 * kSecond - kMaxListDelay) << step;
     EXPECT_LE(launched, now) << step;
-    EXPECT_EQ(startAfterList(times, now + 5 * kSecond, restarted + step), launched) << "and stays";
+    EXPECT_EQ(startAfterList(times, now + 5 * kSecond, restarted + step), launched) << "it stays the same";
   }
 }
 
@@ -46,20 +46,22 @@
   const Micros now = kStart + 10 * kSecond;
   EXPECT_EQ(startAfterList(times, now, now - kHour), kStart);
   LaunchTimes first;
-  EXPECT_EQ(startAfterList(first, now, now - kHour), now - kHour) << "the first list names those that serve";
+  EXPECT_EQ(startAfterList(first, now, now - kHour), now - kHour)
+      << "the first list contains endpoints that already serve";
   LaunchTimes cached;
   cached.beginList(kStart, false);
   EXPECT_EQ(startAfterList(cached, now, now - kHour), now - kHour)
       << "a cached list says nothing about the present";
 }
 
-// An endpoint does not start again because a list left it out for a while.
+// An endpoint that was missing from a list for a while has not restarted.
 TEST(LaunchTimes, StayWithinAnIncarnation) {
   LaunchTimes times;
   const Micros launched = startAfterList(times, kStart, kStart - 20 * kSecond);
   times.beginList(kStart + kSecond, true);  // without it
   EXPECT_EQ(startAfterList(times, kStart + 60 * kSecond, kStart - 20 * kSecond), launched);
-  EXPECT_EQ(startAfterList(times, kStart + 61 * kSecond, 0), launched) << "'long ago' is no new incarnation";
+  EXPECT_EQ(startAfterList(times, kStart + 61 * kSecond, 0), launched)
+      << "'long ago' is not a new incarnation";
 }
 
 TEST(LaunchTimes, OfANewIncarnationAreLater) {
@@ -84,7 +86,7 @@
   EXPECT_EQ(clocks.toEndpoints(kStart), kStart);
 }
 
-// A replica's position says little about its clock.
+// A replica's position shows little about its clock.
 TEST(EndpointTime, HasTheMaximumLeadUntilAPrimaryHasReported) {
   EndpointTime clocks;
   EXPECT_EQ(clocks.observe(kStart, kStart, false), kStart - kMaxClockLead);
@@ -96,16 +98,16 @@
 TEST(EndpointTime, RejectsPositionsFarInTheFuture) {
   EndpointTime clocks;
   EXPECT_EQ(clocks.observe(kStart + kMaxClockLead + 1, kStart, true), std::nullopt);
-  EXPECT_EQ(clocks.lead(), kMaxClockLead) << "no position was taken";
+  EXPECT_EQ(clocks.lead(), kMaxClockLead) << "the position was rejected";
 }
 
 TEST(EndpointTime, HasTheLeadThatAPrimaryShows) {
   constexpr Micros kObserved = 900'000;
-  constexpr Micros kBehind = kObserved + 50'000;  // with the longest network delay
+  constexpr Micros kBehind = kObserved + 50'000;  // plus the longest network delay
   EndpointTime clocks;
   EXPECT_EQ(clocks.observe(kStart + kObserved, kStart, true), kStart + kObserved - kBehind);
   EXPECT_EQ(clocks.lead(), kBehind);
-  // A replica that lags 2 s lags 2 s.
+  // The lag of a replica is not affected.
   EXPECT_EQ(clocks.observe(kStart + kBehind - 2 * kSecond, kStart, false), kStart - 2 * kSecond);
   EXPECT_EQ(clocks.fromSessionToken(kStart + kBehind, kStart), kStart);
   EXPECT_EQ(clocks.toEndpoints(kStart), kStart + kBehind);
@@ -118,12 +120,12 @@
   (void)clocks.observe(kStart + 500'000, kStart, true);
   Micros at = kStart;
   for (; at < kStart + 59 * kSecond; at += kSecond) (void)clocks.observe(at, at, true);
-  EXPECT_EQ(clocks.lead(), 550'000) << "of this window, and of the one before";
+  EXPECT_EQ(clocks.lead(), 550'000) << "the lead of this window and the previous one";
   for (; at < kStart + 70 * kSecond; at += kSecond) (void)clocks.observe(at, at, true);
   EXPECT_EQ(clocks.lead(), 0);
 }
 
-// A session token is compared with the endpoints' positions, not with this machine's clock.
+// Session tokens are compared with the endpoints' positions, not with this machine's clock.
 TEST(EndpointTime, ConvertsSessionTokensThatAreAheadByADayAtMost) {
   EndpointTime clocks;
   (void)clocks.observe(kStart, kStart, true);
--- a/tests/list_lease_test.cpp
+++ b/tests/list_lease_test.cpp
@@ -1,4 +1,4 @@
-// For how long an endpoint list may be used without confirmation.
+// The time for which an endpoint list may be used without confirmation by the list service.
 #include "discovery/list_lease.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-TEST(ListLease, EndSixSecondsAfterTheLastConfirmation) {
+TEST(ListLease, EndsSixSecondsAfterTheLastConfirmation) {
   ListLease lease(kS, false);
   EXPECT_EQ(lease.endsAt(), 7 * kS);
   lease.renew(3 * kS);
@@ -20,8 +20,8 @@
   EXPECT_EQ(lease.endsAt(), 8 * kS);
 }
 
-// A delayed answer does not confirm what changed after it was written.
-TEST(ListLease, StartWhenTheListWasTrueAndNotWhenItArrived) {
+// A delayed answer does not contain changes made after it was written.
+TEST(ListLease, StartsWhenTheListWasCorrectAndNotWhenItArrived) {
   ListLease lease(0, false);
   lease.renew(3 * kS);
   lease.watchStarted(3 * kS, 2 * kS);
@@ -30,7 +30,7 @@
 }
 
 // A change since the last confirmation may count by now.
-TEST(ListLease, EndWithAWatchThatTimedOut) {
+TEST(ListLease, EndsWithAWatchThatTimedOut) {
   ListLease lease(0, false);
   lease.renew(3 * kS);
   lease.watchStarted(3 * kS, 10 * kS);
@@ -42,8 +42,9 @@
   EXPECT_EQ(lease.endsAt(), 26 * kS);
 }
 
-// An endpoint's return may be recorded 2 s late, so that a list proves connections older than that.
-TEST(ListLease, ProveConnectionsThatAreOlderThanTheList) {
+// An endpoint's return may be recorded up to 2 s late, so that a list confirms only connections that are
+// older than it by 2 s.
+TEST(ListLease, ConfirmsConnectionsThatAreOlderThanTheList) {
   ListLease lease(kS, false);
   EXPECT_FALSE(lease.connectedBefore());
   lease.renew(10 * kS);
@@ -53,7 +54,7 @@
   EXPECT_EQ(lease.connectedBefore(), 8 * kS);
 }
 
-TEST(ListLease, LastUntilTwoSecondsAfterTheWaitOfAWatch) {
+TEST(ListLease, LastsUntilTwoSecondsAfterTheWaitOfAWatch) {
   ListLease lease(kS, false);
   lease.renew(3 * kS);
   lease.watchStarted(3 * kS, 2 * kS);
@@ -62,8 +63,9 @@
   EXPECT_EQ(lease.endsAt(), 15 * kS);
 }
 
-// A change after the rejection counts 6 s later; one before it may have waited in the service's queue.
-TEST(ListLease, EndSoonAfterAWatchWasRejected) {
+// A change after the rejection counts 6 s later; one before it may have waited in the service's queue for 3
+// s.
+TEST(ListLease, EndsSoonAfterAWatchWasRejected) {
   ListLease lease(0, false);
   lease.renew(3 * kS);
   lease.watchStarted(3 * kS, 60 * kS);
@@ -75,8 +77,9 @@
   EXPECT_EQ(lease.endsAt(), 43 * kS);
 }
 
-// A cached list may be of any age. Pushed changes count at once, so that there it has no lease at all.
-TEST(ListLease, OfACachedListEndWithTheFirstFailure) {
+// A cached list may be of any age. Where changes are pushed they count at once, so that it has no lease at
+// all.
+TEST(ListLease, OfACachedListEndsWithTheFirstFailure) {
   ListLease polled(kS, false);
   EXPECT_EQ(polled.endsAt(), 7 * kS);
   polled.callFailed(2 * kS);
--- a/tests/list_outage_test.cpp
+++ b/tests/list_outage_test.cpp
@@ -1,5 +1,5 @@
-// Real gateways that get no list for longer than the time within which changes have to be known, while
-// endpoints are removed and return.
+// Gateway processes that get no list for longer than the notification timeout, while endpoints are removed
+// and return.
 #include <gtest/gtest.h>
 
 #include "deployment_play.h"
@@ -18,15 +18,15 @@
   return out;
 }
 
-// Issue 47: the removal counts as known 6 s after it, the return 6 s after that, and the endpoints answer
-// health checks in between.
+// Guards against requests to endpoints that have returned, but whose return no list has confirmed. The
+// removal and the return count as known 6 s after each; in between, the endpoints answer health checks again.
 TEST(ListOutages, NoAttemptsToReturnedEndpointsWhileEveryCallIsRejected) {
   Scenario scenario = outage();
   scenario.faultEvents = {{Is::ListCrowded, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
   expectKept(played(scenario));
 }
 
-// The same over cut links.
+// The same with broken network paths to the list service.
 TEST(ListOutages, NoAttemptsToReturnedEndpointsWhileEveryCallHangs) {
   Scenario scenario = outage();
   scenario.faultEvents = {{Is::CutList, 2 * kS, 1, 12 * kS}, {Is::RestartEndpoints, 3 * kS, 0.6, 3 * kS}};
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -1,5 +1,4 @@
 // Endpoint lists that arrive late, incomplete, from a new address or not at all.
-// docs/crossings.md lists the pairs.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -19,8 +18,8 @@
 
 std::string withoutLength(const std::string& body) { return "HTTP/1.1 200 OK\r\n\r\n" + body; }
 
-// Guards against an incomplete list: a response without a length is complete when its connection closes, not
-// when it is reset.
+// Guards against the use of an incomplete list: a response without a length is complete when its connection
+// is closed, but not when it is reset.
 TEST(EndpointListResponses, WithoutALengthAreCompleteAtACloseButNotAtAReset) {
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
@@ -46,7 +45,7 @@
   EXPECT_EQ(rig.endpoints[0]->statements.size(), 1U);
 }
 
-// The list is longer than one read, and its connection is closed right behind it.
+// The list does not fit into one read, and its connection is closed right after it.
 TEST(EndpointListResponses, LongerThanOneReadAreTakenCompletelyWhenTheirConnectionCloses) {
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
@@ -71,7 +70,7 @@
   }
 }
 
-// Pushed lists arrive over a watch as well.
+// Pushed lists also arrive through a watch.
 TEST(EndpointListResponses, ThatArePushedAreWatchedFromTheStart) {
   GatewayOptions options;
   options.discovery = "push";
@@ -86,8 +85,8 @@
   EXPECT_TRUE(rig.endpoints[2]->statements.empty());
 }
 
-// A watch has no response. The gateway counts as notified of what it misses 2 s after its wait of 5 s, so
-// that the next call has to be out before.
+// A watch with a wait of 5 s gets no response. The gateway counts as notified of the changes it misses 2 s
+// after the wait, so that the next call has to be made before that.
 TEST(EndpointListResponses, OfAWatchThatTimesOutAreRequestedAgainBeforeTheDeadline) {
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
@@ -107,7 +106,7 @@
   EXPECT_TRUE(rig.endpoints[1]->statements.empty());
 }
 
-// The next call has no response either.
+// The call after the watch gets no response either.
 TEST(EndpointListResponses, OfTwoCallsThatTimeOutAreRequestedAgainWithinSixSeconds) {
   GatewayRig rig(byHand(4'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
@@ -119,7 +118,7 @@
   EXPECT_LE(rig.discovery.calledAt.back(), silentFrom + 6 * kSecond - kSecond / 4);
 }
 
-// The rest of an incomplete list that arrives later is not part of the next one.
+// The rest of an incomplete list, which arrives later, is not taken for part of the next one.
 TEST(EndpointListResponses, ThatStopHalfwayAreNotUsed) {
   GatewayRig rig(byHand(4'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
@@ -149,7 +148,7 @@
   EXPECT_EQ(rig.counters().discoveryFailures, 0U);
 }
 
-// A dedicated agent's list counts as soon as the agent is back, so that the backoff does not grow.
+// The list of a dedicated agent counts as soon as the agent is back, so that the backoff must not grow.
 TEST(EndpointListResponses, ThatArePushedAreRequestedSoonHoweverLongTheAgentWasAway) {
   GatewayOptions options = byHand(60'000);
   options.discovery = "push";
@@ -166,14 +165,14 @@
   EXPECT_LE(rig.discovery.calledAt.back(), back + kSecond / 4 + kSecond / 50);
 }
 
-// The list service moves, and the first call to its new address has no response: the gateway counts as
+// The list service moves, and the first call to its new address gets no response. The gateway counts as
 // notified of the new list 4 s after the move.
 TEST(EndpointListResponses, FromANewAddressWhoseFirstCallTimesOutArriveWithinFourSeconds) {
   GatewayRig rig(byHand(20'000), 2);
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   DiscoveryStandIn service(rig.loop);
   service.endpoints = rig.discovery.endpoints;
-  service.revision = 0;  // its revisions are its own
+  service.revision = 0;  // revisions of two services are independent
   service.silent = true;
   const transport::Micros moved = rig.loop.now();
   moveTo(rig, service.socketAddress());
@@ -185,7 +184,7 @@
   EXPECT_TRUE(rig.until([&] { return rig.discovery.openLines() == 0; }));
 }
 
-// Two moves in one turn of the event loop: the last one counts. A move to the present address changes
+// After two moves in one turn of the event loop the last one counts. A move to the current address changes
 // nothing.
 TEST(EndpointListResponses, FollowTheLastOfTwoMoves) {
   GatewayRig rig(byHand(20'000), 2);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// Failure detection among many gateways under a virtual clock, with lost messages, stalls, partitions and
+// Failure detection among many gateways with a virtual clock, with lost messages, stalls, partitions and
 // crashes.
 #include <gtest/gtest.h>
 
@@ -113,7 +113,7 @@
   }
   talk.run(40 * kS);
   EXPECT_TRUE(talk.at(0).contactLost());
-  // At most those that it suspected before it lost contact.
+  // It declares at most those failed that it suspected before it lost contact.
   std::size_t declaredFailed = 0;
   for (const auto& event : talk.events())
     declaredFailed += event.gateway == 0 && event.at >= since && event.what.kind == Kind::Failed ? 1 : 0;
@@ -146,13 +146,13 @@
   talk.run(15 * kS);
   const Incarnation before = talk.at(3).view().at("n9").incarnation;
   talk.kill(9);
-  talk.run(200 * kMs);  // before it is detected
+  talk.run(200 * kMs);  // before the crash is detected
   talk.start(9);
   talk.run(20 * kS);
   EXPECT_TRUE(talk.agreed());
   EXPECT_GT(talk.at(3).view().at("n9").incarnation, before);
   talk.kill(9);
-  talk.run(30 * kS);  // and after it was declared failed
+  talk.run(30 * kS);  // until it was declared failed
   EXPECT_EQ(talk.at(3).view().at("n9").state, State::Failed);
   talk.start(9);
   talk.run(20 * kS);
@@ -223,7 +223,7 @@
   one.receive(State::Suspected, 5, 0);
   EXPECT_EQ(one.state(), State::Alive) << "an old suspicion";
   one.receive(State::Failed, 5, 0);
-  EXPECT_EQ(one.state(), State::Alive) << "and the failure that followed from it";
+  EXPECT_EQ(one.state(), State::Alive) << "the failure that followed from it";
 }
 
 TEST(StateUpdates, ASuspectedGatewayRefutesAndAFailedOneBeginsANewIncarnation) {
--- a/tests/readiness_test.cpp
+++ b/tests/readiness_test.cpp
@@ -1,5 +1,5 @@
-// A process that starts is ready with the list of its configuration, whatever discovery does: it answers an
-// empty query, which the platform's front waits for, and serves.
+// A starting process is ready with the list in its configuration, whatever the list service does: it answers
+// an empty query, which the platform's front end waits for, and serves requests.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -10,17 +10,17 @@
 namespace heathflow::test {
 namespace {
 
-// What discovery does with every call.
+// The behavior of the list service on every call.
 enum class Discovery { Silent, Unreachable, Overloaded, Resets, StopsHalfway };
 
 struct Start {
   Discovery discovery;
-  const char* lists;  // the setting: "ask" or "push"
+  const char* lists;  // the setting 'Discovery': "ask" or "push"
 };
 
 class Readiness : public testing::TestWithParam<Start> {
  protected:
-  // Answers as the parameter says; the silent one accepts connections and sends nothing.
+  // Answers according to the parameter; a silent service accepts connections and sends nothing.
   void act(Line& line) {
     switch (GetParam().discovery) {
       case Discovery::Silent:
@@ -59,7 +59,7 @@
   options.gateways = 300;
   Process process(
       configText(options, discovery.address(), "[" + entry("m0", endpoint.address(), true) + "]"));
-  // A start, and two restarts after kills.
+  // One start, and two restarts after the process was killed.
   for (unsigned incarnation = 1; incarnation <= 3; ++incarnation) {
     ASSERT_TRUE(until(loop, [&] { return process.socketAddress().port != 0; })) << process.log();
     ClientStandIn front(loop, process.socketAddress());
@@ -70,7 +70,7 @@
     front.ask(request("save", "incarnation" + std::to_string(incarnation)));
     ASSERT_TRUE(front.answered());
     if (std::string(GetParam().lists) == "push") {
-      // The pushed list counts from the start, and there is none yet: rejected at once.
+      // A pushed list counts from the start, but there is none yet: the request is rejected at once.
       EXPECT_EQ(front.types(), "EZ");
       EXPECT_TRUE(endpoint.statements.empty());
     } else {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// The settings text: what is needed, what is skipped, and words that are not known.
+// The settings text: required keys, ignored keys, and unknown words.
 #include "settings/settings.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
   return text.replace(at, from.size(), to);
 }
 
-std::string complaint(const std::string& text) {
+std::string errorOf(const std::string& text) {
   try {
     parseSettings(text);
   } catch (const SettingsError& error) {
@@ -53,17 +53,17 @@
   EXPECT_EQ(settings.report.inFlight, -1);
 }
 
-TEST(SettingsText, GoneIsAdviceOnlyWhereItIsSaid) {
+TEST(SettingsText, RemovalsAreAdvisoryOnlyIfSet) {
   EXPECT_FALSE(parseSettings(kSettingsText).policy.removalIsAdvisory);
-  const auto said = replaced(kSettingsText, "\"Contract\": {", "\"Contract\": {\"GoneIsAdvice\": true, ");
-  EXPECT_TRUE(parseSettings(said).policy.removalIsAdvisory);
+  const auto advisory = replaced(kSettingsText, "\"Contract\": {", "\"Contract\": {\"GoneIsAdvice\": true, ");
+  EXPECT_TRUE(parseSettings(advisory).policy.removalIsAdvisory);
 }
 
-TEST(SettingsText, UnknownKeysAreSkipped) {
-  EXPECT_EQ(complaint(replaced(kSettingsText, "{\"Az\"", "{\"News\": {\"a\": [1]}, \"Az\"")), "");
+TEST(SettingsText, UnknownKeysAreIgnored) {
+  EXPECT_EQ(errorOf(replaced(kSettingsText, "{\"Az\"", "{\"News\": {\"a\": [1]}, \"Az\"")), "");
 }
 
-TEST(SettingsText, UnknownWordsTakeTheMostCautiousMeaning) {
+TEST(SettingsText, UnknownWordsMapToTheMostCautiousValue) {
   EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"dedup\"", "\"odd\"")).policy.classes[1].idempotency,
             Idempotency::None);
   EXPECT_EQ(parseSettings(replaced(kSettingsText, "\"bounded\"", "\"odd\"")).policy.classes[0].consistency,
@@ -77,8 +77,8 @@
   EXPECT_TRUE(parseSettings(replaced(kSettingsText, "\"ask\"", "\"odd\"")).policy.discoveryIsPolled);
 }
 
-// Guards a deployment against another's values, and against none at all, where a key is missing.
-TEST(SettingsText, WhatStandsInForAMissingKeyIsSaid) {
+// Guards against a missing key that silently gets the value of another deployment, or none.
+TEST(SettingsText, MissingKeysAreNoted) {
   const auto notesOf = [](const std::string& text) { return parseSettings(text).notes; };
   const std::string full =
       replaced(kSettingsText, "\"ConnectTimeout\"", "\"ConnIdle\": 1, \"ConnectTimeout\"");
@@ -88,39 +88,39 @@
     ASSERT_EQ(notes.size(), 1U) << key;
     EXPECT_NE(notes[0].find("'" + key + "'"), std::string::npos) << notes[0];
   }
-  // The longest request timeout: no connection that a request could still use is given up.
+  // The longest request timeout, so that no connection is given up that a request could still use.
   EXPECT_EQ(parseSettings(replaced(full, "\"ConnectTimeout\"", "\"X\"")).policy.connectTimeout, 5'000'000);
-  // Where the list is pushed nobody asks for it.
+  // A pushed list is not polled.
   EXPECT_TRUE(notesOf(replaced(replaced(full, "\"AskWithin\"", "\"X\""), "\"ask\"", "\"push\"")).empty());
 }
 
-TEST(SettingsText, ValuesThatCanNotBeAreNamed) {
-  EXPECT_EQ(complaint(replaced(kSettingsText, "\"Balancers\": 3", "\"Balancers\": 0")), "");
+TEST(SettingsText, InvalidValuesAreReportedWithTheirKey) {
+  EXPECT_EQ(errorOf(replaced(kSettingsText, "\"Balancers\": 3", "\"Balancers\": 0")), "");
   for (const std::string value : {"-1", "1e300", "\"3\"", "[]"}) {
     for (const std::string key : {"\"MaxAttempts\": 10", "\"Balancers\": 3", "\"Aim\": 200000",
                                   "\"Deadline\": 600000", "\"AskWithin\": 10000000", "\"ColdFrom\": 0.15"}) {
       if (key.find("ColdFrom") != std::string::npos && value == "1e300") continue;
       const std::string name = key.substr(1, key.find(':') - 2);
-      const std::string said = complaint(replaced(kSettingsText, key, "\"" + name + "\": " + value));
-      EXPECT_NE(said.find("'" + name + "'"), std::string::npos) << key << " " << value << ": " << said;
+      const std::string error = errorOf(replaced(kSettingsText, key, "\"" + name + "\": " + value));
+      EXPECT_NE(error.find("'" + name + "'"), std::string::npos) << key << " " << value << ": " << error;
     }
   }
 }
 
-TEST(SettingsText, TimeMayBeginBeforeTheEpoch) {
+TEST(SettingsText, PositionZeroMayBeNegative) {
   const auto early = parseSettings(replaced(kSettingsText, "290469390756", "-290469390756"));
   EXPECT_EQ(early.positionZero, -290469390756);
-  EXPECT_NE(complaint(replaced(kSettingsText, "290469390756", "-1e30")).find("PositionZero"),
+  EXPECT_NE(errorOf(replaced(kSettingsText, "290469390756", "-1e30")).find("PositionZero"),
             std::string::npos);
 }
 
-TEST(SettingsText, WhatIsMissingOrWrongIsNamed) {
-  EXPECT_NE(complaint("not json").find("not JSON"), std::string::npos);
-  EXPECT_NE(complaint("[]").find("object"), std::string::npos);
-  EXPECT_NE(complaint(replaced(kSettingsText, "\"MaxAttempts\"", "\"X\"")).find("MaxAttempts"),
+TEST(SettingsText, ErrorsNameTheMissingOrInvalidKey) {
+  EXPECT_NE(errorOf("not json").find("not JSON"), std::string::npos);
+  EXPECT_NE(errorOf("[]").find("object"), std::string::npos);
+  EXPECT_NE(errorOf(replaced(kSettingsText, "\"MaxAttempts\"", "\"X\"")).find("MaxAttempts"),
             std::string::npos);
-  EXPECT_NE(complaint(replaced(kSettingsText, "\"Classes\"", "\"X\"")).find("Classes"), std::string::npos);
-  EXPECT_NE(complaint(replaced(kSettingsText, "\"Aim\": 200000", "\"Aim\": \"x\"")).find("Aim"),
+  EXPECT_NE(errorOf(replaced(kSettingsText, "\"Classes\"", "\"X\"")).find("Classes"), std::string::npos);
+  EXPECT_NE(errorOf(replaced(kSettingsText, "\"Aim\": 200000", "\"Aim\": \"x\"")).find("Aim"),
             std::string::npos);
 }
 
--- a/tests/settings_text.h
+++ b/tests/settings_text.h
@@ -1,4 +1,4 @@
-// A settings text as an instance is started with.
+// Settings of a gateway, as it gets them at its start.
 #pragma once
 
 namespace heathflow::test {
--- a/tests/snapshot_compatibility_test.cpp
+++ b/tests/snapshot_compatibility_test.cpp
@@ -1,4 +1,5 @@
-// Files that the code at commit 8036c39 wrote have to be read, field for field, and written byte for byte.
+// Snapshot files written by an earlier build (commit 8036c39) must decode field by field, and encode to the
+// same bytes.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -12,13 +13,13 @@
 using Phase = protocol::ListedEndpoint::Phase;
 using Ports = std::vector<std::pair<std::string, std::uint16_t>>;
 
-std::string keptFile(const std::string& name) {
+std::string storedFile(const std::string& name) {
   std::ifstream file(std::string(HEATHFLOW_SOURCE) + "/tests/snapshots/" + name, std::ios::binary);
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
 TEST(SnapshotCompatibility, AFileOfVersion2IsReadFieldForField) {
-  const std::string bytes = keptFile("version2-with-list.snapshot");
+  const std::string bytes = storedFile("version2-with-list.snapshot");
   ASSERT_FALSE(bytes.empty());
   std::string problem;
   const auto snapshot = decode(bytes, "gateway-7", problem);
@@ -57,7 +58,7 @@
 }
 
 TEST(SnapshotCompatibility, AFileOfVersion2WithoutAListIsReadFieldForField) {
-  const std::string bytes = keptFile("version2-without-list.snapshot");
+  const std::string bytes = storedFile("version2-without-list.snapshot");
   ASSERT_FALSE(bytes.empty());
   std::string problem;
   const auto snapshot = decode(bytes, "gateway-8", problem);
--- a/tests/snapshot_source_test.cpp
+++ b/tests/snapshot_source_test.cpp
@@ -1,4 +1,4 @@
-// A snapshot with the list of another list service: revisions of two services are not comparable.
+// A snapshot with the list of another list service, whose revisions are not comparable.
 #include <gtest/gtest.h>
 
 #include "crossing.h"
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t kCachedRevision = 41;
 
-// A gateway whose snapshot has its list from that address.
+// A gateway whose snapshot contains a list from the given address; empty: from its current list service.
 class RestartedGateway {
  public:
   explicit RestartedGateway(const std::string& source)
@@ -55,7 +55,7 @@
   EXPECT_NE(restarted.firstCall().find("since=" + std::to_string(kCachedRevision)), std::string::npos);
 }
 
-// Guards against an endpoint that was removed before the move and stays in the list for ever.
+// Guards against an endpoint that was removed before the move of the service and stays in the list for ever.
 TEST(SnapshotSource, OfAnotherServiceDoesNotContinueFromItsRevision) {
   RestartedGateway restarted("127.0.0.9:8500");
   EXPECT_EQ(restarted.firstCall().find("since=" + std::to_string(kCachedRevision)), std::string::npos);
--- a/tests/snapshot_test.cpp
+++ b/tests/snapshot_test.cpp
@@ -1,4 +1,4 @@
-// What a gateway keeps on disk for its next start.
+// The state that a gateway stores on disk for its next start.
 #include "snapshot/snapshot.h"
 
 #include <gtest/gtest.h>
@@ -83,7 +83,7 @@
   EXPECT_FALSE(decode(later, "n7", problem));
 }
 
-// As version 0.2.0 of the program wrote it: without the source of the list.
+// The format of version 0.2.0 of the program, which had no source of the list.
 TEST(Snapshots, OfVersion1AreReadWithoutASource) {
   using Port = std::tuple<std::string, std::uint16_t>;
   using Entry = std::tuple<std::string, std::string, std::string, std::uint32_t, std::uint8_t, double,
@@ -118,7 +118,7 @@
   EXPECT_FALSE(old->endpoints[0].primary);
   EXPECT_EQ(old->endpoints[1].phase, protocol::ListedEndpoint::Phase::Terminating);
   EXPECT_FALSE(trustedList(kept, kept.listValidAsOf + 601 * kS, settings));
-  EXPECT_FALSE(trustedList(Snapshot{}, kS, settings)) << "no list at all";
+  EXPECT_FALSE(trustedList(Snapshot{}, kS, settings)) << "there is no list";
 }
 
 struct Folder : test::TemporaryFolder {
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,4 +1,4 @@
-// A wall clock that is stepped: deadlines and timers do not depend on it.
+// Deadlines and timers do not depend on the wall clock: it is stepped forwards and backwards.
 #include <gtest/gtest.h>
 
 #include "crossing.h"
@@ -33,13 +33,13 @@
   const InForce faults(stepped());
   for (int i = 0; i < 20; ++i) rig.loop.turn(1000);
   EXPECT_EQ(client.types().find('E'), std::string::npos);
-  ASSERT_EQ(unanswered.size(), 1U) << "there is no retry either";
+  ASSERT_EQ(unanswered.size(), 1U) << "there is no retry";
   unanswered.front()->say(rig.endpoints[0]->value("after the step"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "after the step");
 }
 
-TEST_P(SteppedClock, MovesNoTimer) {
+TEST_P(SteppedClock, DoesNotMoveTimers) {
   transport::EventLoop loop;
   bool fired = false;
   transport::Timer timer(loop, [&] { fired = true; });
--- a/tests/wrong_clock_test.cpp
+++ b/tests/wrong_clock_test.cpp
@@ -1,5 +1,5 @@
-// A gateway on a machine whose wall clock is behind those of the endpoints. Guards against reads that look
-// fresher than they are.
+// A gateway on a machine whose wall clock is behind those of the endpoints. Guards against stale reads that
+// the gateway considers fresh.
 #include <gtest/gtest.h>
 
 #include "crossing.h"
@@ -8,17 +8,18 @@
 namespace heathflow::test {
 namespace {
 
-// Stand-ins report positions by this machine's clock and their lag: below 0 they are ahead of the gateway.
+// Stand-ins report positions by this machine's clock minus their lag; with a negative lag they are ahead of
+// the gateway.
 constexpr std::int64_t kGatewayBehindMs = 900;
 constexpr int kReads = 40;
 
-// Sets the clocks of the endpoints, and the lag of the replicas.
+// Sets the clocks of the endpoints and the lag of the replicas.
 void setClocksAndLag(GatewayRig& rig, std::int64_t replicasLagMs) {
   for (std::size_t i = 0; i < rig.endpoints.size(); ++i)
     rig.endpoints[i]->lagMs = (i == 0 ? 0 : replicasLagMs) - kGatewayBehindMs;
 }
 
-// How many of kReads reads the primary serves once positions are known.
+// Returns how many of kReads reads the primary serves once positions are known; -1 if a read is not answered.
 int servedByThePrimary(GatewayRig& rig, const std::string& options) {
   ClientStandIn client(rig.loop, rig.socketAddress);
   const std::string fromPrimary = "from " + rig.endpoints[0]->address();
@@ -41,7 +42,7 @@
   GatewayOptions options;
   options.maxAgeMs = 3000;
   GatewayRig rig(options);
-  setClocksAndLag(rig, 3400);  // 0.4 s beyond the bound, but within it by the gateway's own clock
+  setClocksAndLag(rig, 3400);  // 0.4 s beyond the staleness bound, but within it by the gateway's clock
   EXPECT_EQ(servedByThePrimary(rig, ""), kReads);
 }
 
@@ -62,7 +63,7 @@
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count();
-  // The token is a minute ahead: only the primary can have it.
+  // The token is a minute ahead, so that only the primary can satisfy it.
   EXPECT_EQ(servedByThePrimary(rig, ",after=" + std::to_string(now + 60'000)), kReads);
 }
 
