--- a/src/discovery/discovery_schedule.h
+++ b/src/discovery/discovery_schedule.h
@@ -17,7 +17,7 @@
   unsigned gatewayCount = 1;       // how many gateways share the service
   bool dedicatedService = false;   // no other gateway calls the service
   Micros maxPollInterval = 0;      // the longest time between two polls
-  std::optional<Micros> callCost;  // the cost of one call for the service, as measured by an earlier process
+  std::optional<Micros> callCost;  // the cost of one call for the service, as observed by an earlier process
   Micros startDelay = 0;           // the minimum delay of the first call
   std::uint64_t seed = 0;
 };
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -61,7 +61,7 @@
   stats::Observer& observer_;
   std::unordered_map<std::string, Entry> byName_;
   std::unordered_map<EndpointId, std::string> names_;
-  wallclock::LaunchTimes launches_;
+  wallclock::LaunchTimes launchTimes_;
 };
 
 }  // namespace heathflow::discovery
--- a/src/membership/detector_settings.h
+++ b/src/membership/detector_settings.h
@@ -17,7 +17,7 @@
   Micros probePeriod = 1'000'000;    // from one probe to the next
   Micros ackTimeout = 250'000;       // of a direct probe; the rest of the period is for indirect probes
   unsigned indirectProbes = 3;       // the number of gateways that get a PingRequest for an unanswered ping
-  double minSuspicionPeriods = 1.0;  // per power of ten of the number of gateways, with most confirmations
+  double minSuspicionPeriods = 1.0;  // per power of ten of the number of gateways, with kMaxConfirmations
   double maxSuspicionFactor = 3.0;   // multiplies the minimum if there are no confirmations
   double retransmitFactor = 3.0;     // transmissions of an update per doubling of the number of gateways
   std::size_t maxUpdatesPerMessage = 16;
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -1,7 +1,7 @@
 // The state that a gateway stores on disk for its next start, if the settings name a file: the endpoint list
 // with its source and the time at which it was correct, the cost of a call for the list service, the usual
 // latency, and the number of early crashes. It contains no log position. trustInCachedList() decides how long
-// the list is used.
+// the parts of the list are used.
 #pragma once
 
 #include <cstdint>
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -101,8 +101,8 @@
                                   "\"Deadline\": 600000", "\"AskWithin\": 10000000", "\"ColdFrom\": 0.15"}) {
       if (key.find("ColdFrom") != std::string::npos && value == "1e300") continue;
       const std::string name = key.substr(1, key.find(':') - 2);
-      const std::string error = errorOf(replaced(kSettingsText, key, "\"" + name + "\": " + value));
-      EXPECT_NE(error.find("'" + name + "'"), std::string::npos) << key << " " << value << ": " << error;
+      const std::string message = errorOf(replaced(kSettingsText, key, "\"" + name + "\": " + value));
+      EXPECT_NE(message.find("'" + name + "'"), std::string::npos) << key << " " << value << ": " << message;
     }
   }
 }
