--- a/tests/snapshot_compatibility_test.cpp
+++ b/tests/snapshot_compatibility_test.cpp
@@ -1,4 +1,5 @@
-// Files that the code at commit 8036c39 wrote have to be read, field for field, and written byte for byte.
+// Snapshot files written by an earlier build (commit 8036c39) must decode field by field, and encode to the
+// same bytes.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -12,20 +13,20 @@
 using Phase = protocol::ListedEndpoint::Phase;
 using Ports = std::vector<std::pair<std::string, std::uint16_t>>;
 
-std::string keptFile(const std::string& name) {
+std::string storedFile(const std::string& name) {
   std::ifstream file(std::string(HEATHFLOW_SOURCE) + "/tests/snapshots/" + name, std::ios::binary);
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
 TEST(SnapshotCompatibility, AFileOfVersion2IsReadFieldForField) {
-  const std::string bytes = keptFile("version2-with-list.snapshot");
+  const std::string bytes = storedFile("version2-with-list.snapshot");
   ASSERT_FALSE(bytes.empty());
   std::string problem;
   const auto snapshot = decode(bytes, "gateway-7", problem);
   ASSERT_TRUE(snapshot) << problem;
   EXPECT_EQ(snapshot->name, "gateway-7");
   EXPECT_EQ(snapshot->writtenAt, 1'700'000'000'123'456);
-  EXPECT_EQ(snapshot->listTrueAt, 1'699'999'999'000'001);
+  EXPECT_EQ(snapshot->listValidAsOf, 1'699'999'999'000'001);
   EXPECT_EQ(snapshot->source, "127.0.0.3:8500");
   EXPECT_EQ(snapshot->callCost, 20'000);
   EXPECT_EQ(snapshot->initialLatency, 4'200);
@@ -57,14 +58,14 @@
 }
 
 TEST(SnapshotCompatibility, AFileOfVersion2WithoutAListIsReadFieldForField) {
-  const std::string bytes = keptFile("version2-without-list.snapshot");
+  const std::string bytes = storedFile("version2-without-list.snapshot");
   ASSERT_FALSE(bytes.empty());
   std::string problem;
   const auto snapshot = decode(bytes, "gateway-8", problem);
   ASSERT_TRUE(snapshot) << problem;
   EXPECT_EQ(snapshot->name, "gateway-8");
   EXPECT_EQ(snapshot->writtenAt, 1'700'000'000'000'000);
-  EXPECT_EQ(snapshot->listTrueAt, 0);
+  EXPECT_EQ(snapshot->listValidAsOf, 0);
   EXPECT_EQ(snapshot->source, "");
   EXPECT_EQ(snapshot->callCost, std::nullopt);
   EXPECT_EQ(snapshot->initialLatency, 0);
