--- a/src/wirehost/codec.h
+++ b/src/wirehost/codec.h
@@ -1,4 +1,4 @@
-// Frames of the simulator's wire: little-endian, unpadded records without lengths of their own.
+// The simulator's wire format: frames of little-endian, unpadded records that have no length fields.
 #pragma once
 
 #include <cstdint>
@@ -16,34 +16,34 @@
 
 using WireEndpoint = std::uint64_t;  // the four address bytes and the port, in wire order, as one value
 
-struct Entry {
+struct ListEntry {
   std::uint8_t kind = 0;
   std::uint16_t cluster = 0;
   std::uint8_t status = 0;
   WireEndpoint endpoint = 0;
   std::uint64_t startedAt = 0;
-  float nominal = 1;
+  float nominalSize = 1;
   float listedPrimary = 0;
   std::uint8_t zone = 0;
 };
 
-struct ForRecord {
+struct SelectInstanceRecord {
   std::uint32_t instance;
 };
-struct InitRecord {
+struct StartInstanceRecord {
   std::uint64_t seed;
   std::string_view settings;
 };
-struct ListRecord {
-  std::uint32_t buffer;
-  std::vector<Entry> rows;
+struct EndpointListRecord {
+  std::uint32_t listId;
+  std::vector<ListEntry> entries;
 };
-struct EndpointsRecord {
-  std::uint32_t buffer;
+struct EndpointsChangedRecord {
+  std::uint32_t listId;
   std::uint8_t scope;
   std::uint32_t version;
 };
-struct CallRecord {
+struct RequestRecord {
   std::uint32_t request;
   float group;
   std::uint16_t classIndex;
@@ -54,13 +54,13 @@
   std::uint16_t attributes;
   std::uint64_t deadline;
 };
-struct EstablishedRecord {
+struct ResponseStreamingRecord {
   std::uint32_t request;
   std::uint32_t elapsed;
   std::uint16_t attempt;
   WireEndpoint endpoint;
 };
-struct PingRecord {
+struct HealthCheckEndRecord {
   WireEndpoint endpoint;
   std::uint16_t status;
   std::uint32_t elapsed;
@@ -72,41 +72,43 @@
   WireEndpoint endpoint;
   std::uint16_t status;
   std::uint32_t elapsed;
-  std::uint8_t done;
-  std::uint32_t progress;
+  std::uint8_t requestFinished;
+  std::uint32_t roleAndPosition;
   std::vector<float> report;
 };
-struct RingRecord {
-  std::uint64_t label;
+struct TimerRecord {
+  std::uint64_t token;
 };
-struct PeerRecord {
+struct PeerMessageRecord {
   std::uint16_t from;
   std::string_view payload;
 };
-struct LeftRecord {
+struct ClientDisconnectRecord {
   std::uint32_t request;
 };
-struct KillRecord {};
-using Record = std::variant<ForRecord, InitRecord, ListRecord, EndpointsRecord, CallRecord, EstablishedRecord,
-                            PingRecord, AttemptEndRecord, RingRecord, PeerRecord, LeftRecord, KillRecord>;
+struct StopInstanceRecord {};
+using Record =
+    std::variant<SelectInstanceRecord, StartInstanceRecord, EndpointListRecord, EndpointsChangedRecord,
+                 RequestRecord, ResponseStreamingRecord, HealthCheckEndRecord, AttemptEndRecord, TimerRecord,
+                 PeerMessageRecord, ClientDisconnectRecord, StopInstanceRecord>;
 
 inline constexpr std::size_t kBatchHeaderSize = 16;
 
 struct BatchHeader {
   std::uint64_t clock = 0;
-  std::uint32_t length = 0;  // header included
+  std::uint32_t length = 0;  // of the frame, header included
   std::uint32_t records = 0;
 };
 
-// Reads a header; throws FrameError when it is short or its length cannot hold a header.
+// Reads a header. Throws FrameError if it is incomplete or its length is smaller than a header.
 BatchHeader decodeHeader(std::string_view bytes);
 
-// Reads the records behind a header, one at a time; views point into the given bytes.
+// Reads the records after a header, one at a time. Views point into the given bytes.
 class RecordReader {
  public:
   RecordReader(std::string_view body, std::uint32_t records) : body_(body), left_(records) {}
-  bool next(Record& record);  // false at the end; throws FrameError on malformed input
-  // How many bytes of the body have been read.
+  bool next(Record& record);  // returns false at the end; throws FrameError on malformed input
+  // Returns how many bytes of the body have been read.
   std::size_t position() const { return at_; }
 
  private:
@@ -120,22 +122,22 @@
  public:
   ReplyWriter() { clear(); }
   void clear();
-  void at(std::uint32_t instance);
-  void forward(std::uint32_t request, WireEndpoint endpoint, std::uint64_t abandonAt);
-  void reject(std::uint32_t request, std::uint32_t notBeforeFor);
-  void error(std::uint32_t request);
-  void callOff(std::uint32_t request, std::uint16_t attempt);
-  void defer(std::uint64_t label, std::uint32_t after);
-  void streamChanges(bool on);
-  void inspect(WireEndpoint endpoint);
-  void release(WireEndpoint endpoint);
+  void selectInstance(std::uint32_t instance);
+  void sendAttempt(std::uint32_t request, WireEndpoint endpoint, std::uint64_t abandonAt);
+  void rejectRequest(std::uint32_t request, std::uint32_t retryAfter);
+  void failRequest(std::uint32_t request);
+  void cancelAttempt(std::uint32_t request, std::uint16_t attempt);
+  void setTimer(std::uint64_t token, std::uint32_t after);
+  void subscribe(bool on);
+  void startHealthCheck(WireEndpoint endpoint);
+  void closeIdleConnections(WireEndpoint endpoint);
   const std::string& finish();  // fills in the header
 
  private:
   template <typename T>
   void put(T value);
   void putEndpoint(WireEndpoint endpoint);
-  void begin(std::uint16_t code);
+  void beginRecord(std::uint16_t code);
   std::string bytes_;
   std::uint32_t records_ = 0;
 };
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -9,7 +9,7 @@
 namespace heathflow::wirehost {
 namespace {
 
-constexpr std::uint32_t kRoleBits = 4;
+constexpr std::uint32_t kRoleCodes = 4;
 constexpr std::uint8_t kScopeDelta = 0;
 constexpr std::uint8_t kScopeFull = 1;
 constexpr std::uint8_t kScopeCached = 2;
@@ -48,14 +48,14 @@
   return status == 0 ? EndpointStatus::Removed : EndpointStatus::Draining;
 }
 
-Endpoint endpointOf(const Entry& entry) {
+Endpoint endpointOf(const ListEntry& entry) {
   Endpoint endpoint;
   endpoint.id = entry.endpoint;
   endpoint.group = entry.cluster;
   endpoint.status = statusOf(entry.status);
   endpoint.zone = entry.zone;
   endpoint.startedAt = timeOf(entry.startedAt);
-  endpoint.size = entry.nominal;
+  endpoint.size = entry.nominalSize;
   endpoint.listedPrimary = entry.listedPrimary >= 0.5F;
   return endpoint;
 }
@@ -88,17 +88,17 @@
   event.endpoint = record.endpoint;
   event.outcome = outcomeOf(record.status);
   event.elapsed = record.elapsed;
-  event.requestFinished = record.done != 0;
-  const std::uint32_t role = record.progress % kRoleBits;
+  event.requestFinished = record.requestFinished != 0;
+  const std::uint32_t role = record.roleAndPosition % kRoleCodes;
   if (role == 1) event.role = Role::Primary;
   if (role == 2) event.role = Role::Replica;
-  const std::uint32_t millis = record.progress / kRoleBits;
+  const std::uint32_t millis = record.roleAndPosition / kRoleCodes;
   if (millis != 0) event.position = settings.positionZero + static_cast<Micros>(millis) * 1000;
   event.report = reportOf(settings, record.report);
   return event;
 }
 
-HealthCheckEnded healthCheckEndedOf(const InstanceSettings& settings, const PingRecord& record) {
+HealthCheckEnded healthCheckEndedOf(const InstanceSettings& settings, const HealthCheckEndRecord& record) {
   const AttemptOutcome outcome = outcomeOf(record.status);
   return HealthCheckEnded{record.endpoint, outcome == AttemptOutcome::Ok, record.elapsed,
                           reportOf(settings, record.report), outcome == AttemptOutcome::Overloaded};
@@ -116,7 +116,7 @@
   }
 }
 
-RequestArrived requestArrivedOf(const InstanceSettings& settings, const CallRecord& record) {
+RequestArrived requestArrivedOf(const InstanceSettings& settings, const RequestRecord& record) {
   Request request;
   request.id = record.request;
   request.group = record.group >= 0 && record.group <= 65535 ? static_cast<GroupId>(record.group) : 65536;
@@ -135,53 +135,54 @@
 
 }  // namespace
 
-const ListRecord& Host::listOf(std::uint32_t buffer) const {
-  const auto found = lists_.find(buffer);
+const EndpointListRecord& Host::findList(std::uint32_t listId) const {
+  const auto found = lists_.find(listId);
   if (found == lists_.end())
-    throw FrameError("a list that was never sent is named: " + std::to_string(buffer));
+    throw FrameError("an event names an endpoint list that was never sent: " + std::to_string(listId));
   return found->second;
 }
 
-EndpointsChanged Host::endpointsChangedOf(const EndpointsRecord& record) const {
+EndpointsChanged Host::endpointsChangedOf(const EndpointsChangedRecord& record) const {
   EndpointsChanged event;
   event.scope = scopeOf(record.scope);
   if (event.scope == EndpointsChanged::Scope::Failed) return event;
-  for (const Entry& entry : listOf(record.buffer).rows) event.endpoints.push_back(endpointOf(entry));
+  for (const ListEntry& entry : findList(record.listId).entries) event.endpoints.push_back(endpointOf(entry));
   return event;
 }
 
 void Host::writeActions() {
   if (actions_.empty()) return;
-  if (!replyNamesInstance_ || repliedInstance_ != currentInstance_) {
-    writer_.at(currentInstance_);
-    replyNamesInstance_ = true;
-    repliedInstance_ = currentInstance_;
+  if (!replySelectsInstance_ || replyInstance_ != currentInstance_) {
+    writer_.selectInstance(currentInstance_);
+    replySelectsInstance_ = true;
+    replyInstance_ = currentInstance_;
   }
-  const auto limited = [](Micros value) {
+  const auto clampToU32 = [](Micros value) {
     return static_cast<std::uint32_t>(
         std::clamp<Micros>(value, 0, std::numeric_limits<std::uint32_t>::max()));
   };
   for (const Action& action : actions_) {
-    std::visit(Overloaded{
-                   [&](const SendAttempt& a) {
-                     writer_.forward(a.request, a.endpoint, static_cast<std::uint64_t>(a.abandonAt));
-                   },
-                   [&](const CancelAttempt& a) {
-                     writer_.callOff(a.request, static_cast<std::uint16_t>(a.attempt));
-                   },
-                   [&](const RejectRequest& a) { writer_.reject(a.request, limited(a.retryAfter)); },
-                   [&](const FailRequest& a) { writer_.error(a.request); },
-                   [&](const StartHealthCheck& a) { writer_.inspect(a.endpoint); },
-                   [&](const CloseIdleConnections& a) { writer_.release(a.endpoint); },
-                   [&](const SubscribeToEndpoints&) { writer_.streamChanges(true); },
-                   [&](const SetTimer& a) { writer_.defer(a.token, limited(a.after)); },
-               },
-               action);
+    std::visit(
+        Overloaded{
+            [&](const SendAttempt& a) {
+              writer_.sendAttempt(a.request, a.endpoint, static_cast<std::uint64_t>(a.abandonAt));
+            },
+            [&](const CancelAttempt& a) {
+              writer_.cancelAttempt(a.request, static_cast<std::uint16_t>(a.attempt));
+            },
+            [&](const RejectRequest& a) { writer_.rejectRequest(a.request, clampToU32(a.retryAfter)); },
+            [&](const FailRequest& a) { writer_.failRequest(a.request); },
+            [&](const StartHealthCheck& a) { writer_.startHealthCheck(a.endpoint); },
+            [&](const CloseIdleConnections& a) { writer_.closeIdleConnections(a.endpoint); },
+            [&](const SubscribeToEndpoints&) { writer_.subscribe(true); },
+            [&](const SetTimer& a) { writer_.setTimer(a.token, clampToU32(a.after)); },
+        },
+        action);
   }
   actions_.clear();
 }
 
-void Host::start(const InitRecord& record) {
+void Host::startInstance(const StartInstanceRecord& record) {
   InstanceSettings settings = parseSettings(record.settings);
   RoutingPolicy policy(settings.policy, record.seed, now_, actions_);
   instances_.insert_or_assign(currentInstance_, Instance{std::move(settings), std::move(policy)});
@@ -193,49 +194,50 @@
   writeActions();
 }
 
-// An event before an instance is named or for one that was not started is an error; ending an instance
+// An event before an instance is selected or for one that was not started is an error; stopping an instance
 // that was not started is not.
 void Host::handleEvent(const Record& record) {
-  if (!instanceNamed_) throw FrameError("an event stands before the first instance is named");
-  if (const auto* init = std::get_if<InitRecord>(&record)) return start(*init);
+  if (!instanceSelected_) throw FrameError("an event precedes the first record that selects an instance");
+  if (const auto* init = std::get_if<StartInstanceRecord>(&record)) return startInstance(*init);
   const auto found = instances_.find(currentInstance_);
   if (found == instances_.end()) {
-    if (std::holds_alternative<KillRecord>(record)) return;
-    throw FrameError("an event names an instance that was not started: " + std::to_string(currentInstance_));
+    if (std::holds_alternative<StopInstanceRecord>(record)) return;
+    throw FrameError("an event is addressed to an instance that was not started: " +
+                     std::to_string(currentInstance_));
   }
   const InstanceSettings& settings = found->second.settings;
   std::visit(Overloaded{
-                 [&](const EndpointsRecord& r) { apply(endpointsChangedOf(r)); },
-                 [&](const CallRecord& r) { apply(requestArrivedOf(settings, r)); },
-                 [&](const EstablishedRecord& r) {
+                 [&](const EndpointsChangedRecord& r) { apply(endpointsChangedOf(r)); },
+                 [&](const RequestRecord& r) { apply(requestArrivedOf(settings, r)); },
+                 [&](const ResponseStreamingRecord& r) {
                    apply(ResponseStreaming{r.request, r.attempt});
                  },
-                 [&](const PingRecord& r) { apply(healthCheckEndedOf(settings, r)); },
+                 [&](const HealthCheckEndRecord& r) { apply(healthCheckEndedOf(settings, r)); },
                  [&](const AttemptEndRecord& r) { apply(attemptEndedOf(settings, r)); },
-                 [&](const RingRecord& r) { apply(TimerFired{r.label}); },
-                 [&](const LeftRecord& r) { apply(ClientDisconnected{r.request}); },
-                 [&](const KillRecord&) { instances_.erase(found); },
-                 [&](const PeerRecord&) {},  // instances send nothing to each other
-                 [&](const auto&) {},        // handled by handle() or above
+                 [&](const TimerRecord& r) { apply(TimerFired{r.token}); },
+                 [&](const ClientDisconnectRecord& r) { apply(ClientDisconnected{r.request}); },
+                 [&](const StopInstanceRecord&) { instances_.erase(found); },
+                 [&](const PeerMessageRecord&) {},  // instances send nothing to each other
+                 [&](const auto&) {},               // handled by handle() or above
              },
              record);
 }
 
 const std::string& Host::handle(const BatchHeader& header, std::string_view body) {
   writer_.clear();
-  replyNamesInstance_ = false;
-  instanceNamed_ = false;
+  replySelectsInstance_ = false;
+  instanceSelected_ = false;
   if (header.clock > kLatestTime) throw FrameError("the clock is out of range");
   now_ = timeOf(header.clock);
 
   RecordReader reader(body, header.records);
   Record record;
   while (reader.next(record)) {
-    if (const auto* target = std::get_if<ForRecord>(&record)) {
+    if (const auto* target = std::get_if<SelectInstanceRecord>(&record)) {
       currentInstance_ = target->instance;
-      instanceNamed_ = true;
-    } else if (auto* list = std::get_if<ListRecord>(&record)) {
-      lists_.insert_or_assign(list->buffer, std::move(*list));
+      instanceSelected_ = true;
+    } else if (auto* list = std::get_if<EndpointListRecord>(&record)) {
+      lists_.insert_or_assign(list->listId, std::move(*list));
     } else {
       handleEvent(record);
     }
--- a/src/wirehost/host.h
+++ b/src/wirehost/host.h
@@ -27,21 +27,21 @@
   };
 
   void handleEvent(const Record& record);
-  void start(const InitRecord& record);
+  void startInstance(const StartInstanceRecord& record);
   void apply(const Event& event);
   void writeActions();
-  EndpointsChanged endpointsChangedOf(const EndpointsRecord& record) const;
-  const ListRecord& listOf(std::uint32_t buffer) const;
+  EndpointsChanged endpointsChangedOf(const EndpointsChangedRecord& record) const;
+  const EndpointListRecord& findList(std::uint32_t listId) const;
 
   std::map<std::uint32_t, Instance> instances_;
-  std::map<std::uint32_t, ListRecord> lists_;
+  std::map<std::uint32_t, EndpointListRecord> lists_;
   std::vector<Action> actions_;
   ReplyWriter writer_;
   Micros now_ = 0;
   std::uint32_t currentInstance_ = 0;
-  bool instanceNamed_ = false;         // this batch has named an instance
-  bool replyNamesInstance_ = false;    // the reply has named an instance
-  std::uint32_t repliedInstance_ = 0;  // the one that it named last
+  bool instanceSelected_ = false;      // this batch has selected an instance
+  bool replySelectsInstance_ = false;  // the reply has selected an instance
+  std::uint32_t replyInstance_ = 0;    // the instance that the reply selected last
 };
 
 }  // namespace heathflow::wirehost
--- a/src/wirehost/main.cpp
+++ b/src/wirehost/main.cpp
@@ -14,7 +14,7 @@
 
 using heathflow::wirehost::FrameError;
 
-constexpr std::size_t kChunk = 1U << 20;
+constexpr std::size_t kReadChunkSize = 1U << 20;
 
 // Reads up to size bytes; fewer only at the end of input.
 std::size_t readFully(char* into, std::size_t size) {
@@ -22,21 +22,21 @@
   while (got < size) {
     const ssize_t n = ::read(STDIN_FILENO, into + got, size - got);
     if (n < 0 && errno == EINTR) continue;
-    if (n < 0) throw FrameError("standard input cannot be read");
+    if (n < 0) throw FrameError("cannot read from standard input");
     if (n == 0) break;
     got += static_cast<std::size_t>(n);
   }
   return got;
 }
 
-// Grows with what really comes in, so that a wrong length cannot claim memory ahead of its bytes.
+// Grows the body as bytes arrive, so that a wrong length cannot allocate memory for bytes that never come.
 void readBody(std::string& body, std::size_t size) {
   body.clear();
   while (body.size() < size) {
     const std::size_t before = body.size();
-    const std::size_t part = std::min(kChunk, size - before);
+    const std::size_t part = std::min(kReadChunkSize, size - before);
     body.resize(before + part);
-    if (readFully(body.data() + before, part) < part) throw FrameError("the frame is cut short");
+    if (readFully(body.data() + before, part) < part) throw FrameError("the input ends inside a frame");
   }
 }
 
@@ -45,7 +45,7 @@
   while (sent < bytes.size()) {
     const ssize_t n = ::write(STDOUT_FILENO, bytes.data() + sent, bytes.size() - sent);
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) throw FrameError("standard output cannot be written");
+    if (n <= 0) throw FrameError("cannot write to standard output");
     sent += static_cast<std::size_t>(n);
   }
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,4 @@
-// Frames, byte by byte: the wire's own examples, and what is cut, oversized, mutated or unknown.
+// Frames byte by byte: examples of the wire format, and truncated, oversized, mutated and unknown input.
 #include "wirehost/codec.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   EXPECT_TRUE(reader.next(record));
   Record none;
   EXPECT_FALSE(reader.next(none));
-  // Views point into bytes that end here; the records that carry them are checked by size below.
+  // Views in the record dangle after the return, so tests check only their sizes.
   return record;
 }
 
@@ -44,9 +44,9 @@
   RecordReader reader(std::string_view(frame).substr(kBatchHeaderSize), header.records);
   Record record;
   ASSERT_TRUE(reader.next(record));
-  EXPECT_EQ(std::get<ForRecord>(record).instance, 3U);
+  EXPECT_EQ(std::get<SelectInstanceRecord>(record).instance, 3U);
   ASSERT_TRUE(reader.next(record));
-  const auto& call = std::get<CallRecord>(record);
+  const auto& call = std::get<RequestRecord>(record);
   EXPECT_EQ(call.request, 0x5d3a91c4U);
   EXPECT_FLOAT_EQ(call.group, 11.0F);
   EXPECT_EQ(call.estimatedWork, 12000U);
@@ -55,50 +55,51 @@
   EXPECT_EQ(call.attributes, 1U);
   EXPECT_EQ(call.deadline, 0x8405daU);
   ASSERT_TRUE(reader.next(record));
-  EXPECT_EQ(std::get<RingRecord>(record).label, 0x4dU);
+  EXPECT_EQ(std::get<TimerRecord>(record).token, 0x4dU);
   ASSERT_TRUE(reader.next(record));
-  EXPECT_EQ(std::get<ForRecord>(record).instance, 5U);
+  EXPECT_EQ(std::get<SelectInstanceRecord>(record).instance, 5U);
   ASSERT_TRUE(reader.next(record));
-  EXPECT_EQ(std::get<LeftRecord>(record).request, 0x0e6f2b19U);
+  EXPECT_EQ(std::get<ClientDisconnectRecord>(record).request, 0x0e6f2b19U);
   EXPECT_FALSE(reader.next(record));
 }
 
 TEST(Decode, AListAndTheReferenceToIt) {
-  const auto list = std::get<ListRecord>(
+  const auto list = std::get<EndpointListRecord>(
       only("0200 00000000 02000000 00 0b00 01 0a124a07 5b1b 0000000000000000 0000803f 0000803f 00 "
            "00 0b00 01 0a9011f2 841b 20145d0000000000 0000c03f 00000000 00"));
-  ASSERT_EQ(list.rows.size(), 2U);
-  EXPECT_EQ(list.rows[0].cluster, 11U);
-  EXPECT_EQ(list.rows[0].status, 1U);
-  EXPECT_FLOAT_EQ(list.rows[0].listedPrimary, 1.0F);
-  EXPECT_EQ(list.rows[1].startedAt, 0x5d1420U);
-  EXPECT_FLOAT_EQ(list.rows[1].nominal, 1.5F);
-  EXPECT_NE(list.rows[0].endpoint, list.rows[1].endpoint);
-  const auto endpoints = std::get<EndpointsRecord>(only("0500 00000000 02 29000000"));
+  ASSERT_EQ(list.entries.size(), 2U);
+  EXPECT_EQ(list.entries[0].cluster, 11U);
+  EXPECT_EQ(list.entries[0].status, 1U);
+  EXPECT_FLOAT_EQ(list.entries[0].listedPrimary, 1.0F);
+  EXPECT_EQ(list.entries[1].startedAt, 0x5d1420U);
+  EXPECT_FLOAT_EQ(list.entries[1].nominalSize, 1.5F);
+  EXPECT_NE(list.entries[0].endpoint, list.entries[1].endpoint);
+  const auto endpoints = std::get<EndpointsChangedRecord>(only("0500 00000000 02 29000000"));
   EXPECT_EQ(endpoints.scope, 2U);
   EXPECT_EQ(endpoints.version, 41U);
 }
 
-TEST(Decode, OutcomesHealthChecksStreamsPeersAndEnds) {
+TEST(Decode, AttemptEndsHealthChecksStreamsPeersAndStops) {
   const auto end =
       std::get<AttemptEndRecord>(only("0700 c4913a5d 0000 0a124a07 5b1b 0100 44480000 01 8e630000 00"));
   EXPECT_EQ(end.status, 1U);
   EXPECT_EQ(end.elapsed, 18500U);
-  EXPECT_EQ(end.done, 1U);
-  EXPECT_EQ(end.progress, 25486U);
+  EXPECT_EQ(end.requestFinished, 1U);
+  EXPECT_EQ(end.roleAndPosition, 25486U);
   EXPECT_TRUE(end.report.empty());
-  const auto ping = std::get<PingRecord>(only("0800 0a9011f2 841b 0100 78050000 02 2b87c64000000000"));
+  const auto ping =
+      std::get<HealthCheckEndRecord>(only("0800 0a9011f2 841b 0100 78050000 02 2b87c64000000000"));
   ASSERT_EQ(ping.report.size(), 2U);
   EXPECT_NEAR(ping.report[0], 6.204, 0.001);
-  const auto first = std::get<EstablishedRecord>(only("0400 c4913a5d 22240000 0000 0a124a07 5b1b"));
+  const auto first = std::get<ResponseStreamingRecord>(only("0400 c4913a5d 22240000 0000 0a124a07 5b1b"));
   EXPECT_EQ(first.elapsed, 9250U);
-  const auto peer = std::get<PeerRecord>(only("0c00 0200 0400 68692037"));
+  const auto peer = std::get<PeerMessageRecord>(only("0c00 0200 0400 68692037"));
   EXPECT_EQ(peer.from, 2U);
   EXPECT_EQ(peer.payload.size(), 4U);
-  EXPECT_TRUE(std::holds_alternative<KillRecord>(only("0300")));
+  EXPECT_TRUE(std::holds_alternative<StopInstanceRecord>(only("0300")));
 }
 
-TEST(Decode, EveryCutOfAFrameIsRejected) {
+TEST(Decode, TruncatedFramesAreRejected) {
   const std::string frame = fromHex(kTwoInstances);
   for (std::size_t size = 0; size < frame.size(); ++size) {
     EXPECT_THROW(
@@ -115,7 +116,7 @@
   }
 }
 
-TEST(Decode, WhatIsLongerThanItsRecordsIsRejected) {
+TEST(Decode, BytesAfterTheLastRecordAreRejected) {
   const std::string bytes = fromHex("0300 00");
   RecordReader reader(bytes, 1);
   Record record;
@@ -123,7 +124,7 @@
   EXPECT_THROW(reader.next(record), FrameError);
 }
 
-TEST(Decode, CountsThatRunPastTheFrameAreRejectedBeforeMemoryIsTaken) {
+TEST(Decode, CountsBeyondTheFrameAreRejectedBeforeAllocation) {
   for (const char* hex : {"0200 00000000 ffffffff", "0900 0000000000000000 ffffffff 7b7d",
                           "0800 0a9011f2 841b 0100 78050000 ff 00000000", "0c00 0200 ffff 6869"}) {
     const std::string bytes = fromHex(hex);
@@ -141,7 +142,7 @@
   EXPECT_THROW(decodeHeader(fromHex("5a5c800000000000 0f000000 00000000")), FrameError);
 }
 
-TEST(Decode, MutatedFramesAreReadOrRejectedButNeverOverrun) {
+TEST(Decode, MutatedFramesAreReadOrRejectedWithoutOverrun) {
   const std::string frame = fromHex(kTwoInstances);
   std::mt19937 dice(11);
   int rejected = 0;
@@ -182,22 +183,22 @@
     write(writer);
     return toHex(writer.finish()).substr(16);
   };
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.at(3); }), "080003000000");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.forward(0x5d3a91c4, endpoint, 0x8194da); }),
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.selectInstance(3); }), "080003000000");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.sendAttempt(0x5d3a91c4, endpoint, 0x8194da); }),
             "0b00c4913a5d0a124a075b1bda94810000000000");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.reject(0x0e6f2b19, 250000); }), "0d00192b6f0e90d00300");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.callOff(0x5d3a91c4, 0); }), "0500c4913a5d0000");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.defer(0x4d, 500000); }), "0c004d0000000000000020a10700");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.streamChanges(true); }), "070001");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.inspect(endpoint); }), "01000a124a075b1b");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.release(endpoint); }), "04000a124a075b1b");
-  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.error(0x0e6f2b19); }), "0a00192b6f0e");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.rejectRequest(0x0e6f2b19, 250000); }), "0d00192b6f0e90d00300");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.cancelAttempt(0x5d3a91c4, 0); }), "0500c4913a5d0000");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.setTimer(0x4d, 500000); }), "0c004d0000000000000020a10700");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.subscribe(true); }), "070001");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.startHealthCheck(endpoint); }), "01000a124a075b1b");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.closeIdleConnections(endpoint); }), "04000a124a075b1b");
+  EXPECT_EQ(frameOf([&](ReplyWriter& w) { w.failRequest(0x0e6f2b19); }), "0a00192b6f0e");
 }
 
 TEST(Encode, LengthAndCountCoverTheWholeFrame) {
   ReplyWriter writer;
-  writer.at(3);
-  writer.error(1);
+  writer.selectInstance(3);
+  writer.failRequest(1);
   EXPECT_EQ(toHex(writer.finish()),
             "1400000002000000080003000000"
             "0a0001000000");
--- a/tests/decision_recording.h
+++ b/tests/decision_recording.h
@@ -36,14 +36,14 @@
     while (reader.next(record)) {
       const std::string_view bytes = body.substr(begin, reader.position() - begin);
       begin = reader.position();
-      if (const auto* target = std::get_if<wirehost::ForRecord>(&record)) {
+      if (const auto* target = std::get_if<wirehost::SelectInstanceRecord>(&record)) {
         selected = target->instance == instance_;
       } else {
-        const bool list = std::holds_alternative<wirehost::ListRecord>(record);
+        const bool list = std::holds_alternative<wirehost::EndpointListRecord>(record);
         any = any || (selected && !list);
         if (!selected && !list) continue;
       }
-      if (selected || !std::holds_alternative<wirehost::ForRecord>(record)) {
+      if (selected || !std::holds_alternative<wirehost::SelectInstanceRecord>(record)) {
         kept_ += bytes;
         ++records_;
       }
--- a/tests/host_test.cpp
+++ b/tests/host_test.cpp
@@ -1,4 +1,4 @@
-// Batches in, replies out: instances, lists and the translation of numbers.
+// Batches and their replies: instances, endpoint lists, and the conversion of records.
 #include "wirehost/host.h"
 
 #include <gtest/gtest.h>
@@ -107,13 +107,13 @@
   Host host;
   start(host);
   Batch().add(kFor3).add(kWrite).to(host);
-  // An unknown status ends the only attempt: a keyed write waits for another try and is not rejected.
+  // An unknown status ends the only attempt: a write with a key waits for a retry and is not rejected.
   const std::string reply =
       toHex(Batch().add(kFor3).add("0700 c4913a5d 0000 0a124a07 5b1b 6300 44480000 00 00000000 00").to(host));
   EXPECT_EQ(reply.find("0d00c4913a5d"), std::string::npos);
 }
 
-TEST(Host, MutatedBatchesAreAnsweredOrRejectedInPlainWords) {
+TEST(Host, MutatedBatchesAreAnsweredOrRejectedWithOneLine) {
   std::mt19937 dice(23);
   int rejected = 0;
   int answered = 0;
