--- a/fuzz/bolt_fuzz.cpp
+++ b/fuzz/bolt_fuzz.cpp
@@ -1,5 +1,5 @@
-// A fuzz target for PackStream and for both of Bolt's state machines: the first byte of an input says which.
-// Each must come to an end, keep within the bytes it was given, and say the same whole and in pieces.
+// A fuzz target for PackStream and both of Bolt's state machines; the first byte of an input selects one.
+// Each must terminate and stay within the given bytes.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -20,26 +20,26 @@
 void packstreamTarget(std::string_view bytes) {
   packstream::Reader reader(bytes);
   while (!reader.atEnd() && reader.skip()) require(reader.at() <= bytes.size());
-  const packstream::Flaw flaw = packstream::check(bytes);
-  // What is one sound value can be read again from a message around it.
-  if (flaw != packstream::Flaw::None) return;
+  const packstream::DecodeError decodeError = packstream::check(bytes);
+  // A valid value must also be readable inside a message.
+  if (decodeError != packstream::DecodeError::None) return;
   std::string message;
-  packstream::addStructureHead(message, 0x70, 1);
+  packstream::addStructureHeader(message, 0x70, 1);
   message += bytes;
   unsigned fields = 0;
-  require(bolt::checkFields(message, fields) == packstream::Flaw::None && fields == 1);
+  require(bolt::checkFields(message, fields) == packstream::DecodeError::None && fields == 1);
   std::string_view problem;
   bolt::readSummary(message);
   bolt::readExtra(message, bolt::Tag::Begin, problem);
 }
 
-// A client connection's way with the machine: requests end when nothing more is taken.
-std::string serverSays(std::string_view bytes, std::size_t piece) {
-  BoltListening listening;
-  listening.agent = "fuzz";
-  listening.readClass = "r";
-  listening.writeClass = "w";
-  BoltServer server(listening);
+// Drives the server side as a client connection does: a request ends when no further message is accepted.
+std::string serverOutput(std::string_view bytes, std::size_t piece) {
+  BoltListenerSettings settings;
+  settings.agent = "fuzz";
+  settings.readClass = "r";
+  settings.writeClass = "w";
+  BoltServer server(settings);
   Buffer out(1 << 24);
   std::string input;
   std::size_t from = 0;
@@ -52,7 +52,7 @@
       const ClientSide::Step step = server.step(input, from, out);
       require(from + step.consumed <= input.size());
       using Kind = ClientSide::Step::Kind;
-      if (step.kind == Kind::Fatal || step.kind == Kind::Left) return std::string(out.view());
+      if (step.kind == Kind::Fatal || step.kind == Kind::Disconnect) return std::string(out.view());
       if (step.kind == Kind::NeedMore) {
         if (!open || !bytes.empty()) break;
         server.failed(out);
@@ -63,14 +63,14 @@
       }
       if (step.kind == Kind::Request) {
         std::string_view problem;
-        if (server.read(std::string_view(input).substr(0, step.consumed), problem)) {
+        if (server.parseRequest(std::string_view(input).substr(0, step.consumed), problem)) {
           open = true;
           from = step.consumed;
         } else {
           server.rejected(problem, out);
           input.erase(0, step.consumed);
         }
-      } else if (step.kind == Kind::More) {
+      } else if (step.kind == Kind::RequestPart) {
         from += step.consumed;
       } else if (step.kind == Kind::Interrupt) {
         input.erase(0, from);
@@ -91,23 +91,23 @@
   require(client.start(out));
   std::string input("\0\0\4\5", 4);
   client.feed(input, false, out);
-  input.erase(0, client.seen());
-  client.dropped();
-  // SUCCESS with an empty map, twice: the login is done.
+  input.erase(0, client.parsedBytes());
+  client.onConsumed();
+  // SUCCESS with an empty map, twice, completes the login.
   input += std::string("\0\3\xB1\x70\xA0\0\0\0\3\xB1\x70\xA0\0\0", 14);
   require(client.feed(input, false, out) == EndpointSide::Event::Ready);
   input.clear();
-  client.dropped();
+  client.onConsumed();
   const std::string begin("\0\3\xB1\x11\xA0\0\0", 7);
   const std::string run("\0\6\xB3\x10\x81x\xA0\xA0\0\0", 10);
   const std::string pull("\0\6\xB1\x3F\xA1\x81n\xFF\0\0", 10);
-  require(client.ask(transaction ? begin + run + pull : run + pull, {}, 1000, out));
+  require(client.writeRequest(transaction ? begin + run + pull : run + pull, {}, 1000, out));
   while (!bytes.empty()) {
     const std::size_t size = std::min<std::size_t>(1 + bytes.size() / 3, bytes.size());
     input += bytes.substr(0, size);
     bytes.remove_prefix(size);
     const EndpointSide::Event event = client.feed(input, false, out);
-    require(client.seen() <= input.size());
+    require(client.parsedBytes() <= input.size());
     for (const Slice& piece : client.answer().pieces) {
       if (event == EndpointSide::Event::Part || event == EndpointSide::Event::Answered) {
         require(piece.at + piece.size <= input.size());
@@ -115,8 +115,8 @@
     }
     if (event == EndpointSide::Event::Broken || event == EndpointSide::Event::Answered) return;
     if (event == EndpointSide::Event::Part) {
-      input.erase(0, client.seen());
-      client.dropped();
+      input.erase(0, client.parsedBytes());
+      client.onConsumed();
     }
   }
 }
@@ -131,10 +131,10 @@
       packstreamTarget(bytes);
       break;
     case 1:
-      serverSays(bytes, bytes.size());
+      serverOutput(bytes, bytes.size());
       break;
     case 2:
-      serverSays(bytes, 7);
+      serverOutput(bytes, 7);
       break;
     default:
       endpointTarget(bytes, data[0] % 8 >= 4);
--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -30,7 +30,7 @@
   immediate_ = since < 0 || wait <= kMicrosPerMilli;
   request_ = "GET " + pathOf(since, wait) + " HTTP/1.1\r\nHost: " + toText(socketAddress_) +
              "\r\nAccept: application/json\r\n\r\n";
-  connectionReused_ = stream_ != nullptr && stream_->quiet();
+  connectionReused_ = stream_ != nullptr && stream_->isIdle();
   if (connectionReused_) return send();
   open();
 }
@@ -40,11 +40,11 @@
   response_.reset();
   if (!stream_) return;
   stream_->close();
-  loop_.retire(std::move(stream_));
+  loop_.deleteLater(std::move(stream_));
 }
 
 void DiscoveryCall::open() {
-  if (stream_) loop_.retire(std::move(stream_));
+  if (stream_) loop_.deleteLater(std::move(stream_));
   stream_ =
       std::make_unique<transport::Stream>(loop_, static_cast<transport::StreamOwner&>(*this), kStreamLimits);
   int error = 0;
@@ -71,15 +71,15 @@
 void DiscoveryCall::onEnd(transport::StreamEnd how) {
   if (!inProgress_) return;
   // A reused connection may have been closed just as the request went out: try once more, on a new one.
-  if (connectionReused_ && (!response_ || !response_->begun())) {
+  if (connectionReused_ && (!response_ || !response_->started())) {
     connectionReused_ = false;
     return open();
   }
   if (!response_) return fail(CallFailure::Unreachable, "it can't be reached");
   // Half a list is not used: a response without a length ends with an orderly close, not with a reset.
-  if (!response_->begun() || how != transport::StreamEnd::Closed)
+  if (!response_->started() || how != transport::StreamEnd::Closed)
     return fail(CallFailure::ConnectionReset, "its connection broke");
-  response_->ended();
+  response_->onConnectionClosed();
   finish();
 }
 
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -126,7 +126,7 @@
 void DiscoveryWatch::onError(DiscoveryCall& call, const CallError& error) {
   if (&call == newest_.get()) return callFailed(error, loop_.now() - call.startedAt());
   // An overdue call has counted as failed since it timed out.
-  if (auto overdue = takeOverdue(call)) loop_.retire(std::move(overdue));
+  if (auto overdue = takeOverdue(call)) loop_.deleteLater(std::move(overdue));
 }
 
 // Removes and returns an overdue call; null where the call is none of them.
@@ -162,7 +162,7 @@
   overdue_.push_back(std::move(newest_));
   if (overdue_.size() > kMaxOverdueCalls) {
     overdue_.front()->close();
-    loop_.retire(std::move(overdue_.front()));
+    loop_.deleteLater(std::move(overdue_.front()));
     overdue_.erase(overdue_.begin());
   }
   callFailed({CallFailure::TimedOut, "no answer in time", {}}, elapsed);
@@ -208,7 +208,7 @@
 void DiscoveryWatch::closeOverdue() {
   for (auto& entry : overdue_) {
     entry->close();
-    loop_.retire(std::move(entry));
+    loop_.deleteLater(std::move(entry));
   }
   overdue_.clear();
 }
--- a/src/downstream/client_connection.cpp
+++ b/src/downstream/client_connection.cpp
@@ -74,7 +74,7 @@
 // in the socket since it filled up, and count from then: no request is kept longer than its client waits.
 void ClientConnection::recordArrivals() {
   const Micros arrivedAt = inputFullSince_ != 0 ? inputFullSince_ : loop_.now();
-  arrivals_.add(stream_.input().size() - arrivals_.waiting(), arrivedAt);
+  arrivals_.add(stream_.input().size() - arrivals_.bufferedBytes(), arrivedAt);
   if (!stream_.stalled()) {
     inputFullSince_ = 0;
   } else if (inputFullSince_ == 0) {
@@ -84,7 +84,7 @@
 
 void ClientConnection::consumeInput(std::size_t size) {
   stream_.input().consume(size);
-  arrivals_.drop(size);
+  arrivals_.consume(size);
 }
 
 void ClientConnection::onOutputFlushed() {
@@ -119,13 +119,13 @@
 // Whether what stands behind the open request can't be handled at present.
 bool ClientConnection::mustWait() {
   if (!busy_) return false;
-  if (!side_->takesParts() || stream_.input().size() == requestSize_) {
+  if (!side_->acceptsRequestParts() || stream_.input().size() == requestSize_) {
     requestTimeout_.disarm();
     incompleteSince_ = 0;
     return true;
   }
   // A further part of the request waits until the connection to its endpoint can take it.
-  return !side_->interrupted(stream_.input().view(), requestSize_) &&
+  return !side_->interruptPending(stream_.input().view(), requestSize_) &&
          !router_.canWriteMore(request_, stream_.input().size() - requestSize_);
 }
 
@@ -136,12 +136,12 @@
     ++observer_.counters.clientProtocolErrors;
     note(Topic::Downstream, "a client violates the protocol");
   }
-  if (side_->introduced()) introduced_ = true;
+  if (side_->loginComplete()) introduced_ = true;
   switch (step.kind) {
     case Kind::NeedMore:
-      onIncomplete(step.part);
+      onIncomplete(step.partialMessage);
       return false;
-    case Kind::Left:
+    case Kind::Disconnect:
       close(CloseReason::ClientFinished);
       return false;
     case Kind::Fatal:
@@ -153,7 +153,7 @@
       requestSize_ = step.consumed;
       beginRequest();
       return true;
-    case Kind::More:
+    case Kind::RequestPart:
       writeMore(step.consumed);
       return true;
     case Kind::Interrupt:
@@ -185,10 +185,11 @@
 void ClientConnection::beginRequest() {
   sentRequest_ = true;
   owner_.onConnectionBusy(*this);
-  if (rejecting_) return closeWithError(Reason::TooMany, "too many clients", CloseReason::TooManyClients);
+  if (rejecting_)
+    return closeWithError(Reason::TooManyClients, "too many clients", CloseReason::TooManyClients);
   std::string_view problem;
   group_.reset();
-  const auto asked = side_->read(requestBytes(), problem);
+  const auto asked = side_->parseRequest(requestBytes(), problem);
   if (!asked) return failMalformed(problem);
   group_ = asked->group;
   problem = findProblem(*asked, context_, router_.settings(), protocol_);
@@ -205,7 +206,7 @@
   responding_ = false;
   request_ = 0;
   const Request request = toRequest(*asked, context_, router_.settings(), router_.endpointTime(),
-                                    arrivals_.lastOf(requestSize_), loop_.now());
+                                    arrivals_.arrivalTimeOf(requestSize_), loop_.now());
   deadline_ = request.deadline;
   router_.checker().requestAcceptedOn(request_, lingering_ || closed_);
   router_.submit(*this, request, protocol_, asked->timeout, request_);
@@ -268,7 +269,7 @@
 
 void ClientConnection::writeAnswer(const protocol::Answer& answer, std::string_view bytes) {
   const std::int64_t nowMs = router_.endpointTime().toEndpoints(loop_.now()) / kMicrosPerMilli;
-  side_->pass(answer, bytes, nowMs, stream_.output());
+  side_->writeAnswer(answer, bytes, nowMs, stream_.output());
 }
 
 bool ClientConnection::onResponsePart(const protocol::Answer& answer, std::string_view bytes) {
@@ -355,7 +356,8 @@
   if (busy_) cancelRequest();
   ++observer_.counters.clientProtocolErrors;
   note(Topic::Downstream, "a message was not complete in time");
-  closeWithError(Reason::Unfinished, "the message was not finished in time", CloseReason::IncompleteRequest);
+  closeWithError(Reason::IncompleteRequest, "the message was not finished in time",
+                 CloseReason::IncompleteRequest);
 }
 
 // The client has not read its last answer, or, where it is to be rejected, has sent no request in time.
@@ -385,7 +387,7 @@
   if (busy_ || lingering_ || closed_ || !stream_.output().empty()) return false;
   // An incomplete message that does not go on keeps neither a descriptor nor the process.
   const bool stuck = incompleteSince_ != 0 && loop_.now() - incompleteSince_ > kReadTimeout;
-  return stuck || stream_.quiet();
+  return stuck || stream_.isIdle();
 }
 
 bool ClientConnection::closeIfIdle() {
--- a/src/downstream/client_listener.cpp
+++ b/src/downstream/client_listener.cpp
@@ -47,7 +47,7 @@
 }
 
 int ClientListener::listen(const transport::SocketAddress& address) {
-  transport::Opened opened = transport::listenOn(address, kBacklog);
+  transport::SocketResult opened = transport::listenOn(address, kBacklog);
   if (!opened.fd) return opened.error;
   if (!loop_.watch(opened.fd.get(), *this)) return errno;
   listener_ = std::move(opened.fd);
@@ -55,7 +55,7 @@
 }
 
 std::optional<transport::SocketAddress> ClientListener::boundTo() const {
-  return transport::boundTo(listener_.get());
+  return transport::localAddress(listener_.get());
 }
 
 // ---- Accepting ----
@@ -70,18 +70,18 @@
       acceptRetry_.arm(loop_.now() + kAcceptRetryDelay);
       return false;
     }
-    const transport::Opened opened = acceptOne();
+    const transport::SocketResult opened = acceptOne();
     if (opened.error == 0) continue;
     if (opened.error == EAGAIN || opened.error == EWOULDBLOCK) return true;
     if (!onAcceptFailed(opened.error)) return false;
   }
-  if (listener_) loop_.again(*this);
+  if (listener_) loop_.requeue(*this);
   return false;
 }
 
 // @return with error 0 where a client was accepted.
-transport::Opened ClientListener::acceptOne() {
-  transport::Opened opened{std::move(unwatched_), 0};
+transport::SocketResult ClientListener::acceptOne() {
+  transport::SocketResult opened{std::move(unwatched_), 0};
   if (!opened.fd) opened = transport::acceptFrom(listener_.get());
   if (!opened.fd) return opened;
   if (startConnection(std::move(opened.fd), makeRoom())) return {{}, 0};
@@ -119,7 +119,7 @@
 bool ClientListener::startConnection(transport::UniqueFd&& fd, bool serve) {
   auto connection = std::make_unique<ClientConnection>(loop_, static_cast<ClientConnectionOwner&>(*this),
                                                        router_, context_, observer_, protocolIndex_,
-                                                       protocol_.name(), protocol_.towardsClient());
+                                                       protocol_.name(), protocol_.makeClientSide());
   if (!connection->adopt(std::move(fd))) return false;
   if (!serve) {
     ++observer_.counters.clientsRejected;
@@ -160,7 +160,7 @@
   ClientConnectionRegistry::Removed removed = connections_.remove(connection);
   if (removed.connection == nullptr) return;
   budget_.clientClosed(removed.lingered);
-  loop_.retire(std::move(removed.connection));
+  loop_.deleteLater(std::move(removed.connection));
   checkShutdown();
 }
 
--- a/src/downstream/client_listener.h
+++ b/src/downstream/client_listener.h
@@ -40,7 +40,7 @@
   void onConnectionIdle(ClientConnection& connection) override;
   void onConnectionLingering(ClientConnection& connection) override;
   bool acceptAll();
-  transport::Opened acceptOne();
+  transport::SocketResult acceptOne();
   bool onAcceptFailed(int error);
   bool makeRoom();
   bool startConnection(transport::UniqueFd&& fd, bool serve);
--- a/src/downstream/request_reader.cpp
+++ b/src/downstream/request_reader.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::string_view findProblem(const protocol::Asked& asked, const ClientConnectionContext& context,
+std::string_view findProblem(const protocol::RequestMetadata& asked, const ClientConnectionContext& context,
                              const settings::InstanceSettings& settings, std::size_t protocol) {
   if (asked.id.empty() || asked.id.size() > kMaxIdLength) return "the request has no id, or no usual one";
   if (!asked.group) return "the request names no cluster";
@@ -39,7 +39,7 @@
   return {};
 }
 
-Request toRequest(const protocol::Asked& asked, const ClientConnectionContext& context,
+Request toRequest(const protocol::RequestMetadata& asked, const ClientConnectionContext& context,
                   const settings::InstanceSettings& settings, const wallclock::EndpointTime& endpointTime,
                   Micros arrivedAt, Micros now) {
   const std::uint32_t classIndex = context.classIndexes.find(asked.className)->second;
--- a/src/downstream/request_reader.h
+++ b/src/downstream/request_reader.h
@@ -14,12 +14,12 @@
 
 // @param protocol  the index of the client's protocol.
 // @return why the request can't be served; empty where it can.
-std::string_view findProblem(const protocol::Asked& asked, const ClientConnectionContext& context,
+std::string_view findProblem(const protocol::RequestMetadata& asked, const ClientConnectionContext& context,
                              const settings::InstanceSettings& settings, std::size_t protocol);
 
 // Of a request for which findProblem() has found nothing.
 // @param arrivedAt  when its last byte arrived, from which on the client waits.
-Request toRequest(const protocol::Asked& asked, const ClientConnectionContext& context,
+Request toRequest(const protocol::RequestMetadata& asked, const ClientConnectionContext& context,
                   const settings::InstanceSettings& settings, const wallclock::EndpointTime& endpointTime,
                   Micros arrivedAt, Micros now);
 
--- a/src/emulator/client_load.cpp
+++ b/src/emulator/client_load.cpp
@@ -184,7 +184,7 @@
     return;
   }
   for (const auto& connection : connections_) {
-    if (!connection->busy && connection->up && connection->stream.quiet()) return connection->send(arrival);
+    if (!connection->busy && connection->up && connection->stream.isIdle()) return connection->send(arrival);
   }
   if (opensNone_ || connections_.size() >= kMaxConnections) {
     ++unreached_;
@@ -207,7 +207,7 @@
     connection.limit.disarm();
     connection.disconnect.disarm();
     connection.stream.close();
-    loop_.retire(std::move(*entry));
+    loop_.deleteLater(std::move(*entry));
     connections_.erase(entry);
     return;
   }
--- a/src/emulator/delayed_actions.h
+++ b/src/emulator/delayed_actions.h
@@ -19,7 +19,7 @@
     due_.push_back(nullptr);
     const auto entry = std::prev(due_.end());
     *entry = std::make_unique<transport::Timer>(loop_, [this, entry, action = std::move(action)] {
-      loop_.retire(std::move(*entry));  // it lasts until the end of this turn
+      loop_.deleteLater(std::move(*entry));  // it lasts until the end of this turn
       due_.erase(entry);
       action();
     });
@@ -29,7 +29,7 @@
   void clear() {
     for (auto& timer : due_) {
       timer->disarm();
-      loop_.retire(std::move(timer));
+      loop_.deleteLater(std::move(timer));
     }
     due_.clear();
   }
--- a/src/emulator/link.cpp
+++ b/src/emulator/link.cpp
@@ -134,10 +134,10 @@
     : loop_(loop), to_(to), conditions_(std::move(conditions)), start_(loop.now()), next_(loop, [this] {
         applyNextConditions();
       }) {
-  transport::Opened opened = transport::listenOn(at, 512);
+  transport::SocketResult opened = transport::listenOn(at, 512);
   if (!opened.fd) throw std::runtime_error("a link can't listen");
   listener_ = std::move(opened.fd);
-  socketAddress_ = transport::boundTo(listener_.get()).value_or(at);
+  socketAddress_ = transport::localAddress(listener_.get()).value_or(at);
   loop_.watch(listener_.get(), *this);
   arm();
 }
@@ -168,7 +168,7 @@
 
 void StreamLink::onReady(std::uint32_t) {
   for (;;) {
-    transport::Opened opened = transport::acceptFrom(listener_.get());
+    transport::SocketResult opened = transport::acceptFrom(listener_.get());
     if (!opened.fd) return;
     resetOnClose(opened.fd.get());
     if (conditions_.at(now()).rejects) {
@@ -191,7 +191,7 @@
     pair.due.disarm();
     pair.client.stream.close();
     pair.server.stream.close();
-    loop_.retire(std::move(*entry));
+    loop_.deleteLater(std::move(*entry));
     pairs_.erase(entry);
     return;
   }
@@ -206,7 +206,7 @@
       clientSide_(datagramSocket(at)),
       serverSide_(datagramSocket({at.address, 0})),
       deliveryTimer_(loop, [this] { deliverDue(); }) {
-  socketAddress_ = transport::boundTo(clientSide_.get()).value_or(at);
+  socketAddress_ = transport::localAddress(clientSide_.get()).value_or(at);
   loop_.watch(clientSide_.get(), *this);
   loop_.watch(serverSide_.get(), *this);
 }
--- a/src/emulator/list_feed.cpp
+++ b/src/emulator/list_feed.cpp
@@ -88,7 +88,7 @@
   waiting.wait = wait;
   waiting.limit = std::make_unique<transport::Timer>(loop_, [this, &line] {
     auto over = waiting_.extract(&line);
-    loop_.retire(std::move(over.mapped().limit));
+    loop_.deleteLater(std::move(over.mapped().limit));
     answer(line, over.mapped().since);
   });
   waiting.limit->arm(loop_.now() + wait);
--- a/src/emulator/list_service.cpp
+++ b/src/emulator/list_service.cpp
@@ -56,7 +56,7 @@
     Waiting done = std::move(*entry);
     waiting_.erase(entry);
     answerWaiting(done);
-    loop_.retire(std::move(done.limit));
+    loop_.deleteLater(std::move(done.limit));
   });
   entry->limit->arm(loop_.now() + wait);
 }
--- a/src/emulator/misbehaving_clients.cpp
+++ b/src/emulator/misbehaving_clients.cpp
@@ -77,7 +77,7 @@
       for (const std::string& id : open) all.judge_.clientDisconnected(id, all.loop_.now());
       open.clear();
       if (kind == Kind::Disconnects) return all.remove(*this);
-      line.stream.endSending();
+      line.stream.shutdownWrite();
       due.arm(all.loop_.now() + kMicrosPerSecond);
       nothingOwed = true;
       return;
@@ -213,7 +213,7 @@
   const auto found = std::find_if(clients_.begin(), clients_.end(),
                                   [&](const auto& entry) { return entry.get() == &client; });
   if (found == clients_.end()) return;
-  loop_.retire(std::move(*found));
+  loop_.deleteLater(std::move(*found));
   clients_.erase(found);
 }
 
--- a/src/installation/installation.cpp
+++ b/src/installation/installation.cpp
@@ -22,7 +22,7 @@
 using xml::Node;
 using xml::numberOf;
 
-constexpr const char* kSpace = "urn:heathflow:settings:1";
+constexpr const char* kNamespace = "urn:heathflow:settings:1";
 
 LogSettings readLog(const Node* node) {
   LogSettings out;
@@ -59,7 +59,8 @@
   } else {
     collector.add(
         out.line, "listener",
-        "'" + address + "' is no address: four numbers up to 255 and a port up to 65535 are expected");
+        "'" + address +
+            "' is not an IPv4 address with a port: expected four numbers up to 255 and a port up to 65535");
   }
   for (const Node* defaults : children(node, "defaults")) {
     out.readClass = attribute(defaults, "read-class");
@@ -74,15 +75,15 @@
   out.line = lineOf(node);
   out.name = attribute(node, "name");
   out.cluster = numberOf<std::uint32_t>(attribute(node, "cluster"), 0);
-  for (const Node* spoken : children(node, "protocol")) {
-    const std::string listed = attribute(spoken, "listed");
-    out.protocols.push_back({attribute(spoken, "name"), listed == "true" || listed == "1",
-                             numberOf<std::uint16_t>(attribute(spoken, "port"), 0)});
+  for (const Node* entry : children(node, "protocol")) {
+    const std::string listed = attribute(entry, "listed");
+    out.protocols.push_back({attribute(entry, "name"), listed == "true" || listed == "1",
+                             numberOf<std::uint16_t>(attribute(entry, "port"), 0)});
   }
   return out;
 }
 
-Installation readAll(const Node* root, Collector& collector) {
+Installation readInstallation(const Node* root, Collector& collector) {
   Installation out;
   for (const Node* part : children(root)) {
     const std::string_view name = nameOf(part);
@@ -103,92 +104,94 @@
   return out;
 }
 
-const Family* familyOf(const Installation& all, const std::string& name) {
+const Family* findFamily(const Installation& all, const std::string& name) {
   const auto found =
       std::find_if(all.families.begin(), all.families.end(), [&](const Family& f) { return f.name == name; });
   return found == all.families.end() ? nullptr : &*found;
 }
 
 void checkFamily(const Family& family, Collector& collector) {
-  std::set<std::string> spoken;
+  std::set<std::string> names;
   int listed = 0;
-  for (const Spoken& entry : family.protocols) {
+  for (const FamilyProtocol& entry : family.protocols) {
     listed += entry.listed ? 1 : 0;
-    if (!spoken.insert(entry.protocol).second) {
-      collector.add(
-          family.line, "family",
-          "the family '" + family.name + "' names '" + entry.protocol + "' twice: once each is expected");
+    if (!names.insert(entry.protocol).second) {
+      collector.add(family.line, "family",
+                    "the family '" + family.name + "' names '" + entry.protocol +
+                        "' twice: a protocol may be named only once");
     }
     if (entry.listed && entry.port != 0) {
-      collector.add(family.line, "family",
-                    "'" + entry.protocol + "' of the family '" + family.name +
-                        "' has a port and is listed: the list gives the port, one of the two is expected");
+      collector.add(
+          family.line, "family",
+          "'" + entry.protocol + "' of the family '" + family.name +
+              "' is listed and has a port: the list gives the port, so only one of the two may be set");
     }
   }
   if (listed != 1) {
-    collector.add(family.line, "family",
-                  "the family '" + family.name + "' has " + std::to_string(listed) +
-                      " listed protocols: the list gives one address, exactly one is expected");
+    collector.add(
+        family.line, "family",
+        "the family '" + family.name + "' has " + std::to_string(listed) +
+            " listed protocols: the list gives one address per endpoint, so exactly one is required");
   }
 }
 
-// What the schema can't say: names that must be there and be one, and what must not be twice.
+// Checks what the schema can't express: references to names that must exist, and values that must be unique.
 void check(const Installation& all, Collector& collector) {
   std::map<std::string, int> names;
   std::map<std::uint32_t, std::string> clusters;
   for (const Family& family : all.families) {
     if (!names.emplace(family.name, family.line).second) {
       collector.add(family.line, "family",
-                    "the name '" + family.name + "' is taken by the family on line " +
-                        std::to_string(names[family.name]) + ": another is expected");
+                    "the name '" + family.name + "' is already used by the family on line " +
+                        std::to_string(names[family.name]) + ": names must be unique");
     }
     if (!clusters.emplace(family.cluster, family.name).second) {
       collector.add(family.line, "family",
-                    "cluster " + std::to_string(family.cluster) + " is that of the family '" +
-                        clusters[family.cluster] + "': one family a cluster is expected");
+                    "cluster " + std::to_string(family.cluster) + " is already used by the family '" +
+                        clusters[family.cluster] + "': a cluster belongs to one family");
     }
     checkFamily(family, collector);
   }
   std::map<std::string, int> listeners;
   std::map<std::string, std::string> addresses;
   for (const Listener& listener : all.listeners) {
-    const auto complain = [&](const std::string& text) { collector.add(listener.line, "listener", text); };
+    const auto report = [&](const std::string& text) { collector.add(listener.line, "listener", text); };
     if (!listeners.emplace(listener.name, listener.line).second) {
-      complain("the name '" + listener.name + "' is taken by the listener on line " +
-               std::to_string(listeners[listener.name]) + ": another is expected");
+      report("the name '" + listener.name + "' is already used by the listener on line " +
+             std::to_string(listeners[listener.name]) + ": names must be unique");
     }
     const std::string address = toText(listener.address);
     if (listener.address.port != 0 && !addresses.emplace(address, listener.name).second) {
-      complain("the address " + address + " is that of the listener '" + addresses[address] +
-               "': another is expected");
+      report("the address " + address + " is already used by the listener '" + addresses[address] +
+             "': addresses must be unique");
     }
     if (listener.family.empty()) continue;
-    const Family* family = familyOf(all, listener.family);
+    const Family* family = findFamily(all, listener.family);
     if (family == nullptr) {
-      complain("there is no family '" + listener.family + "': one of those under 'families' is expected");
-    } else if (!family->speaks(listener.protocol)) {
-      complain("the family '" + listener.family + "' does not speak '" + listener.protocol +
-               "': a family that does is expected");
+      report("there is no family '" + listener.family + "' under 'families'");
+    } else if (!family->supports(listener.protocol)) {
+      report("the family '" + listener.family + "' does not speak '" + listener.protocol +
+             "', the protocol of this listener");
     }
   }
 }
 
 }  // namespace
 
-bool Family::speaks(std::string_view protocol) const {
+bool Family::supports(std::string_view protocol) const {
   return std::any_of(protocols.begin(), protocols.end(),
-                     [&](const Spoken& entry) { return entry.protocol == protocol; });
+                     [&](const FamilyProtocol& entry) { return entry.protocol == protocol; });
 }
 
 std::optional<Installation> parse(const std::string& path, std::string_view text,
                                   std::vector<Problem>& problems) {
-  const auto document = xml::Document::read(path, text, schemaText(), kSpace, problems);
+  const auto document = xml::Document::read(path, text, schemaText(), kNamespace, problems);
   if (!document) return std::nullopt;
-  // All that is wrong is told in one go, as far as it can be judged.
+  // All problems are reported at once, as far as they can be found.
   Collector collector(path, problems);
   Installation out;
   if (document->root() != nullptr && nameOf(document->root()) == "heathflow") {
-    out = readAll(document->root(), collector);
+    out = readInstallation(document->root(), collector);
     if (document->valid()) check(out, collector);
   }
   std::stable_sort(problems.begin(), problems.end(),
@@ -207,18 +210,18 @@
 void readSecrets(Installation& installation, const std::string& path, std::vector<Problem>& problems) {
   if (!installation.boltLogin) return;
   Login& login = *installation.boltLogin;
-  const auto complain = [&](const std::string& text) {
+  const auto report = [&](const std::string& text) {
     problems.push_back({path, 0, "bolt-login", login.credentialsFile + " " + text});
   };
-  struct stat about {};
-  if (::stat(login.credentialsFile.c_str(), &about) != 0)
-    return complain("can't be opened: a file is expected");
-  if ((about.st_mode & (S_IRWXG | S_IRWXO)) != 0) {
-    return complain("can be used by others: a file that is its owner's alone is expected (mode 600)");
+  struct stat status {};
+  if (::stat(login.credentialsFile.c_str(), &status) != 0)
+    return report("can't be opened: the credentials are expected in this file");
+  if ((status.st_mode & (S_IRWXG | S_IRWXO)) != 0) {
+    return report("is accessible to other users: only its owner may have access (mode 600)");
   }
   std::ifstream file(login.credentialsFile);
   if (!std::getline(file, login.credentials) || login.credentials.empty()) {
-    complain("has no first line: the credentials are expected there");
+    report("has no first line or an empty one: the credentials are expected there");
   }
 }
 
--- a/src/installation/installation.h
+++ b/src/installation/installation.h
@@ -1,4 +1,4 @@
-// The settings of an installation: deploy/heathflow.xml, read and checked against its schema.
+// The settings of an installation (deploy/heathflow.xml), parsed and checked against their schema.
 #pragma once
 
 #include <cstdint>
@@ -13,57 +13,57 @@
 namespace heathflow::installation {
 
 enum class LogForm { Text, KeyValue, Json };
-// Trace: each step of each request, for one who looks for a cause.
+// Trace logs each step of each request.
 enum class LogLevel { Trace, Info, Warning, Error };
 
 struct LogSettings {
   LogForm form = LogForm::Text;
   LogLevel level = LogLevel::Info;
-  unsigned linesPerSecond = 5;  // of each topic
-  unsigned countersEvery = 0;   // seconds; 0: at SIGUSR1 and at the end only
+  unsigned linesPerSecond = 5;  // per topic
+  unsigned countersEvery = 0;   // seconds; 0: only at SIGUSR1 and at shutdown
 };
 
 struct Listener {
   std::string name;
   transport::SocketAddress address;
   std::string protocol;
-  std::string advertise;  // empty: the address itself
-  std::string agent;      // empty: the program's own name
-  std::string readClass;  // of a request that names none; empty: it needs to
-  std::string writeClass;
-  std::string family;
-  int line = 0;  // of the file
+  std::string advertise;   // empty: the bound address
+  std::string agent;       // empty: the program's name
+  std::string readClass;   // class of reads that name none; empty: they must name one
+  std::string writeClass;  // the same for writes
+  std::string family;      // family of requests that name neither family nor cluster
+  int line = 0;            // in the file
 };
 
-struct Spoken {
+struct FamilyProtocol {
   std::string protocol;
   bool listed = false;
-  std::uint16_t port = 0;  // 0: only where the list names one
+  std::uint16_t port = 0;  // 0: the port from the endpoint list, if it has one
 };
 
 struct Family {
   std::string name;
   std::uint32_t cluster = 0;
-  std::vector<Spoken> protocols;
-  bool speaks(std::string_view protocol) const;
+  std::vector<FamilyProtocol> protocols;
+  bool supports(std::string_view protocol) const;
   int line = 0;
 };
 
 struct Login {
   std::string principal;
   std::string credentialsFile;
-  std::string credentials;  // read from it
+  std::string credentials;  // content of the file, see readSecrets()
 };
 
-// What is kept on disk for the gateway's next life.
+// The snapshot on disk that the gateway reads after a restart.
 struct SnapshotSettings {
-  std::string file;        // empty: nothing is kept
-  unsigned every = 10;     // seconds from one writing to the next, where there is something new
-  unsigned listFor = 600;  // seconds for which a list may be used until the service has spoken
+  std::string file;        // empty: no snapshot is written
+  unsigned every = 10;     // seconds between writes, if there are changes
+  unsigned listFor = 600;  // seconds for which a restored list may be used until the list service answers
 };
 
 struct Installation {
-  std::string nodeFile;  // empty: NODE_CONFIG names it
+  std::string nodeFile;  // empty: taken from NODE_CONFIG
   LogSettings log;
   SnapshotSettings snapshot;
   std::vector<Listener> listeners;
@@ -74,16 +74,17 @@
 using xml::Problem;
 using xml::toText;
 
-// Reads a file, or its text. Nothing where it can't be used; then 'problems' holds all that is wrong with it,
-// in the order of its lines.
+// Read the settings from a file or from its text. Return nothing if they are invalid; 'problems' then holds
+// all problems, ordered by line.
 std::optional<Installation> load(const std::string& path, std::vector<Problem>& problems);
 std::optional<Installation> parse(const std::string& path, std::string_view text,
                                   std::vector<Problem>& problems);
 
-// Reads the files that the settings name. Nobody but their owner may be able to.
+// Reads the credentials file that the settings name. Adds a problem if it can't be read, is empty or is
+// accessible to anyone but its owner.
 void readSecrets(Installation& installation, const std::string& path, std::vector<Problem>& problems);
 
-// Checks what the file says against the classes that the node's settings name.
+// Adds a problem for each class name in the file that is not a class of the node's settings.
 void checkClasses(const Installation& installation, const std::string& path,
                   const std::vector<std::string>& classNames, std::vector<Problem>& problems);
 
--- a/src/installation/schema.h
+++ b/src/installation/schema.h
@@ -1,4 +1,4 @@
-// The schema of the settings as it was when the program was built: deploy/heathflow.xsd.
+// The schema of the settings, deploy/heathflow.xsd, as compiled into the program.
 #pragma once
 
 #include <string_view>
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -99,7 +99,7 @@
   router_.onSubscribe([this] { watch_.subscribe(); });
   for (const installation::Family& family : installation_.families) {
     std::vector<bool>& served = context_.servedProtocols[family.cluster];
-    for (const auto& protocol : protocols_) served.push_back(family.speaks(protocol->name()));
+    for (const auto& protocol : protocols_) served.push_back(family.supports(protocol->name()));
   }
   installation::Listener platform;
   platform.name = "listen";
@@ -126,7 +126,7 @@
     if (listener.listener->listening()) continue;
     const int error = listener.listener->listen(listener.address);
     if (error != 0) return listenError(listener, error);
-    if (const auto bound = listener.listener->boundTo()) listener.protocol->boundTo(toText(*bound));
+    if (const auto bound = listener.listener->boundTo()) listener.protocol->setListenAddress(toText(*bound));
   }
   return {};
 }
--- a/src/program/protocols.cpp
+++ b/src/program/protocols.cpp
@@ -16,7 +16,7 @@
 
 std::unique_ptr<protocol::Protocol> makeBolt(const installation::Installation& installation,
                                              const installation::Listener* listener) {
-  protocol::BoltListening listening;
+  protocol::BoltListenerSettings listening;
   listening.agent = kDefaultAgent;
   if (listener != nullptr) {
     if (!listener->agent.empty()) listening.agent = listener->agent;
--- a/src/protocol/bolt_client.cpp
+++ b/src/protocol/bolt_client.cpp
@@ -7,27 +7,27 @@
 namespace {
 
 using bolt::Tag;
-using packstream::Flaw;
+using packstream::DecodeError;
 using packstream::Reader;
 using packstream::Type;
 
-// All from 5.4 down to 5.0.
+// Proposes versions 5.4 down to 5.0.
 constexpr std::string_view kProposals("\0\4\4\5\0\0\0\0\0\0\0\0\0\0\0\0", 16);
-// An endpoint reports on itself in one row of one text.
+// Returns the endpoint's load report: one row with one text.
 constexpr std::string_view kHealthCheckStatement = "CALL heathflow.stats()";
-// Of one message: it has to fit what is held of an answer, with room for a further one's head.
-constexpr std::size_t kMessageMost = kEndpointAnswerLimit - 4096;
+// Bytes. A message has to fit into the buffered answer, with room for the header of the next one.
+constexpr std::size_t kMaxMessageSize = kEndpointAnswerLimit - 4096;
 
 void addEntry(std::string& out, std::string_view key, std::string_view text) {
   packstream::addText(out, key);
   packstream::addText(out, text);
 }
 
-// The codes that concern the gateway's own standing with an endpoint, and no statement.
-bool ofLogin(std::string_view code) {
-  for (const std::string_view own : {"Unauthorized", "AuthorizationExpired", "TokenExpired",
-                                     "CredentialsExpired", "AuthenticationRateLimit"}) {
-    if (code == "Neo.ClientError.Security." + std::string(own)) return true;
+// Returns whether a code concerns the gateway's own login to the endpoint and not the statement.
+bool isLoginFailure(std::string_view code) {
+  for (const std::string_view name : {"Unauthorized", "AuthorizationExpired", "TokenExpired",
+                                      "CredentialsExpired", "AuthenticationRateLimit"}) {
+    if (code == "Neo.ClientError.Security." + std::string(name)) return true;
   }
   return false;
 }
@@ -45,8 +45,8 @@
   if (bytes.size() < bolt::kVersionSize) return Event::NeedMore;
   const auto byte = [&](std::size_t at) { return static_cast<unsigned char>(bytes[at]); };
   const unsigned minor = byte(2);
-  if (byte(0) != 0 || byte(1) != 0 || byte(3) != bolt::kMajor || minor > bolt::kMinorMost) return broken();
-  seen_ = bolt::kVersionSize;
+  if (byte(0) != 0 || byte(1) != 0 || byte(3) != bolt::kMajor || minor > bolt::kMaxMinor) return broken();
+  parsed_ = bolt::kVersionSize;
   phase_ = Phase::Starting;
   const bool named = !login_.principal.empty();
   std::string login;
@@ -56,43 +56,45 @@
     addEntry(login, "credentials", login_.credentials);
   }
   const std::size_t loginEntries = named ? 3 : 1;
-  const bool apart = minor >= 1;
-  const bool tellsProduct = minor >= 3;
+  const bool separateLogon = minor >= 1;
+  const bool namesProduct = minor >= 3;
   std::string hello;
-  packstream::addStructureHead(hello, static_cast<std::uint8_t>(Tag::Hello), 1);
-  packstream::addMapHead(hello, 1 + (apart ? 0 : loginEntries) + (tellsProduct ? 1 : 0));
+  packstream::addStructureHeader(hello, static_cast<std::uint8_t>(Tag::Hello), 1);
+  packstream::addMapHeader(hello, 1 + (separateLogon ? 0 : loginEntries) + (namesProduct ? 1 : 0));
   addEntry(hello, "user_agent", login_.agent);
-  if (!apart) hello += login;
-  if (tellsProduct) {
+  if (!separateLogon) hello += login;
+  if (namesProduct) {
     packstream::addText(hello, "bolt_agent");
-    packstream::addMapHead(hello, 1);
+    packstream::addMapHeader(hello, 1);
     addEntry(hello, "product", login_.agent);
   }
   if (!bolt::writeMessage(out, hello)) return broken();
-  owed_.push_back(Tag::Hello);
-  if (apart) {
+  pendingReplies_.push_back(Tag::Hello);
+  if (separateLogon) {
     std::string logon;
-    packstream::addStructureHead(logon, static_cast<std::uint8_t>(Tag::Logon), 1);
-    packstream::addMapHead(logon, loginEntries);
+    packstream::addStructureHeader(logon, static_cast<std::uint8_t>(Tag::Logon), 1);
+    packstream::addMapHeader(logon, loginEntries);
     logon += login;
     if (!bolt::writeMessage(out, logon)) return broken();
-    owed_.push_back(Tag::Logon);
+    pendingReplies_.push_back(Tag::Logon);
   }
   return Event::NeedMore;
 }
 
-void BoltClient::begin() {
+void BoltClient::beginRequest() {
   phase_ = Phase::Busy;
   answer_ = Answer{};
-  owed_.clear();
-  transaction_ = healthChecking_ = failing_ = done_ = answering_ = committing_ = passed_ = false;
-  written_ = 0;
-  runsFrom_ = effectFrom_ = kNever;
+  pendingReplies_.clear();
+  isTransaction_ = isHealthCheck_ = failureReceived_ = answerComplete_ = answerStarted_ = commitSent_ =
+      partPassed_ = false;
+  requestBytes_ = 0;
+  mayRunAfter_ = mayPersistAfter_ = kNever;
 }
 
-// RUN or BEGIN goes out as it came, but for the time that is left and for the bookmarks, of which an endpoint
-// knows its own only.
-bool BoltClient::writeFirst(std::string_view payload, Tag tag, std::int64_t leftMs, Buffer& out) {
+// Forwards RUN or BEGIN unchanged except for two values: the timeout becomes the remaining time, and each
+// bookmark of the gateway becomes the endpoint's own bookmark within it, the only one that an endpoint
+// understands.
+bool BoltClient::writeFirstMessage(std::string_view payload, Tag tag, std::int64_t leftMs, Buffer& out) {
   std::string_view problem;
   const auto extra = bolt::readExtra(payload, tag, problem);
   if (!extra || (extra->timeout.size == 0 && extra->bookmarks.size == 0)) {
@@ -100,24 +102,24 @@
   }
   std::string time;
   if (extra->timeout.size != 0) packstream::addInteger(time, leftMs);
-  std::string marks;
+  std::string bookmarkList;
   if (extra->bookmarks.size != 0) {
-    std::vector<std::string_view> own;
-    for (const std::string_view mark : extra->marks) {
-      const auto bookmark = bolt::parseBookmark(mark);
-      // One that is not ours was an endpoint's from the first.
-      const std::string_view kept = bookmark ? bookmark->own : mark;
-      if (!kept.empty()) own.push_back(kept);
+    std::vector<std::string_view> endpointBookmarks;
+    for (const std::string_view text : extra->bookmarkTexts) {
+      const auto bookmark = bolt::parseBookmark(text);
+      // A bookmark without the gateway's prefix was issued by an endpoint.
+      const std::string_view kept = bookmark ? bookmark->endpointBookmark : text;
+      if (!kept.empty()) endpointBookmarks.push_back(kept);
     }
-    packstream::addListHead(marks, own.size());
-    for (const std::string_view mark : own) packstream::addText(marks, mark);
+    packstream::addListHeader(bookmarkList, endpointBookmarks.size());
+    for (const std::string_view text : endpointBookmarks) packstream::addText(bookmarkList, text);
   }
   struct Change {
     Slice at;
     std::string_view text;
   };
   Change first{extra->timeout, time};
-  Change second{extra->bookmarks, marks};
+  Change second{extra->bookmarks, bookmarkList};
   if (second.at.at < first.at.at) std::swap(first, second);
   return bolt::writeMessage(
       out, {payload.substr(0, first.at.at), first.text,
@@ -125,176 +127,180 @@
             second.text, payload.substr(second.at.at + second.at.size)});
 }
 
-bool BoltClient::push(std::string_view message, bool first, std::int64_t leftMs, Buffer& out) {
+bool BoltClient::writeMessages(std::string_view message, bool first, std::int64_t leftMs, Buffer& out) {
   const std::size_t before = out.size();
   while (!message.empty()) {
     bolt::ChunkScan scan;
-    const bolt::Cut cut = bolt::cut(message, kClientMessageLimit, scan);
-    if (cut.kind == bolt::Cut::Kind::NoOp) {
-      message.remove_prefix(cut.size);
+    const bolt::Frame frame = bolt::readFrame(message, kClientMessageLimit, scan);
+    if (frame.kind == bolt::Frame::Kind::NoOp) {
+      message.remove_prefix(frame.size);
       continue;
     }
-    if (cut.kind != bolt::Cut::Kind::Whole) return false;
-    const std::string_view whole = message.substr(0, cut.size);
-    message.remove_prefix(cut.size);
-    const std::string_view payload = bolt::payloadOf(whole, cut, scratch_);
+    if (frame.kind != bolt::Frame::Kind::Complete) return false;
+    const std::string_view whole = message.substr(0, frame.size);
+    message.remove_prefix(frame.size);
+    const std::string_view payload = bolt::payloadOf(whole, frame, scratch_);
     const Tag tag = static_cast<Tag>(payload[1]);
-    if (first ? !writeFirst(payload, tag, leftMs, out) : !out.append(whole)) return false;
-    const std::size_t end = written_ + (out.size() - before);
+    if (first ? !writeFirstMessage(payload, tag, leftMs, out) : !out.append(whole)) return false;
+    const std::size_t end = requestBytes_ + (out.size() - before);
     if (first) {
-      transaction_ = tag == Tag::Begin;
-      runsFrom_ = end;
-      if (!transaction_) effectFrom_ = end;
+      isTransaction_ = tag == Tag::Begin;
+      mayRunAfter_ = end;
+      if (!isTransaction_) mayPersistAfter_ = end;
     }
-    // Until a COMMIT is out whole the endpoint takes all back when the connection breaks.
+    // Until COMMIT has been sent completely, the endpoint rolls back if the connection breaks.
     if (tag == Tag::Commit) {
-      effectFrom_ = std::min(effectFrom_, end);
-      committing_ = true;
+      mayPersistAfter_ = std::min(mayPersistAfter_, end);
+      commitSent_ = true;
     }
-    owed_.push_back(tag);
+    pendingReplies_.push_back(tag);
     first = false;
   }
-  written_ += out.size() - before;
+  requestBytes_ += out.size() - before;
   return true;
 }
 
-bool BoltClient::ask(std::string_view request, Slice, std::int64_t leftMs, Buffer& out) {
-  begin();
-  return push(request, true, leftMs, out);
+bool BoltClient::writeRequest(std::string_view request, Slice, std::int64_t leftMs, Buffer& out) {
+  beginRequest();
+  return writeMessages(request, true, leftMs, out);
 }
 
-bool BoltClient::more(std::string_view message, Buffer& out) { return push(message, false, 0, out); }
+bool BoltClient::writeRequestPart(std::string_view message, Buffer& out) {
+  return writeMessages(message, false, 0, out);
+}
 
-bool BoltClient::askHealthCheck(Buffer& out) {
-  begin();
-  healthChecking_ = true;
+bool BoltClient::writeHealthCheck(Buffer& out) {
+  beginRequest();
+  isHealthCheck_ = true;
   const std::size_t before = out.size();
   std::string run;
-  packstream::addStructureHead(run, static_cast<std::uint8_t>(Tag::Run), 3);
+  packstream::addStructureHeader(run, static_cast<std::uint8_t>(Tag::Run), 3);
   packstream::addText(run, kHealthCheckStatement);
-  packstream::addMapHead(run, 0);
-  packstream::addMapHead(run, 1);
+  packstream::addMapHeader(run, 0);
+  packstream::addMapHeader(run, 1);
   addEntry(run, "mode", "r");
   std::string pull;
-  packstream::addStructureHead(pull, static_cast<std::uint8_t>(Tag::Pull), 1);
-  packstream::addMapHead(pull, 1);
+  packstream::addStructureHeader(pull, static_cast<std::uint8_t>(Tag::Pull), 1);
+  packstream::addMapHeader(pull, 1);
   packstream::addText(pull, "n");
   packstream::addInteger(pull, -1);
   if (!bolt::writeMessage(out, run) || !bolt::writeMessage(out, pull)) return false;
-  written_ = runsFrom_ = effectFrom_ = out.size() - before;
-  owed_ = {Tag::Run, Tag::Pull};
+  requestBytes_ = mayRunAfter_ = mayPersistAfter_ = out.size() - before;
+  pendingReplies_ = {Tag::Run, Tag::Pull};
   return true;
 }
 
-bool BoltClient::tidy(Buffer& out) {
+bool BoltClient::recover(Buffer& out) {
   if (phase_ != Phase::Failed) return false;
-  if (!bolt::writePlain(out, Tag::Reset)) return false;
-  phase_ = Phase::Tidying;
-  done_ = false;
-  owed_ = {Tag::Reset};
+  if (!bolt::writeEmptyMessage(out, Tag::Reset)) return false;
+  phase_ = Phase::Recovering;
+  answerComplete_ = false;
+  pendingReplies_ = {Tag::Reset};
   return true;
 }
 
-void BoltClient::dropped() {
-  seen_ = 0;
+void BoltClient::onConsumed() {
+  parsed_ = 0;
   scan_ = {};
   answer_.pieces = {};
   answer_.report = answer_.code = {};
   answer_.replies = 0;
-  passed_ = phase_ == Phase::Busy;
+  partPassed_ = phase_ == Phase::Busy;
 }
 
-Answer::Kind BoltClient::kindOf(std::string_view code) {
-  // As the specification has it, a transient failure has been rolled back, and so has every one before a
+Answer::Kind BoltClient::classifyFailure(std::string_view code) {
+  // According to the specification a transient failure has been rolled back, and so has any failure before a
   // COMMIT.
   const bool transient = code.starts_with("Neo.TransientError.");
-  answer_.rolledBack = transient || (transaction_ && !committing_);
-  if (code == bolt::status::kNoThreads) return Answer::Kind::Full;
+  answer_.rolledBack = transient || (isTransaction_ && !commitSent_);
+  if (code == bolt::status::kNoThreads) return Answer::Kind::Overloaded;
   if (code == bolt::status::kNotALeader || code == bolt::status::kReadOnly ||
       code == bolt::status::kBookmarkTimeout) {
     answer_.rolledBack = true;
-    return Answer::Kind::Miss;
+    return Answer::Kind::PreconditionFailed;
   }
-  if (code == bolt::status::kUnavailable || code == bolt::status::kUnavailableToo)
-    return Answer::Kind::NotNow;
-  if (ofLogin(code)) {
+  if (code == bolt::status::kGeneralUnavailable || code == bolt::status::kDatabaseUnavailable)
+    return Answer::Kind::Unavailable;
+  if (isLoginFailure(code)) {
     answer_.rolledBack = true;
     return Answer::Kind::Error;
   }
-  // The statement's own fault: every endpoint would say the same, and the client is to read it.
+  // The statement is at fault: every endpoint would give this answer, so it is passed on to the client.
   if (code.starts_with("Neo.ClientError.")) return Answer::Kind::Value;
   return Answer::Kind::Error;
 }
 
-// The request is over with this reply.
-BoltClient::Event BoltClient::ended(Answer::Kind kind) {
-  done_ = true;
+// Completes the answer; no further reply belongs to the request.
+BoltClient::Event BoltClient::finishAnswer(Answer::Kind kind) {
+  answerComplete_ = true;
   answer_.kind = kind;
-  phase_ = failing_ ? Phase::Failed : Phase::Idle;
+  phase_ = failureReceived_ ? Phase::Failed : Phase::Idle;
   return Event::Answered;
 }
 
-// Where a piece of a payload stands in the bytes that were fed. Nowhere for one of a message in several
-// chunks, which was put together apart from them.
-Slice BoltClient::placeOf(std::string_view piece, std::string_view message) const {
+// Returns the position of a piece of a payload in the bytes that were fed; an empty slice if the message had
+// several chunks, because its payload was then assembled in a separate buffer.
+Slice BoltClient::sliceOf(std::string_view piece, std::string_view message) const {
   if (piece.empty() || piece.data() < message.data() || piece.data() >= message.data() + message.size()) {
     return {};
   }
-  return {seen_ + static_cast<std::size_t>(piece.data() - message.data()), piece.size()};
+  return {parsed_ + static_cast<std::size_t>(piece.data() - message.data()), piece.size()};
 }
 
-BoltClient::Event BoltClient::takeReply(std::string_view message, std::string_view payload, Tag tag) {
-  const Tag asked = owed_.front();
-  owed_.pop_front();
+BoltClient::Event BoltClient::handleReply(std::string_view message, std::string_view payload, Tag tag) {
+  const Tag request = pendingReplies_.front();
+  pendingReplies_.pop_front();
   ++answer_.replies;
   if (tag == Tag::Ignored) {
-    if (!failing_ || payload.size() != 2) return broken();
-    return owed_.empty() ? ended(answer_.kind) : Event::NeedMore;
+    if (!failureReceived_ || payload.size() != 2) return broken();
+    return pendingReplies_.empty() ? finishAnswer(answer_.kind) : Event::NeedMore;
   }
-  if (failing_) return broken();
+  if (failureReceived_) return broken();
   const auto summary = bolt::readSummary(payload);
   if (!summary) return broken();
   if (summary->primary) answer_.primary = summary->primary;
   if (summary->positionMs) answer_.positionMs = summary->positionMs;
-  if (summary->report.size != 0) answer_.report = placeOf(summary->report.of(payload), message);
+  if (summary->report.size != 0) answer_.report = sliceOf(summary->report.of(payload), message);
   if (tag == Tag::Failure) {
-    failing_ = true;
-    const Answer::Kind kind = kindOf(summary->code);
+    failureReceived_ = true;
+    const Answer::Kind kind = classifyFailure(summary->code);
     answer_.kind = kind;
-    answer_.pieces[1] = {seen_, message.size()};
-    answer_.code = placeOf(summary->code, message);
-    return owed_.empty() ? ended(kind) : Event::NeedMore;
+    answer_.pieces[1] = {parsed_, message.size()};
+    answer_.code = sliceOf(summary->code, message);
+    return pendingReplies_.empty() ? finishAnswer(kind) : Event::NeedMore;
   }
-  const bool lastPart = asked == Tag::Commit || asked == Tag::Rollback ||
-                        (!transaction_ && (asked == Tag::Pull || asked == Tag::Discard) && !summary->hasMore);
+  const bool lastPart =
+      request == Tag::Commit || request == Tag::Rollback ||
+      (!isTransaction_ && (request == Tag::Pull || request == Tag::Discard) && !summary->hasMore);
   if (!lastPart) return Event::NeedMore;
-  // Nothing may have been asked behind the last.
-  if (!owed_.empty()) return broken();
-  answer_.pieces[1] = {seen_, message.size()};
-  if (healthChecking_) return ended(answer_.value.size == 0 ? Answer::Kind::Empty : Answer::Kind::Value);
-  return ended(Answer::Kind::Value);
+  // A reply that ends the request must be the last one pending.
+  if (!pendingReplies_.empty()) return broken();
+  answer_.pieces[1] = {parsed_, message.size()};
+  if (isHealthCheck_)
+    return finishAnswer(answer_.value.size == 0 ? Answer::Kind::Empty : Answer::Kind::Value);
+  return finishAnswer(Answer::Kind::Value);
 }
 
-// One whole message of the endpoint.
-BoltClient::Event BoltClient::take(std::string_view message, std::string_view payload, Tag tag) {
+// Handles one complete message of the endpoint.
+BoltClient::Event BoltClient::handleMessage(std::string_view message, std::string_view payload, Tag tag) {
   unsigned fields = 0;
-  if (bolt::checkFields(payload, fields) != Flaw::None) return broken();
+  if (bolt::checkFields(payload, fields) != DecodeError::None) return broken();
   switch (phase_) {
     case Phase::Starting:
-    case Phase::Tidying:
+    case Phase::Recovering:
       if (tag == Tag::Failure && phase_ == Phase::Starting) {
         const auto summary = bolt::readSummary(payload);
         if (!summary) return broken();
         answer_ = Answer{};
-        const Answer::Kind kind = kindOf(summary->code);
-        // A statement is at fault nowhere yet.
+        const Answer::Kind kind = classifyFailure(summary->code);
+        // No statement has been sent yet that could be at fault.
         answer_.kind = kind == Answer::Kind::Value ? Answer::Kind::Error : kind;
         phase_ = Phase::Dead;
         return Event::Rejected;
       }
-      if (tag != Tag::Success || owed_.empty()) return broken();
-      owed_.pop_front();
-      if (!owed_.empty()) return Event::NeedMore;
+      if (tag != Tag::Success || pendingReplies_.empty()) return broken();
+      pendingReplies_.pop_front();
+      if (!pendingReplies_.empty()) return Event::NeedMore;
       phase_ = Phase::Idle;
       return Event::Ready;
     case Phase::Busy:
@@ -302,23 +308,23 @@
     default:
       return broken();
   }
-  answering_ = true;
-  if (owed_.empty()) return broken();
+  answerStarted_ = true;
+  if (pendingReplies_.empty()) return broken();
   if (tag == Tag::Record) {
-    if (fields != 1 || owed_.front() != Tag::Pull || failing_) return broken();
+    if (fields != 1 || pendingReplies_.front() != Tag::Pull || failureReceived_) return broken();
     Reader reader(payload, 2);
-    const auto list = reader.head();
+    const auto list = reader.header();
     if (!list || list->type != Type::List) return broken();
-    if (healthChecking_) {
+    if (isHealthCheck_) {
       const auto text = list->size == 1 ? reader.text() : std::nullopt;
       if (!text || answer_.value.size != 0) return broken();
-      answer_.value = placeOf(*text, message);
+      answer_.value = sliceOf(*text, message);
       if (answer_.value.size != text->size()) return broken();
     }
     return Event::NeedMore;
   }
   if (tag != Tag::Success && tag != Tag::Failure && tag != Tag::Ignored) return broken();
-  return takeReply(message, payload, tag);
+  return handleReply(message, payload, tag);
 }
 
 BoltClient::Event BoltClient::feed(std::string_view bytes, bool full, Buffer& out) {
@@ -326,38 +332,40 @@
     const Event event = handshake(bytes, out);
     if (event != Event::NeedMore || phase_ == Phase::Handshake) return event;
   }
-  // Looked at again, once the client can take more.
-  if (done_ && (phase_ == Phase::Idle || phase_ == Phase::Failed) && seen_ > 0) return Event::Answered;
-  while (seen_ < bytes.size()) {
-    // Bytes that nobody asked for are never taken for an answer to what is asked next.
+  // A complete answer is reported again until its bytes are consumed: the client may not have had room for
+  // it.
+  if (answerComplete_ && (phase_ == Phase::Idle || phase_ == Phase::Failed) && parsed_ > 0)
+    return Event::Answered;
+  while (parsed_ < bytes.size()) {
+    // Unsolicited bytes must never be taken for the answer to the next request.
     if (phase_ == Phase::Idle || phase_ == Phase::Failed || phase_ == Phase::Dead) return broken();
-    const std::string_view rest = bytes.substr(seen_);
-    const bolt::Cut cut = bolt::cut(rest, kMessageMost, scan_);
-    if (cut.kind == bolt::Cut::Kind::TooLong) return broken();
-    if (cut.kind == bolt::Cut::Kind::Partial) break;
-    if (cut.kind == bolt::Cut::Kind::Whole) {
-      const std::string_view message = rest.substr(0, cut.size);
-      const std::string_view payload = bolt::payloadOf(message, cut, scratch_);
+    const std::string_view rest = bytes.substr(parsed_);
+    const bolt::Frame frame = bolt::readFrame(rest, kMaxMessageSize, scan_);
+    if (frame.kind == bolt::Frame::Kind::TooLong) return broken();
+    if (frame.kind == bolt::Frame::Kind::Partial) break;
+    if (frame.kind == bolt::Frame::Kind::Complete) {
+      const std::string_view message = rest.substr(0, frame.size);
+      const std::string_view payload = bolt::payloadOf(message, frame, scratch_);
       if (payload.size() < 2) return broken();
-      const Event event = take(message, payload, static_cast<Tag>(payload[1]));
+      const Event event = handleMessage(message, payload, static_cast<Tag>(payload[1]));
       if (event == Event::Broken) return event;
-      seen_ += cut.size;
+      parsed_ += frame.size;
       if (event == Event::Answered) {
-        // What stands before the last reply goes out as it is, and what was ignored behind it too.
+        // Forwards the bytes before the final reply unchanged, and the IGNORED messages after it too.
         answer_.pieces[0] = {0, answer_.pieces[1].at};
         const std::size_t end = answer_.pieces[1].at + answer_.pieces[1].size;
-        answer_.pieces[2] = {end, seen_ - end};
+        answer_.pieces[2] = {end, parsed_ - end};
       }
       if (event != Event::NeedMore) return event;
     } else {
-      seen_ += cut.size;
+      parsed_ += frame.size;
     }
   }
-  if (phase_ != Phase::Busy || seen_ == 0 || failing_ || healthChecking_) return Event::NeedMore;
-  // All that was asked has its reply and the client has to ask on; or there is too much to be held back; or a
-  // part has been passed on already, and there is nothing to hold the rest back for.
-  if (!passed_ && !owed_.empty() && !full && seen_ < kHeldBack) return Event::NeedMore;
-  answer_.pieces[0] = {0, seen_};
+  if (phase_ != Phase::Busy || parsed_ == 0 || failureReceived_ || isHealthCheck_) return Event::NeedMore;
+  // Reports a part if every message sent so far has its reply, so that the client has to continue; if no more
+  // can be held back; or if a part has been passed on already, so that no other endpoint can take over.
+  if (!partPassed_ && !pendingReplies_.empty() && !full && parsed_ < kMaxHeldBack) return Event::NeedMore;
+  answer_.pieces[0] = {0, parsed_};
   return Event::Part;
 }
 
--- a/src/protocol/bolt_client.h
+++ b/src/protocol/bolt_client.h
@@ -1,4 +1,5 @@
-// Bolt towards an endpoint, on one connection: a state machine that is fed bytes.
+// The client side of Bolt, for one connection to an endpoint: a state machine that is fed bytes and does no
+// input or output of its own.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +12,7 @@
 
 namespace heathflow::protocol {
 
-// How the gateway makes itself known to endpoints; without a principal it says that it is nobody.
+// The gateway's login at endpoints; without a principal it uses the scheme "none".
 struct BoltLogin {
   std::string agent = "heathflow";
   std::string principal;
@@ -20,58 +21,61 @@
 
 class BoltClient final : public EndpointSide {
  public:
-  // 'login' outlives it.
+  // 'login' must outlive this object.
   explicit BoltClient(const BoltLogin& login) : login_(login) {}
 
   bool start(Buffer& out) override;
-  bool ask(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) override;
-  bool more(std::string_view message, Buffer& out) override;
-  bool askHealthCheck(Buffer& out) override;
+  bool writeRequest(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) override;
+  bool writeRequestPart(std::string_view message, Buffer& out) override;
+  bool writeHealthCheck(Buffer& out) override;
   Event feed(std::string_view bytes, bool full, Buffer& out) override;
-  std::size_t seen() const override { return seen_; }
-  void dropped() override;
+  std::size_t parsedBytes() const override { return parsed_; }
+  void onConsumed() override;
   const Answer& answer() const override { return answer_; }
-  std::size_t runsFrom() const override { return runsFrom_; }
-  std::size_t effectFrom() const override { return effectFrom_; }
-  bool owes() const override { return phase_ != Phase::Idle && !(phase_ == Phase::Busy && owed_.empty()); }
-  bool answering() const override { return answering_; }
-  bool wholeAtEnd() const override { return done_; }
+  std::size_t mayRunAfter() const override { return mayRunAfter_; }
+  std::size_t mayPersistAfter() const override { return mayPersistAfter_; }
+  bool answerPending() const override {
+    return phase_ != Phase::Idle && !(phase_ == Phase::Busy && pendingReplies_.empty());
+  }
+  bool answerStarted() const override { return answerStarted_; }
+  bool completeAtClose() const override { return answerComplete_; }
   bool usable() const override { return phase_ == Phase::Idle; }
-  bool tidy(Buffer& out) override;
+  bool recover(Buffer& out) override;
 
-  // So much of an answer is held back, bytes, in case another endpoint has to give it after all.
-  static constexpr std::size_t kHeldBack = 48 * 1024;
+  // Bytes of an answer that are held back before a part is passed on. Until then another endpoint can still
+  // answer.
+  static constexpr std::size_t kMaxHeldBack = 48 * 1024;
 
  private:
-  enum class Phase { Handshake, Starting, Idle, Busy, Failed, Tidying, Dead };
+  enum class Phase { Handshake, Starting, Idle, Busy, Failed, Recovering, Dead };
 
   Event broken();
   Event handshake(std::string_view bytes, Buffer& out);
-  Event take(std::string_view message, std::string_view payload, bolt::Tag tag);
-  Event takeReply(std::string_view message, std::string_view payload, bolt::Tag tag);
-  Event ended(Answer::Kind kind);
-  Slice placeOf(std::string_view piece, std::string_view message) const;
-  void begin();
-  bool push(std::string_view message, bool first, std::int64_t leftMs, Buffer& out);
-  bool writeFirst(std::string_view payload, bolt::Tag tag, std::int64_t leftMs, Buffer& out);
-  Answer::Kind kindOf(std::string_view code);
+  Event handleMessage(std::string_view message, std::string_view payload, bolt::Tag tag);
+  Event handleReply(std::string_view message, std::string_view payload, bolt::Tag tag);
+  Event finishAnswer(Answer::Kind kind);
+  Slice sliceOf(std::string_view piece, std::string_view message) const;
+  void beginRequest();
+  bool writeMessages(std::string_view message, bool first, std::int64_t leftMs, Buffer& out);
+  bool writeFirstMessage(std::string_view payload, bolt::Tag tag, std::int64_t leftMs, Buffer& out);
+  Answer::Kind classifyFailure(std::string_view code);
 
   const BoltLogin& login_;
   Phase phase_ = Phase::Handshake;
-  std::size_t seen_ = 0;
+  std::size_t parsed_ = 0;
   bolt::ChunkScan scan_;
   std::string scratch_;
-  std::deque<bolt::Tag> owed_;  // what the endpoint was asked and has not replied to
-  bool transaction_ = false;
-  bool healthChecking_ = false;
-  bool failing_ = false;  // a FAILURE has come; what was asked behind it is ignored
-  bool done_ = false;     // the last reply has come
-  bool answering_ = false;
-  bool passed_ = false;      // a part of the answer has been taken
-  std::size_t written_ = 0;  // bytes of the request
-  std::size_t runsFrom_ = kNever;
-  std::size_t effectFrom_ = kNever;
-  bool committing_ = false;
+  std::deque<bolt::Tag> pendingReplies_;  // messages sent that have no reply yet
+  bool isTransaction_ = false;
+  bool isHealthCheck_ = false;
+  bool failureReceived_ = false;  // a FAILURE was received; later messages are answered with IGNORED
+  bool answerComplete_ = false;   // the last reply was received
+  bool answerStarted_ = false;
+  bool partPassed_ = false;       // a part of the answer was passed on
+  std::size_t requestBytes_ = 0;  // written for the request so far
+  std::size_t mayRunAfter_ = kNever;
+  std::size_t mayPersistAfter_ = kNever;
+  bool commitSent_ = false;
   Answer answer_;
 };
 
--- a/src/protocol/bolt_message.cpp
+++ b/src/protocol/bolt_message.cpp
@@ -6,24 +6,24 @@
 namespace heathflow::protocol::bolt {
 namespace {
 
-using packstream::Flaw;
+using packstream::DecodeError;
 using packstream::Reader;
 using packstream::Type;
 
-constexpr std::size_t kChunkMost = 0xFFFF;
-constexpr std::string_view kEnd("\0\0", 2);
-constexpr std::string_view kBookmarkMark = "hf1:";
-// What an endpoint tells of itself, in the same words as in PostgreSQL's protocol.
-constexpr std::string_view kRoleEntry = "mode";
-constexpr std::string_view kPositionEntry = "wal_time";
-constexpr std::string_view kReportEntry = "stats";
+constexpr std::size_t kMaxChunkSize = 0xFFFF;
+constexpr std::string_view kEndMarker("\0\0", 2);
+constexpr std::string_view kBookmarkPrefix = "hf1:";
+// Keys of the metadata in which an endpoint reports its state; the same names as in PostgreSQL's protocol.
+constexpr std::string_view kRoleKey = "mode";
+constexpr std::string_view kPositionKey = "wal_time";
+constexpr std::string_view kReportKey = "stats";
 
 std::size_t u16At(std::string_view bytes, std::size_t at) {
   return static_cast<std::size_t>(static_cast<unsigned char>(bytes[at])) << 8 |
          static_cast<unsigned char>(bytes[at + 1]);
 }
 
-std::string chunkHead(std::size_t size) { return {static_cast<char>(size >> 8), static_cast<char>(size)}; }
+std::string chunkHeader(std::size_t size) { return {static_cast<char>(size >> 8), static_cast<char>(size)}; }
 
 template <typename T>
 bool readDigits(std::string_view text, T& out) {
@@ -40,21 +40,21 @@
     const unsigned minor = byte(2);
     const unsigned major = byte(3);
     if (major != kMajor) continue;
-    // The range reaches down from the minor version.
-    const unsigned least = minor >= range ? minor - range : 0;
-    if (least > kMinorMost) continue;
-    return std::min(minor, kMinorMost);
+    // The range extends downwards from the minor version.
+    const unsigned lowest = minor >= range ? minor - range : 0;
+    if (lowest > kMaxMinor) continue;
+    return std::min(minor, kMaxMinor);
   }
   return std::nullopt;
 }
 
-Cut cut(std::string_view bytes, std::size_t limit, ChunkScan& scan) {
-  Cut out;
+Frame readFrame(std::string_view bytes, std::size_t limit, ChunkScan& scan) {
+  Frame out;
   for (;;) {
     if (bytes.size() < scan.at + 2) return out;
     const std::size_t size = u16At(bytes, scan.at);
     if (size == 0) {
-      out.kind = scan.chunks == 0 ? Cut::Kind::NoOp : Cut::Kind::Whole;
+      out.kind = scan.chunks == 0 ? Frame::Kind::NoOp : Frame::Kind::Complete;
       out.size = scan.at + 2;
       out.payload = scan.payload;
       out.chunks = scan.chunks;
@@ -62,7 +62,7 @@
       return out;
     }
     if (scan.payload + size > limit) {
-      out.kind = Cut::Kind::TooLong;
+      out.kind = Frame::Kind::TooLong;
       return out;
     }
     if (bytes.size() < scan.at + 2 + size) return out;
@@ -72,11 +72,11 @@
   }
 }
 
-std::string_view payloadOf(std::string_view message, const Cut& cut, std::string& scratch) {
-  if (cut.chunks == 1) return message.substr(2, cut.payload);
+std::string_view payloadOf(std::string_view message, const Frame& frame, std::string& scratch) {
+  if (frame.chunks == 1) return message.substr(2, frame.payload);
   scratch.clear();
-  scratch.reserve(cut.payload);
-  for (std::size_t at = 0; scratch.size() < cut.payload;) {
+  scratch.reserve(frame.payload);
+  for (std::size_t at = 0; scratch.size() < frame.payload;) {
     const std::size_t size = u16At(message, at);
     scratch += message.substr(at + 2, size);
     at += 2 + size;
@@ -88,7 +88,7 @@
   if (message.size() < 4) return std::nullopt;
   const std::size_t first = u16At(message, 0);
   if (first >= 2) return static_cast<Tag>(message[3]);
-  // A first chunk of one byte: the tag stands in the next.
+  // The first chunk has one byte, so the tag is in the next chunk.
   if (first == 0 || message.size() < 6 || u16At(message, 3) == 0) return std::nullopt;
   return static_cast<Tag>(message[5]);
 }
@@ -96,34 +96,34 @@
 bool writeMessage(Buffer& out, std::initializer_list<std::string_view> pieces) {
   std::size_t size = 0;
   for (const std::string_view piece : pieces) size += piece.size();
-  if (size > kChunkMost) {
+  if (size > kMaxChunkSize) {
     std::string whole;
     whole.reserve(size);
     for (const std::string_view piece : pieces) whole += piece;
     return writeMessage(out, whole);
   }
   if (!out.reserve(out.size() + size + 4)) return false;
-  out.append(chunkHead(size));
+  out.append(chunkHeader(size));
   for (const std::string_view piece : pieces) out.append(piece);
-  return out.append(kEnd);
+  return out.append(kEndMarker);
 }
 
 bool writeMessage(Buffer& out, std::string_view payload) {
-  const std::size_t chunks = (payload.size() + kChunkMost - 1) / kChunkMost;
+  const std::size_t chunks = (payload.size() + kMaxChunkSize - 1) / kMaxChunkSize;
   if (!out.reserve(out.size() + payload.size() + 2 * chunks + 2)) return false;
   while (!payload.empty()) {
-    const std::size_t size = std::min(payload.size(), kChunkMost);
-    out.append(chunkHead(size));
+    const std::size_t size = std::min(payload.size(), kMaxChunkSize);
+    out.append(chunkHeader(size));
     out.append(payload.substr(0, size));
     payload.remove_prefix(size);
   }
-  return out.append(kEnd);
+  return out.append(kEndMarker);
 }
 
 bool writeSuccess(Buffer& out, std::initializer_list<Entry> entries) {
   std::string body;
-  packstream::addStructureHead(body, static_cast<std::uint8_t>(Tag::Success), 1);
-  packstream::addMapHead(body, entries.size());
+  packstream::addStructureHeader(body, static_cast<std::uint8_t>(Tag::Success), 1);
+  packstream::addMapHeader(body, entries.size());
   for (const Entry& entry : entries) {
     packstream::addText(body, entry.key);
     packstream::addText(body, entry.text);
@@ -133,8 +133,8 @@
 
 bool writeFailure(Buffer& out, std::string_view code, std::string_view message, std::int64_t retryAfterMs) {
   std::string body;
-  packstream::addStructureHead(body, static_cast<std::uint8_t>(Tag::Failure), 1);
-  packstream::addMapHead(body, retryAfterMs > 0 ? 3 : 2);
+  packstream::addStructureHeader(body, static_cast<std::uint8_t>(Tag::Failure), 1);
+  packstream::addMapHeader(body, retryAfterMs > 0 ? 3 : 2);
   packstream::addText(body, "code");
   packstream::addText(body, code);
   packstream::addText(body, "message");
@@ -146,15 +146,15 @@
   return writeMessage(out, body);
 }
 
-bool writePlain(Buffer& out, Tag tag) {
+bool writeEmptyMessage(Buffer& out, Tag tag) {
   std::string body;
-  packstream::addStructureHead(body, static_cast<std::uint8_t>(tag), 0);
+  packstream::addStructureHeader(body, static_cast<std::uint8_t>(tag), 0);
   return writeMessage(out, body);
 }
 
 std::optional<Bookmark> parseBookmark(std::string_view text) {
-  if (!text.starts_with(kBookmarkMark)) return std::nullopt;
-  text.remove_prefix(kBookmarkMark.size());
+  if (!text.starts_with(kBookmarkPrefix)) return std::nullopt;
+  text.remove_prefix(kBookmarkPrefix.size());
   const std::size_t first = text.find(':');
   if (first == std::string_view::npos) return std::nullopt;
   const std::size_t second = text.find(':', first + 1);
@@ -164,54 +164,54 @@
       !readDigits(text.substr(first + 1, second - first - 1), out.positionMs)) {
     return std::nullopt;
   }
-  out.own = text.substr(second + 1);
+  out.endpointBookmark = text.substr(second + 1);
   return out;
 }
 
 std::string toText(const Bookmark& bookmark) {
-  return std::string(kBookmarkMark) + std::to_string(bookmark.group) + ":" +
-         std::to_string(bookmark.positionMs) + ":" + std::string(bookmark.own);
+  return std::string(kBookmarkPrefix) + std::to_string(bookmark.group) + ":" +
+         std::to_string(bookmark.positionMs) + ":" + std::string(bookmark.endpointBookmark);
 }
 
-Flaw checkFields(std::string_view payload, unsigned& fields) {
-  if (payload.size() < 2) return Flaw::CutShort;
+DecodeError checkFields(std::string_view payload, unsigned& fields) {
+  if (payload.size() < 2) return DecodeError::Truncated;
   const auto marker = static_cast<unsigned char>(payload[0]);
-  if ((marker & 0xF0) != 0xB0) return Flaw::UnknownMarker;
+  if ((marker & 0xF0) != 0xB0) return DecodeError::UnknownMarker;
   fields = marker & 0x0F;
   Reader reader(payload, 2);
   for (unsigned i = 0; i < fields; ++i) {
-    if (!reader.skip()) return reader.flaw();
+    if (!reader.skip()) return reader.decodeError();
   }
-  return reader.atEnd() ? Flaw::None : Flaw::WrongFieldCount;
+  return reader.atEnd() ? DecodeError::None : DecodeError::WrongFieldCount;
 }
 
 namespace {
 
-bool readMarks(Reader& reader, Extra& out, std::string_view& problem) {
+bool readBookmarks(Reader& reader, Extra& out, std::string_view& problem) {
   const std::size_t at = reader.at();
-  const auto list = reader.head();
+  const auto list = reader.header();
   if (list && list->type == Type::Null) return true;
   if (!list || list->type != Type::List) {
     problem = "'bookmarks' holds no list";
     return false;
   }
-  if (list->size > kMostBookmarks) {
+  if (list->size > kMaxBookmarks) {
     problem = "'bookmarks' holds too many";
     return false;
   }
   for (std::size_t i = 0; i < list->size; ++i) {
-    const auto mark = reader.text();
-    if (!mark) {
+    const auto text = reader.text();
+    if (!text) {
       problem = "'bookmarks' holds what is no text";
       return false;
     }
-    out.marks.push_back(*mark);
+    out.bookmarkTexts.push_back(*text);
   }
   out.bookmarks = {at, reader.at() - at};
   return true;
 }
 
-// An entry of tx_metadata. What is not known belongs to the endpoints.
+// Reads one entry of tx_metadata. Unknown keys are for the endpoints and skipped.
 bool readMetadataEntry(Reader& reader, std::string_view key, Extra& out, std::string_view& problem) {
   struct Name {
     std::string_view key;
@@ -236,7 +236,7 @@
   const bool cluster = key == "cluster";
   const bool repeat = key == "repeat";
   if (!deadline && !cluster && !repeat) return reader.skip();
-  const auto value = reader.head();
+  const auto value = reader.header();
   if (repeat) {
     if (!value || value->type != Type::Boolean)
       problem = "'repeat' in the metadata is neither true nor false";
@@ -254,7 +254,7 @@
 }
 
 bool readMetadata(Reader& reader, Extra& out, std::string_view& problem) {
-  const auto map = reader.head();
+  const auto map = reader.header();
   if (map && map->type == Type::Null) return true;
   if (!map || map->type != Type::Map) {
     problem = "'tx_metadata' holds no map";
@@ -272,9 +272,9 @@
 std::optional<Extra> readExtra(std::string_view payload, Tag tag, std::string_view& problem) {
   problem = {};
   Reader reader(payload, 2);
-  // Of RUN the statement and its parameters stand before it.
+  // In RUN the statement and its parameters precede the map.
   for (unsigned i = 0; tag == Tag::Run && i < 2; ++i) reader.skip();
-  const auto map = reader.head();
+  const auto map = reader.header();
   if (!map || map->type != Type::Map) {
     problem = "the last field is no map";
     return std::nullopt;
@@ -285,21 +285,21 @@
     if (!key) return std::nullopt;
     if (*key == "mode") {
       const auto mode = reader.text();
-      // Whatever is not plainly a read may write.
+      // Only mode "r" is a read; any other request may write.
       if (!mode || (*mode != "r" && *mode != "w")) problem = "'mode' is neither r nor w";
-      out.reads = mode && *mode == "r";
+      out.isRead = mode && *mode == "r";
     } else if (*key == "tx_timeout") {
       const std::size_t before = reader.at();
-      const auto value = reader.head();
+      const auto value = reader.header();
       if (value && value->type == Type::Null) continue;
       if (!value || value->type != Type::Integer || value->integer < 0) problem = "'tx_timeout' is no time";
-      // 0 is none.
+      // 0 means no timeout.
       if (value && value->integer > 0) {
         out.timeoutMs = value->integer;
         out.timeout = {before, reader.at() - before};
       }
     } else if (*key == "bookmarks") {
-      readMarks(reader, out, problem);
+      readBookmarks(reader, out, problem);
     } else if (*key == "tx_metadata") {
       readMetadata(reader, out, problem);
     } else {
@@ -312,9 +312,9 @@
 
 std::optional<Summary> readSummary(std::string_view payload) {
   unsigned fields = 0;
-  if (checkFields(payload, fields) != Flaw::None || fields != 1) return std::nullopt;
+  if (checkFields(payload, fields) != DecodeError::None || fields != 1) return std::nullopt;
   Reader reader(payload, 2);
-  const auto map = reader.head();
+  const auto map = reader.header();
   if (!map || map->type != Type::Map) return std::nullopt;
   Summary out;
   out.entries = map->size;
@@ -322,24 +322,24 @@
   for (std::size_t i = 0; i < map->size; ++i) {
     const std::size_t before = reader.at();
     const auto key = reader.text();
-    const auto value = reader.head();
+    const auto value = reader.header();
     if (!key || !value) return std::nullopt;
     if (value->type == Type::Text) {
       const std::string_view text = reader.of(*value);
-      if (*key == kRoleEntry && text == "read-write") out.primary = true;
-      if (*key == kRoleEntry && text == "read-only") out.primary = false;
-      if (*key == kReportEntry) out.report = {value->at, value->size};
+      if (*key == kRoleKey && text == "read-write") out.primary = true;
+      if (*key == kRoleKey && text == "read-only") out.primary = false;
+      if (*key == kReportKey) out.report = {value->at, value->size};
       if (*key == "code") out.code = text;
       if (*key == "bookmark") {
         out.bookmark = {value->at, value->size};
         out.bookmarkEntry = {before, reader.at() - before};
       }
     } else if (value->type == Type::Integer) {
-      if (*key == kPositionEntry && value->integer > 0) out.positionMs = value->integer;
+      if (*key == kPositionKey && value->integer > 0) out.positionMs = value->integer;
     } else if (value->type == Type::Boolean) {
       if (*key == "has_more") out.hasMore = value->boolean;
     } else if (value->type == Type::List || value->type == Type::Map || value->type == Type::Structure) {
-      // Its parts are passed by; they have been checked.
+      // The nested values are skipped; they have been checked.
       const std::size_t parts = value->type == Type::Map ? 2 * value->size : value->size;
       for (std::size_t part = 0; part < parts; ++part) {
         if (!reader.skip()) return std::nullopt;
--- a/src/protocol/bolt_protocol.h
+++ b/src/protocol/bolt_protocol.h
@@ -1,4 +1,4 @@
-// Bolt as routing uses it.
+// Bolt as a protocol of the gateway.
 #pragma once
 
 #include <memory>
@@ -13,22 +13,22 @@
 
 class BoltProtocol final : public Protocol {
  public:
-  BoltProtocol(BoltListening listening, BoltLogin login)
-      : listening_(std::move(listening)), login_(std::move(login)) {}
+  BoltProtocol(BoltListenerSettings settings, BoltLogin login)
+      : settings_(std::move(settings)), login_(std::move(login)) {}
 
   std::string_view name() const override { return "bolt"; }
-  std::unique_ptr<ClientSide> towardsClient() const override {
-    return std::make_unique<BoltServer>(listening_);
+  std::unique_ptr<ClientSide> makeClientSide() const override {
+    return std::make_unique<BoltServer>(settings_);
   }
-  std::unique_ptr<EndpointSide> towardsEndpoint() const override {
+  std::unique_ptr<EndpointSide> makeEndpointSide() const override {
     return std::make_unique<BoltClient>(login_);
   }
-  void boundTo(const std::string& address) override {
-    if (listening_.advertised.empty()) listening_.advertised = address;
+  void setListenAddress(const std::string& address) override {
+    if (settings_.advertised.empty()) settings_.advertised = address;
   }
 
  private:
-  mutable BoltListening listening_;  // counts its connections
+  mutable BoltListenerSettings settings_;  // also counts the connections
   BoltLogin login_;
 };
 
--- a/src/protocol/bolt_server.h
+++ b/src/protocol/bolt_server.h
@@ -1,4 +1,5 @@
-// Bolt towards clients: a state machine that is fed bytes. docs/bolt.md has its states and what maps to what.
+// The server side of Bolt, for one client connection: a state machine that is fed bytes and does no input or
+// output of its own.
 #pragma once
 
 #include <cstdint>
@@ -11,96 +12,97 @@
 
 namespace heathflow::protocol {
 
-// What a listener of this protocol tells its connections.
-struct BoltListening {
-  std::string agent;       // what the program calls itself
-  std::string advertised;  // host:port as clients reach it
-  std::string readClass;   // of requests that name none
-  std::string writeClass;
-  std::string family;
-  std::unordered_map<std::string, std::uint32_t> families;  // group by name
-  std::uint64_t connections = 0;                            // ever made
+// Settings that a listener shares with its connections.
+struct BoltListenerSettings {
+  std::string agent;       // the program's name towards clients
+  std::string advertised;  // host:port at which clients reach the gateway
+  std::string readClass;   // class of reads that name none
+  std::string writeClass;  // class of writes that name none
+  std::string family;      // family of requests that name neither family nor cluster
+  std::unordered_map<std::string, std::uint32_t> families;  // group by family name
+  std::uint64_t connections = 0;                            // accepted so far; numbers the connections
 };
 
 class BoltServer final : public ClientSide {
  public:
-  // 'listening' outlives it.
-  explicit BoltServer(BoltListening& listening);
+  // 'settings' must outlive this object.
+  explicit BoltServer(BoltListenerSettings& settings);
 
   Step step(std::string_view bytes, std::size_t from, Buffer& out) override;
-  bool takesParts() const override { return true; }
-  bool interrupted(std::string_view bytes, std::size_t from) override;
-  std::optional<Asked> read(std::string_view request, std::string_view& problem) override;
-  void pass(const Answer& answer, std::string_view bytes, std::int64_t nowMs, Buffer& out) override;
+  bool acceptsRequestParts() const override { return true; }
+  bool interruptPending(std::string_view bytes, std::size_t from) override;
+  std::optional<RequestMetadata> parseRequest(std::string_view request, std::string_view& problem) override;
+  void writeAnswer(const Answer& answer, std::string_view bytes, std::int64_t nowMs, Buffer& out) override;
   void served(Buffer& out) override;
   void rejected(std::int64_t retryAfterMs, Buffer& out) override;
   void failed(Buffer& out) override;
   void rejected(std::string_view message, Buffer& out) override;
   void fatalError(Reason reason, std::string_view message, Buffer& out) override;
-  bool introduced() const override { return state_ >= State::Ready; }
+  bool loginComplete() const override { return state_ >= State::Ready; }
 
-  // So many messages of a request may be without their replies at once.
-  static constexpr std::size_t kOwedMost = 256;
+  // Messages of one request that may be unanswered at the same time.
+  static constexpr std::size_t kMaxUnanswered = 256;
 
  private:
   enum class State {
     Handshake,
-    Negotiated,      // HELLO is due
-    Authentication,  // LOGON is due
+    Negotiated,      // expects HELLO
+    Authentication,  // expects LOGON
     Ready,
-    Failed,       // all up to RESET is ignored
-    Interrupted,  // a RESET has come; all before it is ignored
+    Failed,       // ignores all messages up to RESET
+    Interrupted,  // a RESET was received; ignores all messages before it
   };
-  enum class Unit { None, Statement, Transaction };
+  enum class RequestKind { None, Statement, Transaction };
 
   Step handshake(std::string_view bytes, Buffer& out);
-  Step message(bolt::Tag tag, std::string_view payload, unsigned fields, std::size_t size, Buffer& out);
-  Step ready(bolt::Tag tag, std::string_view payload, std::size_t size, Buffer& out);
-  Step within(bolt::Tag tag, std::string_view payload, std::size_t size, Buffer& out);
-  Step begin(Unit unit, std::size_t size);
-  Step further(std::size_t size);
+  Step handleMessage(bolt::Tag tag, std::string_view payload, unsigned fields, std::size_t size, Buffer& out);
+  Step handleIdle(bolt::Tag tag, std::string_view payload, std::size_t size, Buffer& out);
+  Step handleInRequest(bolt::Tag tag, std::string_view payload, std::size_t size, Buffer& out);
+  Step beginRequest(RequestKind kind, std::size_t size);
+  Step addRequestPart(std::size_t size);
   Step violation(std::string_view message, Buffer& out);
-  Step unauthorized(Buffer& out) const;
-  void ignoreOwed(Buffer& out);
-  void over();
-  Step hello(std::string_view payload, std::size_t size, Buffer& out);
-  Step logon(std::string_view payload, std::size_t size, Buffer& out);
-  bool acceptable(std::string_view payload) const;
-  void route(Buffer& out) const;
-  void endWith(std::string_view code, std::string_view message, std::int64_t retryAfterMs, Buffer& out);
-  void writeFinal(std::string_view message, std::int64_t nowMs, const Answer& answer, Buffer& out);
+  Step rejectAuthentication(Buffer& out) const;
+  void ignoreUnanswered(Buffer& out);
+  void closeRequest();
+  Step handleHello(std::string_view payload, std::size_t size, Buffer& out);
+  Step handleLogon(std::string_view payload, std::size_t size, Buffer& out);
+  bool acceptsAuthentication(std::string_view payload) const;
+  void writeRoutingTable(Buffer& out) const;
+  void endWithFailure(std::string_view code, std::string_view message, std::int64_t retryAfterMs,
+                      Buffer& out);
+  void writeSummary(std::string_view message, std::int64_t nowMs, const Answer& answer, Buffer& out);
 
-  BoltListening& listening_;
-  std::uint64_t number_;
-  std::uint64_t requests_ = 0;
+  BoltListenerSettings& settings_;
+  std::uint64_t connectionNumber_;
+  std::uint64_t requestCount_ = 0;
   State state_ = State::Handshake;
-  unsigned minor_ = 0;
+  unsigned minorVersion_ = 0;
   bolt::ChunkScan scan_;
   std::string scratch_;
 
   // The open request.
-  Unit unit_ = Unit::None;
-  std::size_t owed_ = 0;     // its messages without a reply
-  bool closing_ = false;     // its last message has come
-  bool awaiting_ = false;    // whether that was its last the endpoint's reply will tell
-  bool committing_ = false;  // it may end with a commit
-  bool streaming_ = false;   // it has a result to be pulled, as far as the client can know
-  bool writes_ = false;
-  bool failedByEndpoint_ = false;
+  RequestKind requestKind_ = RequestKind::None;
+  std::size_t unanswered_ = 0;        // messages without a reply
+  bool lastMessageReceived_ = false;  // no further messages belong to the request
+  bool mayEndWithReply_ = false;      // the endpoint's reply tells whether the last message ended it
+  bool mayCommit_ = false;            // it may end with a commit
+  bool hasResult_ = false;            // a result may be pulled, as far as the client can know
+  bool isWrite_ = false;
+  bool endpointFailed_ = false;
   std::uint32_t group_ = 0;
-  std::int64_t afterMs_ = 0;  // the newest position that its bookmarks bind it to
-  std::string id_;            // where the client gave none
+  std::int64_t minPositionMs_ = 0;  // newest position of its bookmarks, Unix time
+  std::string requestId_;           // generated if the client gave none
 
-  // The request ended while the client owed the next message: what that is told.
-  struct Late {
+  // A failure that ended the request while no message was unanswered; it is the reply to the next message.
+  struct DeferredFailure {
     std::string code;
     std::string message;
     std::int64_t retryAfterMs = 0;
   };
-  std::optional<Late> late_;
-  // Of a RESET further back in the input: how far it has been looked for.
-  std::size_t lookedAt_ = 0;
-  bolt::ChunkScan lookScan_;
+  std::optional<DeferredFailure> deferredFailure_;
+  // Bytes after the open request that have been searched for a RESET.
+  std::size_t resetScanOffset_ = 0;
+  bolt::ChunkScan resetScan_;
 };
 
 }  // namespace heathflow::protocol
--- a/src/protocol/endpoint_list.h
+++ b/src/protocol/endpoint_list.h
@@ -1,4 +1,4 @@
-// Discovery's documents: the list of endpoints, whole or as changes.
+// Documents of the list service: a complete list of endpoints or the changes to one.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
   double size = 1;
   std::int64_t upSinceMs = 0;
   bool primary = false;
-  std::vector<std::pair<std::string, std::uint16_t>> ports;  // of other protocols, by name
+  std::vector<std::pair<std::string, std::uint16_t>> ports;  // of further protocols, by protocol name
 };
 
 struct EndpointList {
@@ -29,10 +29,11 @@
   std::vector<ListedEndpoint> endpoints;
 };
 
-// Takes a list, whole or of changes, into one that is whole; who is gone leaves it.
-void apply(const EndpointList& news, EndpointList& whole);
+// Applies a complete list or a list of changes to 'list', which is complete afterwards. Endpoints in phase
+// Gone are removed.
+void apply(const EndpointList& update, EndpointList& list);
 
-// Nothing, and why in 'problem', where the document can't be read as a whole.
+// Parses a document. Returns nothing and sets 'problem' if any part of it is invalid.
 std::optional<EndpointList> parseEndpointList(std::string_view json, std::string& problem);
 
 }  // namespace heathflow::protocol
--- a/src/protocol/load_report.cpp
+++ b/src/protocol/load_report.cpp
@@ -7,7 +7,7 @@
 std::optional<Decimal> parseDecimal(std::string_view text) {
   const bool negative = !text.empty() && text[0] == '-';
   if (negative) text.remove_prefix(1);
-  constexpr std::int64_t kMost = 1'000'000'000'000;  // whole units; far beyond any time in seconds
+  constexpr std::int64_t kMaxWhole = 1'000'000'000'000;  // whole units; far beyond any time in seconds
   std::int64_t whole = 0;
   std::int64_t fraction = 0;
   std::int64_t step = 1'000'000;
@@ -20,7 +20,7 @@
       return std::nullopt;
     } else if (!point) {
       whole = whole * 10 + (c - '0');
-      if (whole > kMost) return std::nullopt;
+      if (whole > kMaxWhole) return std::nullopt;
       digits = true;
     } else {
       step /= 10;
--- a/src/protocol/packstream.cpp
+++ b/src/protocol/packstream.cpp
@@ -9,14 +9,15 @@
 namespace heathflow::protocol::packstream {
 namespace {
 
-// Of so many keys each is compared with all before it; beyond, they are sorted.
-constexpr std::size_t kKeysCompared = 16;
+// Up to this number of keys, duplicates are found by comparing each key with the ones before it; larger maps
+// are sorted.
+constexpr std::size_t kMaxComparedKeys = 16;
 constexpr std::uint64_t kHighBits = 0x8080808080808080U;
 
 std::uint8_t byteAt(std::string_view bytes, std::size_t at) { return static_cast<std::uint8_t>(bytes[at]); }
 
-// The structures of versions 5.0 to 5.4, and how many fields each has; 0: unknown.
-unsigned fieldsOf(std::uint8_t tag) {
+// Returns the number of fields of a structure in Bolt 5.0 to 5.4; 0 for an unknown tag.
+unsigned fieldCountOf(std::uint8_t tag) {
   switch (tag) {
     case 'D':  // Date
     case 't':  // LocalTime
@@ -47,8 +48,9 @@
   for (unsigned i = size; i-- > 0;) out += static_cast<char>(value >> (8 * i));
 }
 
-// A head whose size stands in its marker where it fits, else behind one of three further markers.
-void addSized(std::string& out, std::size_t size, int tiny, std::uint8_t marker8) {
+// Appends a header with a size. Sizes below 16 are part of the marker, larger ones follow one of three other
+// markers.
+void addSizeHeader(std::string& out, std::size_t size, int tiny, std::uint8_t marker8) {
   if (tiny >= 0 && size < 16) {
     out += static_cast<char>(static_cast<std::size_t>(tiny) + size);
   } else if (size <= 0xFF) {
@@ -65,25 +67,25 @@
 
 }  // namespace
 
-std::string_view toText(Flaw flaw) {
-  switch (flaw) {
-    case Flaw::None:
+std::string_view toText(DecodeError decodeError) {
+  switch (decodeError) {
+    case DecodeError::None:
       return "nothing is wrong";
-    case Flaw::CutShort:
+    case DecodeError::Truncated:
       return "a value is cut short";
-    case Flaw::UnknownMarker:
+    case DecodeError::UnknownMarker:
       return "a marker is not known";
-    case Flaw::TooDeep:
+    case DecodeError::TooDeep:
       return "values stand too deep in one another";
-    case Flaw::NotUtf8:
+    case DecodeError::NotUtf8:
       return "a text is no UTF-8";
-    case Flaw::KeyIsNoText:
+    case DecodeError::KeyNotText:
       return "a map's key is no text";
-    case Flaw::RepeatedKey:
+    case DecodeError::DuplicateKey:
       return "a map has a key twice";
-    case Flaw::UnknownStructure:
+    case DecodeError::UnknownStructure:
       return "a structure is not known";
-    case Flaw::WrongFieldCount:
+    case DecodeError::WrongFieldCount:
       return "a structure has a wrong number of fields";
   }
   return {};
@@ -92,7 +94,7 @@
 bool isUtf8(std::string_view text) {
   std::size_t at = 0;
   while (at < text.size()) {
-    // Most texts are ASCII, eight bytes at a time.
+    // Most texts are ASCII: eight bytes are checked at a time.
     while (at + 8 <= text.size()) {
       std::uint64_t eight = 0;
       std::memcpy(&eight, text.data() + at, sizeof eight);
@@ -105,12 +107,12 @@
       ++at;
       continue;
     }
-    // RFC 3629: the second byte's range keeps out what is overlong, a surrogate or beyond U+10FFFF.
+    // RFC 3629: the range of the second byte excludes overlong forms, surrogates and values above U+10FFFF.
     const unsigned more = first >= 0xF0 ? 3 : first >= 0xE0 ? 2 : 1;
     if (first < 0xC2 || first > 0xF4 || text.size() - at <= more) return false;
-    const std::uint8_t least = first == 0xE0 ? 0xA0 : first == 0xF0 ? 0x90 : 0x80;
-    const std::uint8_t most = first == 0xED ? 0x9F : first == 0xF4 ? 0x8F : 0xBF;
-    if (byteAt(text, at + 1) < least || byteAt(text, at + 1) > most) return false;
+    const std::uint8_t lowest = first == 0xE0 ? 0xA0 : first == 0xF0 ? 0x90 : 0x80;
+    const std::uint8_t highest = first == 0xED ? 0x9F : first == 0xF4 ? 0x8F : 0xBF;
+    if (byteAt(text, at + 1) < lowest || byteAt(text, at + 1) > highest) return false;
     for (unsigned i = 2; i <= more; ++i) {
       if ((byteAt(text, at + i) & 0xC0) != 0x80) return false;
     }
@@ -119,52 +121,52 @@
   return true;
 }
 
-bool Reader::fail(Flaw flaw) {
-  flaw_ = flaw;
+bool Reader::fail(DecodeError decodeError) {
+  decodeError_ = decodeError;
   return false;
 }
 
-bool Reader::number(unsigned size, std::uint64_t& out) {
-  if (bytes_.size() - at_ < size) return fail(Flaw::CutShort);
+bool Reader::readUnsigned(unsigned size, std::uint64_t& out) {
+  if (bytes_.size() - at_ < size) return fail(DecodeError::Truncated);
   out = 0;
   for (unsigned i = 0; i < size; ++i) out = out << 8 | byteAt(bytes_, at_++);
   return true;
 }
 
-bool Reader::content(std::size_t size, Head& out) {
-  if (bytes_.size() - at_ < size) return fail(Flaw::CutShort);
+bool Reader::readContent(std::size_t size, Header& out) {
+  if (bytes_.size() - at_ < size) return fail(DecodeError::Truncated);
   out.at = at_;
   out.size = size;
-  if (out.type == Type::Text && !isUtf8(bytes_.substr(at_, size))) return fail(Flaw::NotUtf8);
+  if (out.type == Type::Text && !isUtf8(bytes_.substr(at_, size))) return fail(DecodeError::NotUtf8);
   at_ += size;
   return true;
 }
 
-bool Reader::readInteger(unsigned width, Head& out) {
+bool Reader::readInteger(unsigned width, Header& out) {
   out.type = Type::Integer;
   std::uint64_t value = 0;
-  if (!number(width, value)) return false;
-  // The sign is the highest bit of the width.
+  if (!readUnsigned(width, value)) return false;
+  // The sign bit is the highest bit of the given width.
   const unsigned unused = 64 - 8 * width;
   out.integer = static_cast<std::int64_t>(value << unused) >> unused;
   return true;
 }
 
-bool Reader::readSize(unsigned width, Type type, Head& out) {
+bool Reader::readSize(unsigned width, Type type, Header& out) {
   out.type = type;
   std::uint64_t value = 0;
-  if (!number(width, value)) return false;
+  if (!readUnsigned(width, value)) return false;
   out.size = static_cast<std::size_t>(value);
   return true;
 }
 
-// Markers that hold the size in their lower four bits.
-bool Reader::readTinyHead(std::uint8_t marker, Head& out) {
+// Reads markers whose lower four bits hold the size.
+bool Reader::readTinyHeader(std::uint8_t marker, Header& out) {
   out.size = marker & 0x0F;
   switch (marker & 0xF0) {
     case 0x80:
       out.type = Type::Text;
-      return content(out.size, out);
+      return readContent(out.size, out);
     case 0x90:
       out.type = Type::List;
       return true;
@@ -176,13 +178,13 @@
   }
   out.type = Type::Structure;
   std::uint64_t tag = 0;
-  if (!number(1, tag)) return false;
+  if (!readUnsigned(1, tag)) return false;
   out.tag = static_cast<std::uint8_t>(tag);
   return true;
 }
 
-// Markers that give the type alone; a size or a value follows them.
-bool Reader::readFullHead(std::uint8_t marker, Head& out) {
+// Reads markers that give only the type; a size or a value follows.
+bool Reader::readFullHeader(std::uint8_t marker, Header& out) {
   std::uint64_t value = 0;
   switch (marker) {
     case 0xC0:
@@ -190,7 +192,7 @@
       return true;
     case 0xC1:
       out.type = Type::Float;
-      return number(8, value);
+      return readUnsigned(8, value);
     case 0xC2:
     case 0xC3:
       out.type = Type::Boolean;
@@ -204,11 +206,11 @@
     case 0xCC:
     case 0xCD:
     case 0xCE:
-      return readSize(1U << (marker - 0xCC), Type::Bytes, out) && content(out.size, out);
+      return readSize(1U << (marker - 0xCC), Type::Bytes, out) && readContent(out.size, out);
     case 0xD0:
     case 0xD1:
     case 0xD2:
-      return readSize(1U << (marker - 0xD0), Type::Text, out) && content(out.size, out);
+      return readSize(1U << (marker - 0xD0), Type::Text, out) && readContent(out.size, out);
     case 0xD4:
     case 0xD5:
     case 0xD6:
@@ -218,12 +220,12 @@
     case 0xDA:
       return readSize(1U << (marker - 0xD8), Type::Map, out);
     default:
-      return fail(Flaw::UnknownMarker);
+      return fail(DecodeError::UnknownMarker);
   }
 }
 
-bool Reader::readHead(Head& out) {
-  if (at_ >= bytes_.size()) return fail(Flaw::CutShort);
+bool Reader::readHeader(Header& out) {
+  if (at_ >= bytes_.size()) return fail(DecodeError::Truncated);
   const std::uint8_t marker = byteAt(bytes_, at_++);
   // Integers from -16 to 127 are their own marker.
   if (marker < 0x80 || marker >= 0xF0) {
@@ -231,41 +233,41 @@
     out.integer = marker < 0x80 ? marker : marker - 0x100;
     return true;
   }
-  return marker < 0xC0 ? readTinyHead(marker, out) : readFullHead(marker, out);
+  return marker < 0xC0 ? readTinyHeader(marker, out) : readFullHeader(marker, out);
 }
 
-std::optional<Head> Reader::head() {
-  if (flaw_ != Flaw::None) return std::nullopt;
+std::optional<Header> Reader::header() {
+  if (decodeError_ != DecodeError::None) return std::nullopt;
   const std::size_t before = at_;
-  Head out;
-  if (readHead(out)) return out;
+  Header out;
+  if (readHeader(out)) return out;
   at_ = before;
   return std::nullopt;
 }
 
 std::optional<std::string_view> Reader::text() {
-  if (flaw_ != Flaw::None) return std::nullopt;
+  if (decodeError_ != DecodeError::None) return std::nullopt;
   const std::size_t before = at_;
-  const auto found = head();
+  const auto found = header();
   if (found && found->type == Type::Text) return of(*found);
   at_ = before;
   return std::nullopt;
 }
 
 bool Reader::skip(unsigned depth) {
-  const auto found = head();
+  const auto found = header();
   if (!found) return false;
   const bool collection =
       found->type == Type::List || found->type == Type::Map || found->type == Type::Structure;
   if (!collection) return true;
-  if (depth >= kDeepest) return fail(Flaw::TooDeep);
+  if (depth >= kMaxDepth) return fail(DecodeError::TooDeep);
   if (found->type == Type::Map) return skipMap(found->size, depth + 1);
   if (found->type == Type::Structure) {
-    const unsigned fields = fieldsOf(found->tag);
-    if (fields == 0) return fail(Flaw::UnknownStructure);
-    if (fields != found->size) return fail(Flaw::WrongFieldCount);
+    const unsigned fields = fieldCountOf(found->tag);
+    if (fields == 0) return fail(DecodeError::UnknownStructure);
+    if (fields != found->size) return fail(DecodeError::WrongFieldCount);
   }
-  // Each entry takes a byte at least: a count that is a lie ends with the bytes.
+  // Each entry takes at least one byte, so a wrong count ends with the input.
   for (std::size_t i = 0; i < found->size; ++i) {
     if (!skip(depth + 1)) return false;
   }
@@ -273,29 +275,31 @@
 }
 
 bool Reader::skipMap(std::size_t entries, unsigned depth) {
-  std::array<std::string_view, kKeysCompared> few;
-  std::vector<std::string_view> many;
+  std::array<std::string_view, kMaxComparedKeys> firstKeys;
+  std::vector<std::string_view> allKeys;
   for (std::size_t i = 0; i < entries; ++i) {
     const auto key = text();
-    if (!key) return fail(flaw_ == Flaw::None ? Flaw::KeyIsNoText : flaw_);
-    if (i < kKeysCompared) {
-      if (std::find(few.begin(), few.begin() + i, *key) != few.begin() + i) return fail(Flaw::RepeatedKey);
-      few[i] = *key;
+    if (!key) return fail(decodeError_ == DecodeError::None ? DecodeError::KeyNotText : decodeError_);
+    if (i < kMaxComparedKeys) {
+      if (std::find(firstKeys.begin(), firstKeys.begin() + i, *key) != firstKeys.begin() + i)
+        return fail(DecodeError::DuplicateKey);
+      firstKeys[i] = *key;
     } else {
-      if (many.empty()) many.assign(few.begin(), few.end());
-      many.push_back(*key);
+      if (allKeys.empty()) allKeys.assign(firstKeys.begin(), firstKeys.end());
+      allKeys.push_back(*key);
     }
     if (!skip(depth)) return false;
   }
-  std::sort(many.begin(), many.end());
-  if (std::adjacent_find(many.begin(), many.end()) != many.end()) return fail(Flaw::RepeatedKey);
+  std::sort(allKeys.begin(), allKeys.end());
+  if (std::adjacent_find(allKeys.begin(), allKeys.end()) != allKeys.end())
+    return fail(DecodeError::DuplicateKey);
   return true;
 }
 
-Flaw check(std::string_view bytes) {
+DecodeError check(std::string_view bytes) {
   Reader reader(bytes);
-  if (!reader.skip()) return reader.flaw();
-  return reader.atEnd() ? Flaw::None : Flaw::CutShort;
+  if (!reader.skip()) return reader.decodeError();
+  return reader.atEnd() ? DecodeError::None : DecodeError::Truncated;
 }
 
 void addNull(std::string& out) { out += '\xC0'; }
@@ -305,8 +309,8 @@
 void addInteger(std::string& out, std::int64_t value) {
   const auto bits = static_cast<std::uint64_t>(value);
   const auto fits = [value](int width) {
-    const std::int64_t most = (std::int64_t{1} << (width - 1)) - 1;
-    return value >= -most - 1 && value <= most;
+    const std::int64_t highest = (std::int64_t{1} << (width - 1)) - 1;
+    return value >= -highest - 1 && value <= highest;
   };
   if (value >= -16 && value <= 127) {
     addNumber(out, bits, 1);
@@ -331,20 +335,20 @@
 }
 
 void addText(std::string& out, std::string_view value) {
-  addSized(out, value.size(), 0x80, 0xD0);
+  addSizeHeader(out, value.size(), 0x80, 0xD0);
   out += value;
 }
 
 void addBytes(std::string& out, std::string_view value) {
-  addSized(out, value.size(), -1, 0xCC);
+  addSizeHeader(out, value.size(), -1, 0xCC);
   out += value;
 }
 
-void addListHead(std::string& out, std::size_t entries) { addSized(out, entries, 0x90, 0xD4); }
+void addListHeader(std::string& out, std::size_t entries) { addSizeHeader(out, entries, 0x90, 0xD4); }
 
-void addMapHead(std::string& out, std::size_t entries) { addSized(out, entries, 0xA0, 0xD8); }
+void addMapHeader(std::string& out, std::size_t entries) { addSizeHeader(out, entries, 0xA0, 0xD8); }
 
-void addStructureHead(std::string& out, std::uint8_t tag, unsigned fields) {
+void addStructureHeader(std::string& out, std::uint8_t tag, unsigned fields) {
   out += static_cast<char>(0xB0 + fields);
   out += static_cast<char>(tag);
 }
--- a/src/protocol/packstream.h
+++ b/src/protocol/packstream.h
@@ -1,5 +1,5 @@
-// PackStream, version 1, as Bolt's specification describes it: values as bytes. Whole values are checked and
-// passed by; nothing is built of them.
+// PackStream, version 1, the serialization of Bolt's values. Complete values are checked and skipped; no
+// objects are built from them.
 #pragma once
 
 #include <cstddef>
@@ -10,26 +10,27 @@
 
 namespace heathflow::protocol::packstream {
 
-// How deep lists, maps and structures may stand in one another.
-inline constexpr unsigned kDeepest = 32;
+// The nesting depth of lists, maps and structures.
+inline constexpr unsigned kMaxDepth = 32;
 
-enum class Flaw {
+enum class DecodeError {
   None,
-  CutShort,       // the bytes end within a value
-  UnknownMarker,  // or one that is kept for later versions
+  Truncated,      // the bytes end inside a value
+  UnknownMarker,  // or a reserved one
   TooDeep,
   NotUtf8,
-  KeyIsNoText,
-  RepeatedKey,
-  UnknownStructure,  // its tag is none of the specification's
+  KeyNotText,
+  DuplicateKey,
+  UnknownStructure,  // its tag is not in the specification
   WrongFieldCount,   // for its tag
 };
-std::string_view toText(Flaw flaw);
+std::string_view toText(DecodeError decodeError);
 
 enum class Type { Null, Boolean, Integer, Float, Bytes, Text, List, Map, Structure };
 
-// The head of a value. Of texts and bytes it holds where they lie; of collections how many parts follow it.
-struct Head {
+// The header of a value. For texts and bytes it holds their position, for collections the number of values
+// that follow.
+struct Header {
   Type type = Type::Null;
   bool boolean = false;
   std::int64_t integer = 0;
@@ -38,53 +39,55 @@
   std::uint8_t tag = 0;  // of a structure
 };
 
-// Walks over values from front to end. After a flaw it stays where it is.
+// Reads values from front to back. After an error it stays at its position.
 class Reader {
  public:
   explicit Reader(std::string_view bytes, std::size_t at = 0) : bytes_(bytes), at_(at) {}
 
-  // Takes a head off; texts and bytes with their content, which for a text has been checked.
-  std::optional<Head> head();
-  // Passes one whole value by, with everything in it.
+  // Reads a header, and for texts and bytes also the content. Texts are checked for valid UTF-8. Returns
+  // nothing on an error.
+  std::optional<Header> header();
+  // Skips one complete value with everything nested in it. Returns false on an error.
   bool skip() { return skip(0); }
-  // Takes a text off; nothing, and no flaw, where something else stands there (nothing is taken then).
+  // Reads a text. If the next value is of another type, returns nothing, sets no error and stays at its
+  // position.
   std::optional<std::string_view> text();
-  std::string_view of(const Head& head) const { return bytes_.substr(head.at, head.size); }
+  std::string_view of(const Header& header) const { return bytes_.substr(header.at, header.size); }
 
   std::size_t at() const { return at_; }
   bool atEnd() const { return at_ == bytes_.size(); }
-  Flaw flaw() const { return flaw_; }
+  DecodeError decodeError() const { return decodeError_; }
 
  private:
-  bool fail(Flaw flaw);
-  bool readHead(Head& out);
-  bool readTinyHead(std::uint8_t marker, Head& out);
-  bool readFullHead(std::uint8_t marker, Head& out);
-  bool readInteger(unsigned width, Head& out);
-  bool readSize(unsigned width, Type type, Head& out);
-  bool number(unsigned size, std::uint64_t& out);
-  bool content(std::size_t size, Head& out);
+  bool fail(DecodeError decodeError);
+  bool readHeader(Header& out);
+  bool readTinyHeader(std::uint8_t marker, Header& out);
+  bool readFullHeader(std::uint8_t marker, Header& out);
+  bool readInteger(unsigned width, Header& out);
+  bool readSize(unsigned width, Type type, Header& out);
+  bool readUnsigned(unsigned size, std::uint64_t& out);
+  bool readContent(std::size_t size, Header& out);
   bool skip(unsigned depth);
   bool skipMap(std::size_t entries, unsigned depth);
 
   std::string_view bytes_;
   std::size_t at_;
-  Flaw flaw_ = Flaw::None;
+  DecodeError decodeError_ = DecodeError::None;
 };
 
-// Whether the bytes are exactly one value.
-Flaw check(std::string_view bytes);
+// Checks that the bytes are exactly one valid value. Returns the error, or None.
+DecodeError check(std::string_view bytes);
 bool isUtf8(std::string_view text);
 
-// Writers append to a text; integers in their shortest form.
+// Append a value to a string. Integers get their shortest form.
 void addNull(std::string& out);
 void addBoolean(std::string& out, bool value);
 void addInteger(std::string& out, std::int64_t value);
 void addFloat(std::string& out, double value);
 void addText(std::string& out, std::string_view value);
 void addBytes(std::string& out, std::string_view value);
-void addListHead(std::string& out, std::size_t entries);
-void addMapHead(std::string& out, std::size_t entries);
-void addStructureHead(std::string& out, std::uint8_t tag, unsigned fields);
+void addListHeader(std::string& out, std::size_t entries);
+void addMapHeader(std::string& out, std::size_t entries);
+void addStructureHeader(std::string& out, std::uint8_t tag, unsigned fields);
 
 }  // namespace heathflow::protocol::packstream
--- a/src/protocol/pg_client.cpp
+++ b/src/protocol/pg_client.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view kUser = "api";
 constexpr std::string_view kDatabase = "ledger";
-// Parameters of ParameterStatus, as PROTOCOL names them.
+// Names and values of ParameterStatus in which an endpoint reports its state.
 constexpr std::string_view kRoleParameter = "mode";
 constexpr std::string_view kPositionParameter = "wal_time";
 constexpr std::string_view kReportParameter = "stats";
@@ -50,25 +50,25 @@
   return out.append(body);
 }
 
-void PgClient::queried() {
+void PgClient::onQueryWritten() {
   phase_ = Phase::Busy;
-  answering_ = outcomeKnown_ = false;
+  answerStarted_ = outcomeKnown_ = false;
   answer_ = PgAnswer{};
 }
 
 // Reads a row of one column; NULL is not a valid value.
-bool PgClient::readRow(const Cut& cut) {
-  if (cut.body.size() < 6 || readU16(cut.body, 0) != 1) return false;
-  const std::uint32_t size = readU32(cut.body, 2);
-  if (cut.body.size() - 6 != size) return false;
-  answer_.dataRow = {seen_, cut.size};
-  answer_.value = {seen_ + kHeaderSize + 6, size};
+bool PgClient::readRow(const Frame& frame) {
+  if (frame.body.size() < 6 || readU16(frame.body, 0) != 1) return false;
+  const std::uint32_t size = readU32(frame.body, 2);
+  if (frame.body.size() - 6 != size) return false;
+  answer_.dataRow = {parsed_, frame.size};
+  answer_.value = {parsed_ + kHeaderSize + 6, size};
   return true;
 }
 
 void PgClient::readParameter(std::string_view body, std::string_view bytes) {
-  const auto name = takeText(body);
-  const auto value = name ? takeText(body) : std::nullopt;
+  const auto name = readCString(body);
+  const auto value = name ? readCString(body) : std::nullopt;
   if (!value) return;
   if (*name == kRoleParameter && *value == kPrimaryValue) answer_.primary = true;
   if (*name == kRoleParameter && *value == kReplicaValue) answer_.primary = false;
@@ -81,10 +81,10 @@
   }
 }
 
-PgClient::Event PgClient::handleMessage(const Cut& cut, std::string_view bytes) {
-  switch (cut.type) {
+PgClient::Event PgClient::handleMessage(const Frame& frame, std::string_view bytes) {
+  switch (frame.type) {
     case kParameterStatus:
-      readParameter(cut.body, bytes);
+      readParameter(frame.body, bytes);
       return Event::NeedMore;
     case kNoticeResponse:
     case kNotificationResponse:
@@ -92,23 +92,23 @@
     default:
       break;
   }
-  if (phase_ == Phase::Starting) return handleStartupMessage(cut, bytes);
-  if (phase_ == Phase::Busy) return handleQueryMessage(cut, bytes);
+  if (phase_ == Phase::Starting) return handleStartupMessage(frame, bytes);
+  if (phase_ == Phase::Busy) return handleQueryMessage(frame, bytes);
   return broken();
 }
 
-PgClient::Event PgClient::handleStartupMessage(const Cut& cut, std::string_view bytes) {
-  switch (cut.type) {
+PgClient::Event PgClient::handleStartupMessage(const Frame& frame, std::string_view bytes) {
+  switch (frame.type) {
     case kBackendKeyData:
     case kNegotiateProtocolVersion:
       return Event::NeedMore;
     case kAuthentication: {
-      const bool authenticated = cut.body.size() == 4 && readU32(cut.body, 0) == 0;
+      const bool authenticated = frame.body.size() == 4 && readU32(frame.body, 0) == 0;
       return authenticated ? Event::NeedMore : broken();
     }
     case kErrorResponse:
       answer_.kind = PgAnswer::Kind::Error;
-      answer_.code = sliceOf(parseErrorFields(cut.body).code, bytes);
+      answer_.code = sliceOf(parseErrorFields(frame.body).code, bytes);
       phase_ = Phase::Dead;
       return Event::Rejected;
     case kReadyForQuery:
@@ -119,30 +119,31 @@
   }
 }
 
-PgClient::Event PgClient::handleQueryMessage(const Cut& cut, std::string_view bytes) {
-  answering_ = true;
+PgClient::Event PgClient::handleQueryMessage(const Frame& frame, std::string_view bytes) {
+  answerStarted_ = true;
   const bool pending = answer_.kind == PgAnswer::Kind::None;
-  switch (cut.type) {
+  switch (frame.type) {
     case kRowDescription:
-      if (!pending || answer_.rowDescription.size != 0 || cut.body.size() < 2 || readU16(cut.body, 0) != 1)
+      if (!pending || answer_.rowDescription.size != 0 || frame.body.size() < 2 ||
+          readU16(frame.body, 0) != 1)
         return broken();
-      answer_.rowDescription = {seen_, cut.size};
+      answer_.rowDescription = {parsed_, frame.size};
       return Event::NeedMore;
     case kDataRow:
-      if (!pending || answer_.rowDescription.size == 0 || answer_.dataRow.size != 0 || !readRow(cut))
+      if (!pending || answer_.rowDescription.size == 0 || answer_.dataRow.size != 0 || !readRow(frame))
         return broken();
       return Event::NeedMore;
     case kCommandComplete:
     case kEmptyQueryResponse: {
       if (!pending) return broken();
-      const bool hasRow = cut.type == kCommandComplete && answer_.dataRow.size != 0;
-      answer_.commandComplete = {seen_, cut.size};
+      const bool hasRow = frame.type == kCommandComplete && answer_.dataRow.size != 0;
+      answer_.commandComplete = {parsed_, frame.size};
       answer_.kind = hasRow ? PgAnswer::Kind::Row : PgAnswer::Kind::Empty;
       outcomeKnown_ = true;
       return Event::NeedMore;
     }
     case kErrorResponse:
-      return handleQueryError(cut, bytes);
+      return handleQueryError(frame, bytes);
     case kReadyForQuery:
       if (!outcomeKnown_) return broken();
       phase_ = Phase::Idle;
@@ -152,10 +153,10 @@
   }
 }
 
-PgClient::Event PgClient::handleQueryError(const Cut& cut, std::string_view bytes) {
+PgClient::Event PgClient::handleQueryError(const Frame& frame, std::string_view bytes) {
   if (outcomeKnown_ && answer_.kind == PgAnswer::Kind::Error) return broken();
-  const ErrorFields fields = parseErrorFields(cut.body);
-  // A row that was complete before stays the answer: the error is about what follows it.
+  const ErrorFields fields = parseErrorFields(frame.body);
+  // A row that was already complete remains the answer: the error concerns what follows it.
   if (!outcomeKnown_) {
     answer_.kind = PgAnswer::Kind::Error;
     answer_.code = fields.code.empty() ? Slice{} : sliceOf(fields.code, bytes);
@@ -168,14 +169,14 @@
 }
 
 PgClient::Event PgClient::feed(std::string_view bytes) {
-  while (seen_ < bytes.size()) {
-    // Bytes without a query are never taken for the answer to the next one.
+  while (parsed_ < bytes.size()) {
+    // Unsolicited bytes must never be taken for the answer to the next query.
     if (phase_ == Phase::Idle || phase_ == Phase::Dead) return broken();
-    const Cut cut = cutMessage(bytes.substr(seen_), kEndpointMessageLimit);
-    if (cut.kind == Cut::Kind::Malformed) return broken();
-    if (cut.kind == Cut::Kind::Partial) return Event::NeedMore;
-    const Event event = handleMessage(cut, bytes);
-    seen_ += cut.size;
+    const Frame frame = readFrame(bytes.substr(parsed_), kEndpointMessageLimit);
+    if (frame.kind == Frame::Kind::Malformed) return broken();
+    if (frame.kind == Frame::Kind::Partial) return Event::NeedMore;
+    const Event event = handleMessage(frame, bytes);
+    parsed_ += frame.size;
     if (event != Event::NeedMore) return event;
   }
   return Event::NeedMore;
--- a/src/protocol/pg_client.h
+++ b/src/protocol/pg_client.h
@@ -1,4 +1,5 @@
-// PostgreSQL's protocol towards an endpoint, on one connection: a state machine that is fed bytes.
+// The client side of PostgreSQL's protocol, for one connection to an endpoint: a state machine that is fed
+// bytes.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +11,10 @@
 
 namespace heathflow::protocol {
 
-// A value holds at most 64 KiB (PROTOCOL); the rest is the messages around it.
+// Bytes. A value holds at most 64 KiB; the rest is for the messages around it.
 inline constexpr std::size_t kEndpointMessageLimit = 80 * 1024;
 
-// The answer to one query. Slices lie in the bytes that were fed.
+// The answer to one query. Slices refer to the bytes that were fed.
 struct PgAnswer {
   enum class Kind { None, Row, Empty, Error } kind = Kind::None;
   Slice rowDescription;
@@ -31,46 +32,46 @@
  public:
   enum class Event {
     NeedMore,
-    Ready,     // the connection is up
+    Ready,     // the connection is established
     Rejected,  // the endpoint rejected the connection; the answer holds the error
     Answered,  // the answer is complete
     Broken,    // the endpoint violated the protocol
   };
 
-  // Writes the startup message. False when the buffer has no room.
+  // Writes the startup message. Returns false if the buffer has no room.
   bool start(Buffer& out);
-  // A query has been written.
-  void queried();
+  // Must be called when a query has been written.
+  void onQueryWritten();
 
-  // Parses the received bytes from seen() on. After Ready and Answered the caller uses the answer and drops
-  // the seen bytes.
+  // Parses the received bytes from parsedBytes() on. After Ready and Answered the caller uses the answer and
+  // then consumes the parsed bytes.
   Event feed(std::string_view bytes);
-  std::size_t seen() const { return seen_; }
+  std::size_t parsedBytes() const { return parsed_; }
   const PgAnswer& answer() const { return answer_; }
-  // After the connection ended: whether the answer was complete.
-  bool wholeAtEnd() const { return phase_ == Phase::Busy && outcomeKnown_; }
-  bool answering() const { return answering_; }
+  // After the connection has ended: returns whether the answer is complete nevertheless.
+  bool completeAtClose() const { return phase_ == Phase::Busy && outcomeKnown_; }
+  bool answerStarted() const { return answerStarted_; }
   bool usable() const { return phase_ == Phase::Idle; }
-  // The seen bytes have been dropped.
-  void dropped() { seen_ = 0; }
+  // Must be called when the parsed bytes have been consumed.
+  void onConsumed() { parsed_ = 0; }
 
  private:
   enum class Phase { Starting, Idle, Busy, Dead };
-  Event handleMessage(const Cut& cut, std::string_view bytes);
-  Event handleStartupMessage(const Cut& cut, std::string_view bytes);
-  Event handleQueryMessage(const Cut& cut, std::string_view bytes);
-  Event handleQueryError(const Cut& cut, std::string_view bytes);
+  Event handleMessage(const Frame& frame, std::string_view bytes);
+  Event handleStartupMessage(const Frame& frame, std::string_view bytes);
+  Event handleQueryMessage(const Frame& frame, std::string_view bytes);
+  Event handleQueryError(const Frame& frame, std::string_view bytes);
   Event broken() {
     phase_ = Phase::Dead;
     return Event::Broken;
   }
-  bool readRow(const Cut& cut);
+  bool readRow(const Frame& frame);
   void readParameter(std::string_view body, std::string_view bytes);
 
   Phase phase_ = Phase::Starting;
-  std::size_t seen_ = 0;
-  bool answering_ = false;     // a part of the answer has been received
-  bool outcomeKnown_ = false;  // the kind of the answer can no longer change
+  std::size_t parsed_ = 0;
+  bool answerStarted_ = false;  // a part of the answer has been received
+  bool outcomeKnown_ = false;   // the kind of the answer can no longer change
   PgAnswer answer_;
 };
 
--- a/src/protocol/pg_message.cpp
+++ b/src/protocol/pg_message.cpp
@@ -34,15 +34,15 @@
   return static_cast<std::uint16_t>(byteAt(bytes, at) << 8 | byteAt(bytes, at + 1));
 }
 
-Cut cutMessage(std::string_view bytes, std::size_t limit) {
+Frame readFrame(std::string_view bytes, std::size_t limit) {
   if (bytes.size() < kHeaderSize) return {};
   const std::size_t length = readU32(bytes, 1);
-  if (length < kLengthSize || length + 1 > limit) return {Cut::Kind::Malformed, bytes[0], 0, {}};
-  if (bytes.size() < length + 1) return {Cut::Kind::Partial, bytes[0], length + 1, {}};
-  return {Cut::Kind::Whole, bytes[0], length + 1, bytes.substr(kHeaderSize, length - kLengthSize)};
+  if (length < kLengthSize || length + 1 > limit) return {Frame::Kind::Malformed, bytes[0], 0, {}};
+  if (bytes.size() < length + 1) return {Frame::Kind::Partial, bytes[0], length + 1, {}};
+  return {Frame::Kind::Complete, bytes[0], length + 1, bytes.substr(kHeaderSize, length - kLengthSize)};
 }
 
-std::optional<std::string_view> takeText(std::string_view& bytes) {
+std::optional<std::string_view> readCString(std::string_view& bytes) {
   const std::size_t end = bytes.find('\0');
   if (end == std::string_view::npos) return std::nullopt;
   const std::string_view text = bytes.substr(0, end);
@@ -55,9 +55,9 @@
   while (!body.empty() && body[0] != '\0') {
     const char type = body[0];
     body.remove_prefix(1);
-    const auto text = takeText(body);
+    const auto text = readCString(body);
     if (!text) break;
-    // V is S untranslated, so it wins whatever the order.
+    // V is the untranslated form of S and takes precedence in any order.
     if (type == 'V' || (type == 'S' && out.severity.empty())) out.severity = *text;
     if (type == 'C') out.code = *text;
   }
--- a/src/protocol/pg_message.h
+++ b/src/protocol/pg_message.h
@@ -1,4 +1,4 @@
-// Messages of PostgreSQL's protocol, version 3: cutting them out of a buffer, and writing them.
+// Messages of PostgreSQL's protocol, version 3: framing and writing.
 #pragma once
 
 #include <cstddef>
@@ -17,24 +17,24 @@
 constexpr std::size_t kLengthSize = 4;
 constexpr std::size_t kHeaderSize = 1 + kLengthSize;
 
-// Numbers in network order. The caller has checked that the bytes are there.
+// Read numbers in network byte order. The caller has checked the size.
 std::uint32_t readU32(std::string_view bytes, std::size_t at);
 std::uint16_t readU16(std::string_view bytes, std::size_t at);
 
-struct Cut {
-  enum class Kind { Whole, Partial, Malformed } kind = Kind::Partial;
+struct Frame {
+  enum class Kind { Complete, Partial, Malformed } kind = Kind::Partial;
   char type = 0;
   std::size_t size = 0;   // of the whole message
   std::string_view body;  // without type and length
 };
-// Cuts the first message off. One whose length field is impossible, or beyond the limit, is malformed at
-// once.
-Cut cutMessage(std::string_view bytes, std::size_t limit);
+// Finds the first message. A message whose length field is impossible or exceeds the limit is malformed at
+// once, before its bytes have arrived.
+Frame readFrame(std::string_view bytes, std::size_t limit);
 
-// Takes a text that ends in a zero byte off the front; nothing when there is none.
-std::optional<std::string_view> takeText(std::string_view& bytes);
+// Removes a text with its terminating zero byte from the front; returns nothing if there is no zero byte.
+std::optional<std::string_view> readCString(std::string_view& bytes);
 
-// What an ErrorResponse says, as far as it decides anything.
+// The fields of an ErrorResponse that the gateway needs.
 struct ErrorFields {
   std::string_view severity;
   std::string_view code;
@@ -42,7 +42,7 @@
 };
 ErrorFields parseErrorFields(std::string_view body);
 
-// SQLSTATEs, named as in the appendix of PostgreSQL's documentation.
+// SQLSTATE codes, named as in the appendix of PostgreSQL's documentation.
 namespace sqlstate {
 inline constexpr std::string_view kTooManyConnections = "53300";
 inline constexpr std::string_view kCannotConnectNow = "57P03";
@@ -55,12 +55,12 @@
 inline constexpr std::string_view kSystemError = "58000";
 }  // namespace sqlstate
 
-// Writers append to a buffer; false when it has no room left.
+// Append a message to a buffer. Return false if it has no room.
 bool writeMessage(Buffer& out, char type, std::string_view body);
 bool writeError(Buffer& out, bool fatal, std::string_view code, std::string_view message,
                 std::string_view detail = {});
 bool writeReady(Buffer& out);
-// A query made of two pieces around a changed middle, so that a long statement is copied once.
+// Writes a query from two pieces around a replaced middle, so that a long statement is copied only once.
 bool writeQuery(Buffer& out, std::string_view before, std::string_view middle, std::string_view after);
 
 }  // namespace heathflow::protocol
--- a/src/protocol/pg_protocol.cpp
+++ b/src/protocol/pg_protocol.cpp
@@ -15,12 +15,12 @@
 
 std::string_view codeFor(ClientSide::Reason reason) {
   switch (reason) {
-    case ClientSide::Reason::TooMany:
+    case ClientSide::Reason::TooManyClients:
     case ClientSide::Reason::NoMemory:
       return sqlstate::kTooManyConnections;
     case ClientSide::Reason::ShuttingDown:
       return sqlstate::kCannotConnectNow;
-    case ClientSide::Reason::Unfinished:
+    case ClientSide::Reason::IncompleteRequest:
       break;
   }
   return sqlstate::kProtocolViolation;
@@ -35,7 +35,7 @@
   step.violation = found.violation;
   switch (found.kind) {
     case PgServer::Step::Kind::NeedMore:
-      step.part = from < bytes.size();
+      step.partialMessage = from < bytes.size();
       break;
     case PgServer::Step::Kind::Handled:
       step.kind = Step::Kind::Handled;
@@ -43,8 +43,8 @@
     case PgServer::Step::Kind::Query:
       step.kind = Step::Kind::Request;
       break;
-    case PgServer::Step::Kind::Left:
-      step.kind = Step::Kind::Left;
+    case PgServer::Step::Kind::Disconnect:
+      step.kind = Step::Kind::Disconnect;
       break;
     case PgServer::Step::Kind::Fatal:
       step.kind = Step::Kind::Fatal;
@@ -53,30 +53,31 @@
   return step;
 }
 
-std::optional<Asked> PgClientSide::read(std::string_view request, std::string_view& problem) {
+std::optional<RequestMetadata> PgClientSide::parseRequest(std::string_view request,
+                                                          std::string_view& problem) {
   const auto comment = parseRequestComment(statementOf(request));
   if (!comment) {
     problem = "the request can't be read";
     return std::nullopt;
   }
-  Asked asked;
-  asked.id = comment->id;
-  asked.className = comment->className;
-  asked.group = comment->group;
-  asked.timeoutMs = comment->timeoutMs;
+  RequestMetadata metadata;
+  metadata.id = comment->id;
+  metadata.className = comment->className;
+  metadata.group = comment->group;
+  metadata.timeoutMs = comment->timeoutMs;
   if (comment->timeout.size != 0) {
-    asked.timeout = {kHeaderSize + comment->timeout.at, comment->timeout.size};
+    metadata.timeout = {kHeaderSize + comment->timeout.at, comment->timeout.size};
   }
-  asked.afterMs = comment->afterMs;
-  asked.isClientRetry = comment->isClientRetry;
-  asked.keyed = comment->keyed;
-  asked.write = comment->write;
-  asked.session = comment->handle;
-  return asked;
+  metadata.afterMs = comment->afterMs;
+  metadata.isClientRetry = comment->isClientRetry;
+  metadata.keyed = comment->keyed;
+  metadata.write = comment->write;
+  metadata.session = comment->handle;
+  return metadata;
 }
 
-// The endpoint's own messages, byte for byte.
-void PgClientSide::pass(const Answer& answer, std::string_view bytes, std::int64_t, Buffer& out) {
+// Forwards the endpoint's messages unchanged.
+void PgClientSide::writeAnswer(const Answer& answer, std::string_view bytes, std::int64_t, Buffer& out) {
   for (const Slice& piece : answer.pieces) out.append(piece.of(bytes));
 }
 
@@ -106,28 +107,28 @@
   writeError(out, true, codeFor(reason), message);
 }
 
-bool PgEndpointSide::ask(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) {
+bool PgEndpointSide::writeRequest(std::string_view request, Slice timeout, std::int64_t leftMs, Buffer& out) {
   const std::size_t before = out.size();
   answer_ = Answer{};
   const std::string_view statement = statementOf(request);
-  // The statement goes out as it came, but for the time that is left.
+  // Forwards the statement unchanged except for the timeout, which becomes the remaining time.
   const std::size_t at = timeout.size == 0 ? 0 : timeout.at - kHeaderSize;
   if (timeout.size == 0 ? !writeQuery(out, statement, {}, {})
                         : !writeQuery(out, statement.substr(0, at), std::to_string(leftMs),
                                       statement.substr(at + timeout.size))) {
     return false;
   }
-  asked_ = out.size() - before;
-  client_.queried();
+  queryBytes_ = out.size() - before;
+  client_.onQueryWritten();
   return true;
 }
 
-bool PgEndpointSide::askHealthCheck(Buffer& out) {
+bool PgEndpointSide::writeHealthCheck(Buffer& out) {
   const std::size_t before = out.size();
   answer_ = Answer{};
   if (!writeQuery(out, kHealthCheckStatement, {}, {})) return false;
-  asked_ = out.size() - before;
-  client_.queried();
+  queryBytes_ = out.size() - before;
+  client_.onQueryWritten();
   return true;
 }
 
@@ -135,7 +136,7 @@
   const PgClient::Event event = client_.feed(bytes);
   switch (event) {
     case PgClient::Event::NeedMore:
-      if (client_.wholeAtEnd()) translate(bytes);
+      if (client_.completeAtClose()) translate(bytes);
       return Event::NeedMore;
     case PgClient::Event::Ready:
       return Event::Ready;
@@ -152,15 +153,15 @@
 }
 
 void PgEndpointSide::translate(std::string_view bytes) {
-  const PgAnswer& told = client_.answer();
-  answer_.pieces = {told.rowDescription, told.dataRow, told.commandComplete};
-  answer_.value = told.value;
-  answer_.code = told.code;
+  const PgAnswer& pgAnswer = client_.answer();
+  answer_.pieces = {pgAnswer.rowDescription, pgAnswer.dataRow, pgAnswer.commandComplete};
+  answer_.value = pgAnswer.value;
+  answer_.code = pgAnswer.code;
   answer_.replies = 1;
-  answer_.primary = told.primary;
-  answer_.positionMs = told.positionMs;
-  answer_.report = told.report;
-  switch (told.kind) {
+  answer_.primary = pgAnswer.primary;
+  answer_.positionMs = pgAnswer.positionMs;
+  answer_.report = pgAnswer.report;
+  switch (pgAnswer.kind) {
     case PgAnswer::Kind::None:
       answer_.kind = Answer::Kind::None;
       return;
@@ -173,12 +174,12 @@
     case PgAnswer::Kind::Error:
       break;
   }
-  const std::string_view code = told.code.of(bytes);
-  // A code that is not known proves nothing: it may have run.
-  answer_.kind = code == sqlstate::kTooManyConnections ? Answer::Kind::Full
-                 : code == sqlstate::kCannotConnectNow ? Answer::Kind::NotNow
+  const std::string_view code = pgAnswer.code.of(bytes);
+  // After an unknown code the statement may have run.
+  answer_.kind = code == sqlstate::kTooManyConnections ? Answer::Kind::Overloaded
+                 : code == sqlstate::kCannotConnectNow ? Answer::Kind::Unavailable
                  : code == sqlstate::kReadOnlyTransaction || code == sqlstate::kSnapshotTooOld
-                     ? Answer::Kind::Miss
+                     ? Answer::Kind::PreconditionFailed
                      : Answer::Kind::Error;
 }
 
--- a/src/protocol/pg_server.cpp
+++ b/src/protocol/pg_server.cpp
@@ -11,7 +11,7 @@
 
 using Step = PgServer::Step;
 
-bool blank(std::string_view statement) {
+bool isBlank(std::string_view statement) {
   return statement.find_first_not_of(" \t\r\n;") == std::string_view::npos;
 }
 
@@ -49,14 +49,14 @@
     return step;
   }
   if (code == kCancelRequest) {
-    step.kind = Step::Kind::Left;
+    step.kind = Step::Kind::Disconnect;
     return step;
   }
   if (code >> 16 != kMajorVersion) {
     return fatal(out, sqlstate::kFeatureNotSupported, "this protocol version is not supported");
   }
   if ((code & 0xFFFF) != 0) {
-    // A newer minor version: NegotiateProtocolVersion names 3.0 and no unrecognized options.
+    // A newer minor version: NegotiateProtocolVersion offers 3.0 and lists no unrecognized options.
     writeMessage(out, 'v', std::string_view("\0\3\0\0\0\0\0\0", 8));
   }
   started_ = true;
@@ -71,7 +71,7 @@
   return step;
 }
 
-// A message of the protocol that is not served here: an error, and the connection goes on.
+// Rejects an unsupported message; the connection stays usable.
 Step PgServer::rejectMessage(Buffer& out, std::size_t consumed) {
   writeError(out, false, sqlstate::kFeatureNotSupported, "only simple queries are served");
   Step step;
@@ -82,31 +82,31 @@
 
 Step PgServer::step(std::string_view bytes, Buffer& out) {
   if (!started_) return startup(bytes, out);
-  const Cut cut = cutMessage(bytes, kClientMessageLimit);
-  if (cut.kind == Cut::Kind::Partial) return {};
-  if (cut.kind == Cut::Kind::Malformed) {
+  const Frame frame = readFrame(bytes, kClientMessageLimit);
+  if (frame.kind == Frame::Kind::Partial) return {};
+  if (frame.kind == Frame::Kind::Malformed) {
     return fatal(out, sqlstate::kProtocolViolation, "the length of a message is out of range");
   }
   Step step;
-  step.consumed = cut.size;
+  step.consumed = frame.size;
   step.kind = Step::Kind::Handled;
-  if (cut.type == 'X') {
-    step.kind = Step::Kind::Left;
+  if (frame.type == 'X') {
+    step.kind = Step::Kind::Disconnect;
     return step;
   }
-  if (cut.type == 'S') {
-    skipping_ = false;
+  if (frame.type == 'S') {
+    skippingToSync_ = false;
     writeReady(out);
     return step;
   }
-  if (skipping_) return step;
-  switch (cut.type) {
+  if (skippingToSync_) return step;
+  switch (frame.type) {
     case 'Q': {
-      if (cut.body.empty() || cut.body.find('\0') != cut.body.size() - 1) {
+      if (frame.body.empty() || frame.body.find('\0') != frame.body.size() - 1) {
         return fatal(out, sqlstate::kProtocolViolation, "a query does not end where its message does");
       }
-      const std::string_view statement = cut.body.substr(0, cut.body.size() - 1);
-      if (blank(statement)) {
+      const std::string_view statement = frame.body.substr(0, frame.body.size() - 1);
+      if (isBlank(statement)) {
         writeMessage(out, 'I', {});
         writeReady(out);
         return step;
@@ -120,15 +120,15 @@
     case 'C':
     case 'D':
     case 'E':
-      skipping_ = true;
-      return rejectMessage(out, cut.size);
+      skippingToSync_ = true;
+      return rejectMessage(out, frame.size);
     case 'F': {
-      Step reply = rejectMessage(out, cut.size);
+      Step reply = rejectMessage(out, frame.size);
       writeReady(out);
       return reply;
     }
-    case 'H':  // Flush: output is never delayed
-    case 'd':  // the rest of a COPY that never began
+    case 'H':  // Flush: output is never delayed here
+    case 'd':  // rest of a COPY that was never started
     case 'c':
     case 'f':
       return step;
--- a/src/protocol/pg_server.h
+++ b/src/protocol/pg_server.h
@@ -1,6 +1,6 @@
-// The server's side of PostgreSQL's wire protocol, version 3.0: simple queries only, no TLS, no password. A
-// state machine that is fed bytes and does no input or output of its own. Source: PostgreSQL's documentation,
-// "Message Flow" and "Message Formats".
+// The server side of PostgreSQL's protocol, version 3.0: simple queries only, no TLS, no password. A state
+// machine that is fed bytes and does no input or output of its own. See "Message Flow" and "Message Formats"
+// in PostgreSQL's documentation.
 #pragma once
 
 #include <cstddef>
@@ -20,22 +20,22 @@
   // What step() found at the front of the input.
   struct Step {
     enum class Kind {
-      NeedMore,  // no whole message
-      Handled,   // a message that the machine has answered or skipped
-      Query,     // a statement; the caller answers it before the next step
-      Left,      // Terminate, or a CancelRequest: the connection ends
-      Fatal,     // a message that can't be parsed; the error has been written, and the connection ends
+      NeedMore,    // no complete message
+      Handled,     // a message that was answered or skipped
+      Query,       // a statement; the caller answers it before the next step
+      Disconnect,  // Terminate, or a CancelRequest: the connection ends
+      Fatal,       // an invalid message; the error has been written, and the connection ends
     } kind = Kind::NeedMore;
     std::size_t consumed = 0;  // the message's bytes
-    Slice statement;           // a query's text, within the consumed bytes
+    Slice statement;           // the query's text within the consumed bytes
     bool violation = false;    // the client has violated the protocol
   };
 
-  // Parses the message at the front of the input and writes what the protocol itself answers to 'out'. The
-  // caller drops the consumed bytes: at once, or for a query once it is answered.
+  // Parses the message at the front of the input and writes the protocol's own replies to 'out'. The caller
+  // consumes its bytes: at once, or for a query once it is answered.
   Step step(std::string_view bytes, Buffer& out);
 
-  // Whether the startup packet has been accepted.
+  // Returns whether the startup packet has been accepted.
   bool started() const { return started_; }
 
  private:
@@ -44,7 +44,8 @@
   Step rejectMessage(Buffer& out, std::size_t consumed);
 
   bool started_ = false;
-  bool skipping_ = false;  // a message of the extended protocol was rejected: all up to Sync is skipped
+  bool skippingToSync_ =
+      false;  // a message of the extended protocol was rejected; skips all messages up to Sync
 };
 
 }  // namespace heathflow::protocol
--- a/src/protocol/request_comment.cpp
+++ b/src/protocol/request_comment.cpp
@@ -7,19 +7,19 @@
 namespace heathflow::protocol {
 namespace {
 
-constexpr std::string_view kRead = "SELECT blob FROM rows WHERE handle = '";
-constexpr std::string_view kWrite = "INSERT INTO rows (handle, blob) VALUES ('";
-constexpr std::string_view kValue = "', '\\x";
-constexpr std::string_view kReturning = "') RETURNING blob";
+constexpr std::string_view kReadPrefix = "SELECT blob FROM rows WHERE handle = '";
+constexpr std::string_view kWritePrefix = "INSERT INTO rows (handle, blob) VALUES ('";
+constexpr std::string_view kValuePrefix = "', '\\x";
+constexpr std::string_view kWriteSuffix = "') RETURNING blob";
 
-struct Pieces {
-  std::string_view comment;  // without its marks
+struct ParsedStatement {
+  std::string_view comment;  // without its delimiters
   std::string_view handle;
   bool write = false;
 };
 
-// Takes a text off the front.
-bool take(std::string_view& rest, std::string_view text) {
+// Removes a prefix; returns false if the text does not begin with it.
+bool consumePrefix(std::string_view& rest, std::string_view text) {
   if (!rest.starts_with(text)) return false;
   rest.remove_prefix(text.size());
   return true;
@@ -27,27 +27,27 @@
 
 bool hexDigit(char c) { return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F'); }
 
-// Guards endpoints, which have no answer for any other statement: 'rest' is one of the two forms and no more.
-bool dissect(std::string_view rest, Pieces& out) {
-  out.write = take(rest, kWrite);
-  if (!out.write && !take(rest, kRead)) return false;
-  // A doubled quote stands for one within the text.
+// Accepts only the two forms of statements that endpoints can answer, with nothing after them.
+bool parseStatement(std::string_view rest, ParsedStatement& out) {
+  out.write = consumePrefix(rest, kWritePrefix);
+  if (!out.write && !consumePrefix(rest, kReadPrefix)) return false;
+  // A doubled quote is an escaped quote within the text.
   std::size_t quote = rest.find('\'');
   while (quote != std::string_view::npos && rest.substr(quote, 2) == "''") quote = rest.find('\'', quote + 2);
   if (quote == std::string_view::npos) return false;
   out.handle = rest.substr(0, quote);
   rest.remove_prefix(quote);
   if (out.write) {
-    if (!take(rest, kValue)) return false;
+    if (!consumePrefix(rest, kValuePrefix)) return false;
     const std::size_t end = rest.find('\'');
     if (end == std::string_view::npos || end % 2 != 0) return false;
     if (!std::all_of(rest.begin(), rest.begin() + static_cast<std::ptrdiff_t>(end), hexDigit)) return false;
     rest.remove_prefix(end);
-    if (!take(rest, kReturning)) return false;
+    if (!consumePrefix(rest, kWriteSuffix)) return false;
   } else {
     rest.remove_prefix(1);
   }
-  if (!take(rest, " /*")) return false;
+  if (!consumePrefix(rest, " /*")) return false;
   const std::size_t end = rest.find("*/");
   out.comment = rest.substr(0, end);
   return end != std::string_view::npos && end + 2 == rest.size();
@@ -71,15 +71,15 @@
 }  // namespace
 
 std::optional<RequestComment> parseRequestComment(std::string_view statement) {
-  Pieces pieces;
-  if (!dissect(statement, pieces)) return std::nullopt;
+  ParsedStatement parsed;
+  if (!parseStatement(statement, parsed)) return std::nullopt;
   RequestComment out;
-  out.handle = pieces.handle;
-  out.write = pieces.write;
+  out.handle = parsed.handle;
+  out.write = parsed.write;
   enum Name { kId, kClass, kTimeout, kGroup, kAfter, kRepeat, kKey };
   constexpr std::array<std::string_view, 7> kNames = {"id", "c", "d", "cluster", "after", "r", "k"};
   std::array<bool, kNames.size()> seen{};
-  std::string_view rest = pieces.comment;
+  std::string_view rest = parsed.comment;
   while (!rest.empty()) {
     const std::size_t comma = rest.find(',');
     const std::string_view item = rest.substr(0, comma);
@@ -92,7 +92,7 @@
       if (name != kNames[i]) continue;
       if (seen[i] || value.empty()) return std::nullopt;
       seen[i] = true;
-      bool good = true;
+      bool valid = true;
       switch (static_cast<Name>(i)) {
         case kId:
           out.id = value;
@@ -101,14 +101,14 @@
           out.className = value;
           break;
         case kTimeout:
-          good = readNumber(value, out.timeoutMs);
+          valid = readNumber(value, out.timeoutMs);
           out.timeout = {static_cast<std::size_t>(value.data() - statement.data()), value.size()};
           break;
         case kGroup:
-          good = readNumber(value, out.group);
+          valid = readNumber(value, out.group);
           break;
         case kAfter:
-          good = readNumber(value, out.afterMs);
+          valid = readNumber(value, out.afterMs);
           break;
         case kRepeat:
           out.isClientRetry = value == "1";
@@ -117,7 +117,7 @@
           out.keyed = true;
           break;
       }
-      if (!good) return std::nullopt;
+      if (!valid) return std::nullopt;
     }
   }
   return out;
--- a/src/protocol/request_comment.h
+++ b/src/protocol/request_comment.h
@@ -1,4 +1,4 @@
-// What a client says of a request in the comment of its statement.
+// The metadata of a request, from the comment of its statement.
 #pragma once
 
 #include <cstdint>
@@ -13,18 +13,18 @@
   std::string_view id;
   std::string_view className;
   std::optional<std::uint32_t> group;
-  std::optional<std::int64_t> timeoutMs;  // for how long the client waits
-  Slice timeout;                          // where that stands in the statement
-  std::optional<std::int64_t> afterMs;    // the session's last write, Unix milliseconds
+  std::optional<std::int64_t> timeoutMs;  // how long the client waits
+  Slice timeout;                          // its position in the statement
+  std::optional<std::int64_t> afterMs;    // position of the session's last write, Unix time
   bool isClientRetry = false;
-  bool keyed = false;       // it names an idempotency key
-  bool write = false;       // the statement is the INSERT
-  std::string_view handle;  // of the row
+  bool keyed = false;       // has an idempotency key
+  bool write = false;       // the statement is an INSERT
+  std::string_view handle;  // of the row that the statement reads or writes
 };
 
-// Reads a statement of one of the protocol's two forms. Nothing where it has another form, or its comment
-// can't be read: a name twice, a value that is empty or no number where one belongs. Names that are not known
-// are skipped.
+// Parses a statement in one of the two supported forms. Returns nothing for any other form and for an invalid
+// comment: a duplicate name, an empty value, or a value that should be a number and is not. Unknown names are
+// skipped.
 std::optional<RequestComment> parseRequestComment(std::string_view statement);
 
 }  // namespace heathflow::protocol
--- a/src/protocol/slice.h
+++ b/src/protocol/slice.h
@@ -1,4 +1,4 @@
-// A piece of a buffer, by its place, so that it stays true when the buffer grows.
+// A piece of a buffer, by offset and size, so that it stays valid when the buffer is reallocated.
 #pragma once
 
 #include <cstddef>
--- a/src/routing/attempt_manager.cpp
+++ b/src/routing/attempt_manager.cpp
@@ -78,7 +78,7 @@
   if (!env_.checker.maySend(now, {request.id, attempt.index, attempt.endpoint, leftMs * kMicrosPerMilli}))
     return false;
   ++env_.observer.counters.attemptsWritten;
-  return side.ask(request.owner->requestBytes(), request.timeout, leftMs, out);
+  return side.writeRequest(request.owner->requestBytes(), request.timeout, leftMs, out);
 }
 
 bool AttemptManager::canWriteMore(RequestId id, std::size_t size) {
--- a/src/routing/attempt_result.cpp
+++ b/src/routing/attempt_result.cpp
@@ -29,13 +29,13 @@
   switch (kind) {
     case AnswerKind::Value:
       return AttemptOutcome::Ok;
-    case AnswerKind::Full:
+    case AnswerKind::Overloaded:
       return AttemptOutcome::Overloaded;
-    case AnswerKind::Miss:
+    case AnswerKind::PreconditionFailed:
       return AttemptOutcome::PreconditionFailed;
     case AnswerKind::None:
-    case AnswerKind::Empty:   // the request may have run
-    case AnswerKind::NotNow:  // does not say whether the request has run
+    case AnswerKind::Empty:        // the request may have run
+    case AnswerKind::Unavailable:  // does not say whether the request has run
     case AnswerKind::Error:
       break;
   }
@@ -104,8 +104,8 @@
     event.ok = true;
     event.report = parseLoadReport(settings, end.answer->value.of(end.bytes), now, endpointTime);
   } else {
-    event.refusesNewWork = end.answer->kind == AnswerKind::NotNow;
-    event.rejected = event.refusesNewWork || end.answer->kind == AnswerKind::Full;
+    event.refusesNewWork = end.answer->kind == AnswerKind::Unavailable;
+    event.rejected = event.refusesNewWork || end.answer->kind == AnswerKind::Overloaded;
   }
   return event;
 }
--- a/src/routing/health_check_manager.cpp
+++ b/src/routing/health_check_manager.cpp
@@ -17,7 +17,7 @@
 
   stats::TrafficType trafficType() const override { return stats::TrafficType::HealthCheck; }
   bool write(protocol::EndpointSide& side, transport::Buffer& out) override {
-    return side.askHealthCheck(out);
+    return side.writeHealthCheck(out);
   }
   void onExchangeEnd(const upstream::ExchangeEnd& end) override { manager.onExchangeEnd(*this, end); }
 
@@ -91,7 +91,7 @@
      : event.rejected ? counters.healthChecksRejected
                       : counters.healthChecksFailed);
   env_.observer.upstreamStats.healthCheckEnded(event.endpoint, event.ok);
-  env_.loop.retire(std::move(found->second));
+  env_.loop.deleteLater(std::move(found->second));
   checks_.erase(found);
   env_.policy.post(event);
 }
--- a/src/routing/request_table.cpp
+++ b/src/routing/request_table.cpp
@@ -31,7 +31,7 @@
   if (request.owner != nullptr || request.attemptsInFlight != 0) return;
   checker_.forget(id);
   // Kept until the end of the turn, for its own code may be running.
-  loop_.retire(std::move(found->second));
+  loop_.deleteLater(std::move(found->second));
   requests_.erase(found);
 }
 
--- a/src/standins/gateway_rig.h
+++ b/src/standins/gateway_rig.h
@@ -134,7 +134,7 @@
   }
   static transport::Clock clockOf(const GatewayOptions& options) {
     transport::Clock real;
-    return options.byHand ? transport::Clock::byHand(real.now()) : real;
+    return options.byHand ? transport::Clock::manual(real.now()) : real;
   }
   std::string list() const {
     std::string out = "[";
--- a/src/standins/standins.cpp
+++ b/src/standins/standins.cpp
@@ -346,9 +346,9 @@
 }
 
 transport::UniqueFd listenAt(transport::SocketAddress& place) {
-  transport::Opened opened = transport::listenOn(place, 128);
+  transport::SocketResult opened = transport::listenOn(place, 128);
   if (!opened.fd) throw std::runtime_error("a stand-in can't listen");
-  place = *transport::boundTo(opened.fd.get());
+  place = *transport::localAddress(opened.fd.get());
   return std::move(opened.fd);
 }
 
@@ -365,7 +365,7 @@
 std::unique_ptr<PlainSocket> PlainListener::next() {
   std::unique_ptr<PlainSocket> out;
   until(loop_, [&] {
-    transport::Opened opened = transport::acceptFrom(listener_.get());
+    transport::SocketResult opened = transport::acceptFrom(listener_.get());
     if (opened.fd) out = std::make_unique<PlainSocket>(loop_, std::move(opened));
     return out != nullptr;
   });
--- a/src/standins/standins.h
+++ b/src/standins/standins.h
@@ -147,7 +147,7 @@
   }
   void onReady(std::uint32_t) override {
     for (;;) {
-      transport::Opened opened = transport::acceptFrom(listener_.get());
+      transport::SocketResult opened = transport::acceptFrom(listener_.get());
       if (!opened.fd) return;
       if (resets) resetAtClose(opened.fd.get());
       lines.push_back(std::make_unique<Line>(loop_, [this](Line& line) { onLineInput(line); }));
@@ -403,7 +403,7 @@
  public:
   PlainSocket(transport::EventLoop& loop, const transport::SocketAddress& gateway)
       : PlainSocket(loop, transport::startConnect(gateway)) {}
-  PlainSocket(transport::EventLoop& loop, transport::Opened opened)
+  PlainSocket(transport::EventLoop& loop, transport::SocketResult opened)
       : loop_(loop), opened_(std::move(opened)) {}
 
   // False where the peer has reset the connection.
@@ -420,7 +420,7 @@
     });
     return over && !failed;
   }
-  void endSending() { transport::endSending(opened_.fd.get()); }
+  void endSending() { transport::shutdownWrite(opened_.fd.get()); }
   // Closes with a reset, whatever the peer has yet to read.
   void resetNow() {
     resetAtClose(opened_.fd.get());
@@ -458,7 +458,7 @@
 
  private:
   transport::EventLoop& loop_;
-  transport::Opened opened_;
+  transport::SocketResult opened_;
   std::string got_;
 };
 
--- a/src/transport/arrival_times.cpp
+++ b/src/transport/arrival_times.cpp
@@ -11,24 +11,24 @@
     marks_.back().end = added_;
     return;
   }
-  if (marks_.size() == kMostMarks) joinNeighbours();
+  if (marks_.size() == kMaxMarks) mergeNeighbours();
   marks_.push_back({added_, at});
 }
 
-void ArrivalTimes::drop(std::size_t size) {
-  dropped_ += std::min(size, waiting());
-  const auto waits = [this](const Mark& mark) { return mark.end > dropped_; };
-  marks_.erase(marks_.begin(), std::find_if(marks_.begin(), marks_.end(), waits));
+void ArrivalTimes::consume(std::size_t size) {
+  consumed_ += std::min(size, bufferedBytes());
+  const auto isBuffered = [this](const Mark& mark) { return mark.end > consumed_; };
+  marks_.erase(marks_.begin(), std::find_if(marks_.begin(), marks_.end(), isBuffered));
 }
 
-Micros ArrivalTimes::lastOf(std::size_t size) const {
-  const std::uint64_t end = dropped_ + std::clamp<std::size_t>(size, 1, waiting());
-  const auto holds = [end](const Mark& mark) { return mark.end >= end; };
-  return std::find_if(marks_.begin(), marks_.end(), holds)->at;
+Micros ArrivalTimes::arrivalTimeOf(std::size_t size) const {
+  const std::uint64_t end = consumed_ + std::clamp<std::size_t>(size, 1, bufferedBytes());
+  const auto reachesEnd = [end](const Mark& mark) { return mark.end >= end; };
+  return std::find_if(marks_.begin(), marks_.end(), reachesEnd)->at;
 }
 
-// Of each two marks one stays, with the later end and the earlier time.
-void ArrivalTimes::joinNeighbours() {
+// Merges each pair of marks into one with the later end and the earlier time.
+void ArrivalTimes::mergeNeighbours() {
   std::size_t kept = 0;
   for (std::size_t i = 0; i < marks_.size(); i += 2) {
     const Mark& last = marks_[std::min(i + 1, marks_.size() - 1)];
--- a/src/transport/arrival_times.h
+++ b/src/transport/arrival_times.h
@@ -1,5 +1,5 @@
-// When the bytes that wait in an input buffer arrived. Messages that were written one behind another are read
-// together and handled one after the other; each is still as old as its own last byte.
+// Arrival times of the bytes in an input buffer. Pipelined messages are read together and handled one after
+// the other; each message arrived when its own last byte did.
 #pragma once
 
 #include <cstddef>
@@ -10,32 +10,32 @@
 
 namespace heathflow::transport {
 
-// Holds at most kMostMarks times. Beyond that neighbours are joined under the earlier of their times: a byte
-// may then count as older than it is, never as younger.
+// Stores at most kMaxMarks distinct times. Beyond that, neighbours are merged under the earlier of their
+// times: a byte may then be reported as older than it is, never as younger.
 class ArrivalTimes {
  public:
-  // The next 'size' bytes arrived at that time, which is none before that of the bytes ahead of them.
+  // Records that the next 'size' bytes arrived at 'at', which is not before the time of the bytes ahead of
+  // them.
   void add(std::size_t size, Micros at);
-  // The first 'size' bytes have left the buffer.
-  void drop(std::size_t size);
-  // When the last of the first 'size' waiting bytes arrived; 'size' is from 1 to waiting().
-  Micros lastOf(std::size_t size) const;
-  // How many bytes wait.
-  std::size_t waiting() const { return static_cast<std::size_t>(added_ - dropped_); }
+  // Records that the first 'size' bytes were removed from the buffer.
+  void consume(std::size_t size);
+  // Returns when the last of the first 'size' buffered bytes arrived; 'size' is 1 to bufferedBytes().
+  Micros arrivalTimeOf(std::size_t size) const;
+  std::size_t bufferedBytes() const { return static_cast<std::size_t>(added_ - consumed_); }
 
-  static constexpr std::size_t kMostMarks = 128;
+  static constexpr std::size_t kMaxMarks = 128;
 
  private:
-  // All bytes up to 'end', from the end of the mark before, arrived at one time.
+  // All bytes from the end of the previous mark up to 'end' arrived at the same time.
   struct Mark {
     std::uint64_t end;  // counted from the connection's first byte
     Micros at;
   };
-  void joinNeighbours();
+  void mergeNeighbours();
 
-  std::vector<Mark> marks_;  // of the bytes that wait, in order
+  std::vector<Mark> marks_;  // of the buffered bytes, in order
   std::uint64_t added_ = 0;
-  std::uint64_t dropped_ = 0;
+  std::uint64_t consumed_ = 0;
 };
 
 }  // namespace heathflow::transport
--- a/src/transport/buffer.cpp
+++ b/src/transport/buffer.cpp
@@ -6,11 +6,12 @@
 namespace heathflow::transport {
 namespace {
 
-// What a buffer takes first, and the most that it keeps while it is empty.
-constexpr std::size_t kFirst = 4096;
-constexpr std::size_t kKept = 16384;
-// Less room than this is not worth a read.
-constexpr std::size_t kLeastRoom = 1024;
+// Bytes. The first allocation is not charged to the budget, so a small buffer can always be had; an empty
+// buffer keeps no more than kMaxIdleCapacity.
+constexpr std::size_t kInitialCapacity = 4096;
+constexpr std::size_t kMaxIdleCapacity = 16384;
+// Bytes; less free space is not worth a read.
+constexpr std::size_t kMinReadSize = 1024;
 
 }  // namespace
 
@@ -21,10 +22,11 @@
   if (wanted <= capacity_) {
     std::memmove(data_.get(), data_.get() + begin_, held);
   } else {
-    const std::size_t next = std::min(limit_, std::max({kFirst, wanted, 2 * capacity_}));
-    // Guards the process: what is not to be had now is rejected here, where its user can say so.
-    if (budget_ != nullptr && next > kFirst && !budget_->take(next)) return false;
-    if (budget_ != nullptr && capacity_ > kFirst) budget_->giveBack(capacity_);
+    const std::size_t next = std::min(limit_, std::max({kInitialCapacity, wanted, 2 * capacity_}));
+    // Refuses the allocation here, where the caller can report it, instead of exhausting the process's
+    // memory.
+    if (budget_ != nullptr && next > kInitialCapacity && !budget_->tryAcquire(next)) return false;
+    if (budget_ != nullptr && capacity_ > kInitialCapacity) budget_->release(capacity_);
     auto grown = std::make_unique_for_overwrite<char[]>(next);
     if (held != 0) std::memcpy(grown.get(), data_.get() + begin_, held);
     data_ = std::move(grown);
@@ -35,8 +37,8 @@
   return true;
 }
 
-Buffer::Room Buffer::room() {
-  if (!reserve(std::min(limit_, size() + kLeastRoom))) return {nullptr, 0};
+Buffer::FreeSpace Buffer::prepare() {
+  if (!reserve(std::min(limit_, size() + kMinReadSize))) return {nullptr, 0};
   const std::size_t free = std::min(capacity_ - end_, limit_ - size());
   return {data_.get() + end_, free};
 }
@@ -53,12 +55,12 @@
   begin_ += std::min(size, end_ - begin_);
   if (begin_ != end_) return;
   begin_ = end_ = 0;
-  // A large value is rare: what it needed is not kept for the next.
-  if (capacity_ > kKept) release();
+  // Large values are rare, so their memory is not kept for the next one.
+  if (capacity_ > kMaxIdleCapacity) release();
 }
 
 void Buffer::release() {
-  if (budget_ != nullptr && capacity_ > kFirst) budget_->giveBack(capacity_);
+  if (budget_ != nullptr && capacity_ > kInitialCapacity) budget_->release(capacity_);
   data_.reset();
   capacity_ = begin_ = end_ = 0;
 }
--- a/src/transport/buffer.h
+++ b/src/transport/buffer.h
@@ -1,4 +1,4 @@
-// A bounded byte queue in one piece: filled at its end, consumed from its front.
+// A bounded, contiguous byte queue: appended to at the end, consumed from the front.
 #pragma once
 
 #include <cstddef>
@@ -11,34 +11,37 @@
 
 class Buffer {
  public:
-  // Holds up to 'limit' bytes. What is large of it is taken from the budget, where there is one.
+  // Holds up to 'limit' bytes. Large allocations are charged to the budget, if there is one.
   explicit Buffer(std::size_t limit, MemoryBudget* budget = nullptr) : limit_(limit), budget_(budget) {}
   ~Buffer() { release(); }
   Buffer(const Buffer&) = delete;
   Buffer& operator=(const Buffer&) = delete;
 
-  // What stands in it. Valid until the next change; offsets into it stay valid until something is consumed.
+  // Returns the unread bytes. The view is valid until the next change; offsets into it stay valid until bytes
+  // are consumed.
   std::string_view view() const { return {data_.get() + begin_, end_ - begin_}; }
   std::size_t size() const { return end_ - begin_; }
   bool empty() const { return begin_ == end_; }
   bool full() const { return size() >= limit_; }
   std::size_t capacity() const { return capacity_; }
 
-  // Room for more bytes at the end; none when the limit is reached. 'filled' takes in what was put there.
-  struct Room {
-    char* at;
+  // prepare() returns free space at the end, empty when the limit is reached or the budget is exhausted;
+  // commit() adds the bytes that were written there to the queue.
+  struct FreeSpace {
+    char* data;
     std::size_t size;
   };
-  Room room();
-  void filled(std::size_t size) { end_ += size; }
+  FreeSpace prepare();
+  void commit(std::size_t size) { end_ += size; }
 
-  // False, and nothing taken, where the limit would be passed or the budget has no more.
+  // Returns false and appends nothing if the limit would be exceeded or the budget is exhausted.
   bool append(std::string_view bytes);
 
   void consume(std::size_t size);
-  // Lets go of all that is held, and of its memory.
+  // Discards the content and frees its memory.
   void release();
-  // Makes room for so many bytes in all.
+  // Makes room for 'size' bytes in total, the unread ones included. Returns false under the same conditions
+  // as append().
   bool reserve(std::size_t size);
 
  private:
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -1,4 +1,4 @@
-// The one source of time: microseconds that pass as real time does, counted from a Unix time.
+// The only source of time: microseconds since the Unix epoch that advance at the rate of real time.
 #pragma once
 
 #include <algorithm>
@@ -11,27 +11,28 @@
 
 inline constexpr Micros kMicrosPerMilli = 1000;
 
-// Runs with the steady clock, or where it is set by hand. The wall clock gives the first reading and no more:
-// a machine's wall clock may be stepped at any time, and a span of ours is one of real time.
+// Follows the steady clock, or is advanced manually. The wall clock gives the first reading only: a machine's
+// wall clock may be stepped at any time, and durations have to be real time.
 class Clock {
  public:
   Clock() = default;
-  // One that stands still but where it is moved: for what plays time faster than it passes.
-  static Clock byHand(Micros start) {
+  // Returns a clock that only advances through advanceTo(), for runs that simulate time faster than it
+  // passes.
+  static Clock manual(Micros start) {
     Clock out;
-    out.byHand_ = true;
+    out.manual_ = true;
     out.offset_ = start;
     return out;
   }
-  bool isByHand() const { return byHand_; }
-  void moveTo(Micros at) { offset_ = std::max(offset_, at); }
+  bool isManual() const { return manual_; }
+  void advanceTo(Micros at) { offset_ = std::max(offset_, at); }
 
   Micros now() {
-    if (byHand_) return offset_;
+    if (manual_) return offset_;
     return reading(sinceEpoch<std::chrono::steady_clock>(), sinceEpoch<std::chrono::system_clock>());
   }
 
-  // The reading for a pair of steady and wall times.
+  // Returns the reading for a pair of steady and wall clock times.
   Micros reading(Micros steady, Micros wall) {
     if (!started_) offset_ = wall - steady;
     started_ = true;
@@ -44,9 +45,9 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(Source::now().time_since_epoch()).count();
   }
 
-  Micros offset_ = 0;  // of the first wall time from the steady one; by hand: the reading
+  Micros offset_ = 0;  // first wall time minus steady time; of a manual clock: the reading
   bool started_ = false;
-  bool byHand_ = false;
+  bool manual_ = false;
 };
 
 }  // namespace heathflow::transport
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -13,9 +13,9 @@
 
 constexpr int kEventsPerTurn = 256;
 constexpr Micros kMicrosPerSecond = 1'000'000;
-// With a clock by hand: how long the kernel gets to deliver what is on its way over loopback.
-constexpr Micros kSettle = 2'000;
-constexpr std::uint32_t kInterest = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
+// With a manual clock: time for the kernel to deliver data in flight over loopback.
+constexpr Micros kLoopbackSettleTime = 2'000;
+constexpr std::uint32_t kWatchedEvents = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
 
 }  // namespace
 
@@ -26,33 +26,34 @@
 
 bool EventLoop::watch(int fd, IoHandler& handler) {
   epoll_event event{};
-  event.events = kInterest;
+  event.events = kWatchedEvents;
   event.data.ptr = &handler;
   return ::epoll_ctl(epoll_.get(), EPOLL_CTL_ADD, fd, &event) == 0;
 }
 
 void EventLoop::unwatch(int fd, IoHandler& handler) {
   ::epoll_ctl(epoll_.get(), EPOLL_CTL_DEL, fd, nullptr);
-  std::erase(again_, &handler);
+  std::erase(requeued_, &handler);
   for (auto& [waiting, events] : ready_) {
     if (waiting == &handler) waiting = nullptr;
   }
 }
 
-void EventLoop::again(IoHandler& handler) {
-  if (std::find(again_.begin(), again_.end(), &handler) == again_.end()) again_.push_back(&handler);
+void EventLoop::requeue(IoHandler& handler) {
+  if (std::find(requeued_.begin(), requeued_.end(), &handler) == requeued_.end())
+    requeued_.push_back(&handler);
 }
 
-void EventLoop::wait(Micros most) {
-  Micros span = most;
-  if (!again_.empty()) {
+void EventLoop::wait(Micros maxWait) {
+  Micros span = maxWait;
+  if (!requeued_.empty()) {
     span = 0;
   } else if (!timers_.empty()) {
     const Micros due = std::max<Micros>(0, timers_.begin()->first - clock_.now());
-    span = most == kForever ? due : std::min(due, most);
+    span = maxWait == kForever ? due : std::min(due, maxWait);
   }
   const Micros until = span < 0 ? clock_.now() : clock_.now() + span;
-  if (clock_.isByHand() && span > 0) span = kSettle;
+  if (clock_.isManual() && span > 0) span = kLoopbackSettleTime;
   std::array<epoll_event, kEventsPerTurn> events;
   timespec limit{};
   limit.tv_sec = span / kMicrosPerSecond;
@@ -60,11 +61,12 @@
   int count =
       ::epoll_pwait2(epoll_.get(), events.data(), kEventsPerTurn, span < 0 ? nullptr : &limit, nullptr);
   if (count < 0 && (errno == ENOSYS || errno == EPERM)) {
-    // A kernel without the finer call: rounded up, so that a timer is never looked at too early.
+    // The kernel lacks or forbids epoll_pwait2: the timeout is rounded up to milliseconds, so that a timer is
+    // not checked too early.
     const int millis = span < 0 ? -1 : static_cast<int>(std::min<Micros>((span + 999) / 1000, 60'000));
     count = ::epoll_wait(epoll_.get(), events.data(), kEventsPerTurn, millis);
   }
-  if (clock_.isByHand() && count <= 0) clock_.moveTo(until);
+  if (clock_.isManual() && count <= 0) clock_.advanceTo(until);
   now_ = clock_.now();
   for (int i = 0; i < count; ++i) {
     const epoll_event& event = events[static_cast<std::size_t>(i)];
@@ -80,21 +82,21 @@
   }
 }
 
-void EventLoop::turn(Micros most) {
+void EventLoop::turn(Micros maxWait) {
   ready_.clear();
-  wait(most);
-  for (IoHandler* handler : again_) ready_.emplace_back(handler, EPOLLIN | EPOLLOUT);
-  again_.clear();
-  // What has come in goes first: an answer that is here is not timed out.
+  wait(maxWait);
+  for (IoHandler* handler : requeued_) ready_.emplace_back(handler, EPOLLIN | EPOLLOUT);
+  requeued_.clear();
+  // Events are handled before timers: an answer that has already arrived must not time out.
   for (std::size_t i = 0; i < ready_.size(); ++i) {
     if (ready_[i].first != nullptr) ready_[i].first->onReady(ready_[i].second);
   }
   ready_.clear();
   runTimers();
-  // What is let go may let go of more.
-  while (!retired_.empty()) {
-    auto gone = std::move(retired_);
-    retired_.clear();
+  // Destructors may schedule further deletions.
+  while (!pendingDeletes_.empty()) {
+    auto gone = std::move(pendingDeletes_);
+    pendingDeletes_.clear();
   }
 }
 
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -1,4 +1,4 @@
-// An edge-triggered epoll loop with timers. One thread; one clock reading a turn.
+// An edge-triggered, single-threaded epoll loop with timers. The clock is read once per turn.
 #pragma once
 
 #include <cstdint>
@@ -26,41 +26,41 @@
 
 class EventLoop {
  public:
-  // With a clock by hand the loop moves it itself, to the next timer, whenever no descriptor is ready.
+  // With a manual clock the loop advances it to the next timer whenever no descriptor is ready.
   explicit EventLoop(Clock clock = {});
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // Watches a descriptor for everything, by its edges. False when the kernel has no room for it.
+  // Watches a descriptor for all events, edge-triggered. Returns false, with errno set, if epoll rejects it.
   bool watch(int fd, IoHandler& handler);
-  // Call before the descriptor is closed; nothing is delivered to the handler afterwards.
+  // Must be called before the descriptor is closed; the handler gets no events afterwards.
   void unwatch(int fd, IoHandler& handler);
-  // Calls the handler again in the next turn, for one that has left something undone.
-  void again(IoHandler& handler);
+  // Calls the handler in the next turn without waiting for an event, for one with work left.
+  void requeue(IoHandler& handler);
 
-  // The time of this turn.
+  // Returns the clock reading of this turn.
   Micros now() const { return now_; }
   Clock& clock() { return clock_; }
 
-  // Runs one turn: waits for what comes next, no longer than 'most'.
-  void turn(Micros most = kForever);
+  // Runs one turn: waits for the next event or timer, at most 'maxWait'.
+  void turn(Micros maxWait = kForever);
   void run();
   void stop() { stopping_ = true; }
 
-  // Keeps an object until the end of the turn, for one that is let go while its own code is running.
+  // Deletes an object at the end of the turn, for one that is dropped while its own code is running.
   template <typename T>
-  void retire(std::unique_ptr<T> object) {
-    retired_.push_back(std::shared_ptr<void>(std::move(object)));
+  void deleteLater(std::unique_ptr<T> object) {
+    pendingDeletes_.push_back(std::shared_ptr<void>(std::move(object)));
   }
 
-  // What the buffers of all connections on this loop may take.
+  // The budget shared by the buffers of all connections on this loop.
   MemoryBudget& memory() { return memory_; }
 
   static constexpr Micros kForever = -1;
 
  private:
   friend class Timer;
-  void wait(Micros most);
+  void wait(Micros maxWait);
   void runTimers();
 
   MemoryBudget memory_{std::numeric_limits<std::size_t>::max()};
@@ -69,12 +69,12 @@
   Micros now_ = 0;
   bool stopping_ = false;
   std::vector<std::pair<IoHandler*, std::uint32_t>> ready_;
-  std::vector<IoHandler*> again_;
+  std::vector<IoHandler*> requeued_;
   std::set<std::pair<Micros, Timer*>> timers_;
-  std::vector<std::shared_ptr<void>> retired_;
+  std::vector<std::shared_ptr<void>> pendingDeletes_;
 };
 
-// Runs its action once, at the time it was armed for. Disarmed when destroyed.
+// Runs its action once, at the time it was armed for. The destructor disarms it.
 class Timer {
  public:
   Timer(EventLoop& loop, std::function<void()> action) : loop_(loop), action_(std::move(action)) {}
--- a/src/transport/fd.h
+++ b/src/transport/fd.h
@@ -1,4 +1,4 @@
-// Owns a file descriptor.
+// A file descriptor that is closed with its owner.
 #pragma once
 
 #include <unistd.h>
--- a/src/transport/memory_budget.h
+++ b/src/transport/memory_budget.h
@@ -1,4 +1,4 @@
-// What all buffers of a process may take beyond their first small pieces.
+// The memory, bytes, that all buffers of a process may use beyond their small initial allocations.
 #pragma once
 
 #include <cstddef>
@@ -12,18 +12,18 @@
   MemoryBudget& operator=(const MemoryBudget&) = delete;
 
   void setLimit(std::size_t limit) { limit_ = limit; }
-  // False, and nothing taken, where the limit would be passed.
-  bool take(std::size_t size) {
-    if (taken_ + size > limit_) return false;
-    taken_ += size;
+  // Returns false and charges nothing if the limit would be exceeded.
+  bool tryAcquire(std::size_t size) {
+    if (used_ + size > limit_) return false;
+    used_ += size;
     return true;
   }
-  void giveBack(std::size_t size) { taken_ -= size; }
-  std::size_t taken() const { return taken_; }
+  void release(std::size_t size) { used_ -= size; }
+  std::size_t used() const { return used_; }
 
  private:
   std::size_t limit_;
-  std::size_t taken_ = 0;
+  std::size_t used_ = 0;
 };
 
 }  // namespace heathflow::transport
--- a/src/transport/socket.cpp
+++ b/src/transport/socket.cpp
@@ -13,7 +13,7 @@
 namespace heathflow::transport {
 namespace {
 
-sockaddr_in addressOf(const SocketAddress& socketAddress) {
+sockaddr_in toSockaddr(const SocketAddress& socketAddress) {
   sockaddr_in out{};
   out.sin_family = AF_INET;
   out.sin_addr.s_addr = htonl(socketAddress.address);
@@ -21,7 +21,7 @@
   return out;
 }
 
-void setFlag(int fd, int level, int name) {
+void enableOption(int fd, int level, int name) {
   const int on = 1;
   ::setsockopt(fd, level, name, &on, sizeof on);
 }
@@ -49,44 +49,44 @@
   return std::string(text) + ":" + std::to_string(socketAddress.port);
 }
 
-bool ownLack(int error) {
-  constexpr std::array kLacks = {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC, EADDRNOTAVAIL, EAGAIN, EINTR};
-  return std::find(kLacks.begin(), kLacks.end(), error) != kLacks.end();
+bool isLocalShortage(int error) {
+  constexpr std::array kShortages = {EMFILE, ENFILE, ENOBUFS, ENOMEM, ENOSPC, EADDRNOTAVAIL, EAGAIN, EINTR};
+  return std::find(kShortages.begin(), kShortages.end(), error) != kShortages.end();
 }
 
-Opened bindTo(const SocketAddress& socketAddress) {
+SocketResult bindTo(const SocketAddress& socketAddress) {
   UniqueFd fd = openSocket();
   if (!fd) return {UniqueFd(), errno};
-  setFlag(fd.get(), SOL_SOCKET, SO_REUSEADDR);
-  const sockaddr_in address = addressOf(socketAddress);
+  enableOption(fd.get(), SOL_SOCKET, SO_REUSEADDR);
+  const sockaddr_in address = toSockaddr(socketAddress);
   if (::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
     return {UniqueFd(), errno};
   return {std::move(fd), 0};
 }
 
-Opened listenOn(const SocketAddress& socketAddress, int backlog) {
-  Opened out = bindTo(socketAddress);
+SocketResult listenOn(const SocketAddress& socketAddress, int backlog) {
+  SocketResult out = bindTo(socketAddress);
   if (out.fd && ::listen(out.fd.get(), backlog) != 0) return {UniqueFd(), errno};
   return out;
 }
 
-Opened acceptFrom(int listener) {
+SocketResult acceptFrom(int listener) {
   for (;;) {
     UniqueFd fd(::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
     if (!fd) {
       if (errno == EINTR) continue;
       return {UniqueFd(), errno};
     }
-    setFlag(fd.get(), IPPROTO_TCP, TCP_NODELAY);
+    enableOption(fd.get(), IPPROTO_TCP, TCP_NODELAY);
     return {std::move(fd), 0};
   }
 }
 
-Opened startConnect(const SocketAddress& socketAddress) {
+SocketResult startConnect(const SocketAddress& socketAddress) {
   UniqueFd fd = openSocket();
   if (!fd) return {UniqueFd(), errno};
-  setFlag(fd.get(), IPPROTO_TCP, TCP_NODELAY);
-  const sockaddr_in address = addressOf(socketAddress);
+  enableOption(fd.get(), IPPROTO_TCP, TCP_NODELAY);
+  const sockaddr_in address = toSockaddr(socketAddress);
   if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 &&
       errno != EINPROGRESS && errno != EINTR) {
     return {UniqueFd(), errno};
@@ -101,7 +101,7 @@
   return error;
 }
 
-std::optional<SocketAddress> boundTo(int fd) {
+std::optional<SocketAddress> localAddress(int fd) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   if (::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) return std::nullopt;
@@ -127,10 +127,10 @@
   return transferOf(got, true);
 }
 
-Transfer dropSome(int fd, std::size_t size) {
+Transfer discardSome(int fd, std::size_t size) {
   ssize_t got = 0;
   do {
-    // For TCP the kernel then drops the bytes and copies none.
+    // With MSG_TRUNC the kernel discards a TCP socket's bytes without copying them.
     got = ::recv(fd, nullptr, size, MSG_TRUNC);
   } while (got < 0 && errno == EINTR);
   return transferOf(got, true);
@@ -144,7 +144,7 @@
   return transferOf(sent, false);
 }
 
-bool quiet(int fd) {
+bool isIdle(int fd) {
   char byte = 0;
   ssize_t got = 0;
   do {
@@ -153,6 +153,6 @@
   return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void endSending(int fd) { ::shutdown(fd, SHUT_WR); }
+void shutdownWrite(int fd) { ::shutdown(fd, SHUT_WR); }
 
 }  // namespace heathflow::transport
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -1,4 +1,4 @@
-// Non-blocking TCP sockets over IPv4. Nothing here throws or waits.
+// Non-blocking TCP sockets over IPv4. No function here throws or blocks.
 #pragma once
 
 #include <cstddef>
@@ -12,46 +12,48 @@
 namespace heathflow::transport {
 
 struct SocketAddress {
-  std::uint32_t address = 0;  // in host order
+  std::uint32_t address = 0;  // host byte order
   std::uint16_t port = 0;
   bool operator==(const SocketAddress&) const = default;
 };
 
-// "127.0.0.1:5432"; there are no names to resolve.
+// Parses an address such as "127.0.0.1:5432". Returns nothing for any other form; host names are not
+// resolved.
 std::optional<SocketAddress> parseSocketAddress(std::string_view text);
 std::string toText(const SocketAddress& socketAddress);
 
-// A descriptor, or the error number that stood in the way.
-struct Opened {
+// A descriptor, or the errno of the failure.
+struct SocketResult {
   UniqueFd fd;
   int error = 0;
 };
-// Whether an error speaks of what this process or machine lacks, descriptors, memory or ports, and not of the
-// other end.
-bool ownLack(int error);
-// Bound and not listening: connections are rejected. A restart may bind again at once.
-Opened bindTo(const SocketAddress& socketAddress);
-Opened listenOn(const SocketAddress& socketAddress, int backlog);
-// One that went away while it was in the queue comes as ECONNABORTED or EPROTO, and says nothing of those
-// behind it.
-Opened acceptFrom(int listener);
-// The connection comes up, or fails, later.
-Opened startConnect(const SocketAddress& socketAddress);
+// Returns whether an errno reports a shortage of this process or machine (descriptors, memory, ports) or an
+// interrupted call, and says nothing about the peer.
+bool isLocalShortage(int error);
+// Returns a bound socket that does not listen, so the kernel rejects connections. SO_REUSEADDR lets a
+// restarted process bind again at once.
+SocketResult bindTo(const SocketAddress& socketAddress);
+SocketResult listenOn(const SocketAddress& socketAddress, int backlog);
+// Accepts the next connection of the queue. ECONNABORTED and EPROTO mean that this one was closed while
+// queued; those behind it may still be accepted.
+SocketResult acceptFrom(int listener);
+// Starts a connection; it is established, or fails, later.
+SocketResult startConnect(const SocketAddress& socketAddress);
 int pendingError(int fd);
-// The address a socket is bound to.
-std::optional<SocketAddress> boundTo(int fd);
+// Returns the address that a socket is bound to; nothing if the system call fails.
+std::optional<SocketAddress> localAddress(int fd);
 
 struct Transfer {
   enum class Kind { Done, WouldBlock, Closed, Failed } kind = Kind::Done;
   std::size_t size = 0;
 };
 Transfer readSome(int fd, char* into, std::size_t size);
-// Takes up to 'size' bytes off the socket without keeping them.
-Transfer dropSome(int fd, std::size_t size);
+// Reads and discards up to 'size' bytes.
+Transfer discardSome(int fd, std::size_t size);
 Transfer writeSome(int fd, const char* from, std::size_t size);
-// Whether nothing has come in: neither bytes nor a close nor an error.
-bool quiet(int fd);
-// No more is sent; the peer reads to the end of what was.
-void endSending(int fd);
+// Returns whether the socket has no unread bytes, no end of stream and no error.
+bool isIdle(int fd);
+// Shuts down the sending direction; the peer reads what was sent and then the end of the stream.
+void shutdownWrite(int fd);
 
 }  // namespace heathflow::transport
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -8,13 +8,14 @@
 namespace heathflow::transport {
 namespace {
 
-// What one connection may read in a turn, so that a busy one does not starve the others.
-constexpr std::size_t kReadPerTurn = 256 * 1024;
-// Dropped bytes cost no copy, so that a turn may take more of them; and the most that is dropped at all.
-constexpr std::size_t kDropPerTurn = 1024 * 1024;
-constexpr std::size_t kDropMost = 96 * 1024 * 1024;
-// A call may fail for a moment and go well the next time.
-constexpr int kConnectTries = 4;
+// Bytes that one connection may read per turn, so that a busy one does not starve the others.
+constexpr std::size_t kMaxReadPerTurn = 256 * 1024;
+// Bytes. Discarding copies nothing, so a turn may discard more than it reads. A lingering connection that
+// discards more than kMaxDiscard in total is closed.
+constexpr std::size_t kMaxDiscardPerTurn = 1024 * 1024;
+constexpr std::size_t kMaxDiscard = 96 * 1024 * 1024;
+// A shortage or an unreachable network may be momentary, so the call is retried immediately.
+constexpr int kMaxConnectTries = 4;
 
 }  // namespace
 
@@ -23,7 +24,7 @@
       owner_(owner),
       input_(limits.input, &loop.memory()),
       output_(limits.output, &loop.memory()),
-      lingerLimit_(loop, [this] { end(StreamEnd::Closed); }) {}
+      lingerTimer_(loop, [this] { end(StreamEnd::Closed); }) {}
 
 bool Stream::adopt(UniqueFd&& fd) {
   if (!loop_.watch(fd.get(), *this)) return false;
@@ -32,23 +33,23 @@
 }
 
 bool Stream::connect(const SocketAddress& socketAddress, int& error) {
-  for (int tries = 0; tries < kConnectTries; ++tries) {
-    Opened opened = startConnect(socketAddress);
+  for (int tries = 0; tries < kMaxConnectTries; ++tries) {
+    SocketResult opened = startConnect(socketAddress);
     error = opened.error;
     if (opened.fd && adopt(std::move(opened.fd))) {
       connecting_ = true;
       return true;
     }
     if (opened.fd) error = errno;
-    if (!ownLack(error) && error != ENETUNREACH) return false;
+    if (!isLocalShortage(error) && error != ENETUNREACH) return false;
   }
   return false;
 }
 
 void Stream::close() {
   if (!fd_) return;
-  lingerLimit_.disarm();
-  if (lingering_) dropTurn();
+  lingerTimer_.disarm();
+  if (lingering_) discardTurn();
   loop_.unwatch(fd_.get(), *this);
   fd_.reset();
   connecting_ = false;
@@ -61,7 +62,7 @@
 }
 
 void Stream::onReady(std::uint32_t events) {
-  // Guards the process: whatever goes wrong in here ends this connection and no more.
+  // An exception while handling one connection closes only that connection.
   try {
     handle(events);
   } catch (const std::exception&) {
@@ -73,26 +74,26 @@
   if (closed()) return;
   if (connecting_) {
     if ((events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) == 0) return;
-    if (pendingError(fd_.get()) != 0) return end(StreamEnd::NotConnected);
+    if (pendingError(fd_.get()) != 0) return end(StreamEnd::ConnectFailed);
     connecting_ = false;
     owner_.onOpen();
   }
   if (closed()) return;
   if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) {
     if (lingering_) {
-      dropSent();
+      discardInput();
     } else {
       readInput((events & (EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0);
     }
   }
   if (closed() || (events & EPOLLOUT) == 0 || output_.empty()) return;
   if (!writeOutput()) return end(StreamEnd::Failed);
-  if (output_.empty()) outputGone();
+  if (output_.empty()) onOutputEmpty();
 }
 
-void Stream::outputGone() {
+void Stream::onOutputEmpty() {
   if (!lingering_) return owner_.onOutputFlushed();
-  transport::endSending(fd_.get());
+  transport::shutdownWrite(fd_.get());
 }
 
 void Stream::readInput(bool hungUp) {
@@ -102,21 +103,21 @@
   bool over = false;
   stalled_ = false;
   while (!over) {
-    const Buffer::Room room = input_.room();
-    if (room.size == 0) {
+    const Buffer::FreeSpace space = input_.prepare();
+    if (space.size == 0) {
       stalled_ = true;
       break;
     }
-    if (got >= kReadPerTurn) {
-      loop_.again(*this);
+    if (got >= kMaxReadPerTurn) {
+      loop_.requeue(*this);
       break;
     }
-    const Transfer moved = readSome(fd_.get(), room.at, room.size);
+    const Transfer moved = readSome(fd_.get(), space.data, space.size);
     if (moved.kind == Transfer::Kind::WouldBlock) break;
     if (moved.kind == Transfer::Kind::Done) {
-      // Read on until the socket has no more: a transfer may be short of what is there, and what a short one
-      // leaves behind is no new edge.
-      input_.filled(moved.size);
+      // Reads until the socket would block: a short read may leave bytes behind, and those trigger no new
+      // edge.
+      input_.commit(moved.size);
       got += moved.size;
       continue;
     }
@@ -124,47 +125,47 @@
     if (moved.kind == Transfer::Kind::Failed) ended = StreamEnd::Failed;
   }
   if (got > 0) owner_.onInput();
-  // Guards against a peer that closes behind an input that nobody empties. Where the owner has made room the
-  // rest is still to be read, and whether it ends in order or by a reset.
-  if (stalled_ && hungUp_ && !closed() && input_.room().size == 0) over = true;
+  // A peer that has closed behind a full input that nobody consumes would otherwise never be noticed. If the
+  // owner has made room, the rest is still read, and with it whether the stream ends orderly or by a reset.
+  if (stalled_ && hungUp_ && !closed() && input_.prepare().size == 0) over = true;
   if (over) end(ended);
 }
 
-// Guards what the peer has yet to read, and what it is just sending: closed on unread bytes, the kernel would
-// send a reset that overtakes all that was sent before.
-void Stream::linger(Micros limit) {
+// If a socket is closed with unread bytes, the kernel sends a reset, and the peer may lose data that was sent
+// before. So input is read and discarded until the peer closes.
+void Stream::linger(Micros timeout) {
   if (!open() || lingering_) return;
   lingering_ = true;
   input_.release();
-  lingerLimit_.arm(loop_.now() + limit);
-  if (output_.empty()) outputGone();
+  lingerTimer_.arm(loop_.now() + timeout);
+  if (output_.empty()) onOutputEmpty();
   flush();
-  loop_.again(*this);
+  loop_.requeue(*this);
 }
 
-// Throws away what has come, up to what a turn may take. False: there may be more.
-bool Stream::dropTurn() {
-  for (std::size_t got = 0; got < kDropPerTurn;) {
-    const Transfer moved = dropSome(fd_.get(), kDropPerTurn);
+// Discards received bytes, up to the limit of a turn. Returns false if there may be more.
+bool Stream::discardTurn() {
+  for (std::size_t got = 0; got < kMaxDiscardPerTurn;) {
+    const Transfer moved = discardSome(fd_.get(), kMaxDiscardPerTurn);
     if (moved.kind == Transfer::Kind::WouldBlock) return true;
     got += moved.size;
-    dropped_ += moved.size;
-    if (moved.kind != Transfer::Kind::Done || dropped_ > kDropMost) {
-      dropEnd_ = moved.kind == Transfer::Kind::Failed ? StreamEnd::Failed : StreamEnd::Closed;
+    discarded_ += moved.size;
+    if (moved.kind != Transfer::Kind::Done || discarded_ > kMaxDiscard) {
+      discardEnd_ = moved.kind == Transfer::Kind::Failed ? StreamEnd::Failed : StreamEnd::Closed;
       return true;
     }
   }
   return false;
 }
 
-void Stream::dropSent() {
-  const bool all = dropTurn();
-  if (dropEnd_) return end(*dropEnd_);
-  if (!all) loop_.again(*this);
+void Stream::discardInput() {
+  const bool all = discardTurn();
+  if (discardEnd_) return end(*discardEnd_);
+  if (!all) loop_.requeue(*this);
 }
 
 void Stream::resume() {
-  if (open() && stalled_) loop_.again(*this);
+  if (open() && stalled_) loop_.requeue(*this);
 }
 
 bool Stream::writeOutput() {
@@ -178,11 +179,11 @@
   return true;
 }
 
-// A failure is told by the loop, never from within: the event that comes with it is sure to follow.
+// A failure is reported in the next turn, never from within this call.
 void Stream::flush() {
   if (!open() || output_.empty()) return;
-  if (!writeOutput()) return loop_.again(*this);
-  if (lingering_ && output_.empty()) outputGone();
+  if (!writeOutput()) return loop_.requeue(*this);
+  if (lingering_ && output_.empty()) onOutputEmpty();
 }
 
 }  // namespace heathflow::transport
--- a/src/transport/stream.h
+++ b/src/transport/stream.h
@@ -1,4 +1,4 @@
-// One connection: its descriptor and its buffers, read and written until the socket has no more.
+// A connection: its descriptor and its buffers. Each event is handled until the socket would block.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +11,17 @@
 
 namespace heathflow::transport {
 
-enum class StreamEnd { NotConnected, Closed, Failed };
+enum class StreamEnd { ConnectFailed, Closed, Failed };
 
 class StreamOwner {
  public:
   virtual ~StreamOwner() = default;
-  virtual void onOpen() {}            // an outgoing connection is up
-  virtual void onInput() = 0;         // more bytes stand in the input
-  virtual void onOutputFlushed() {}   // all output has been handed to the kernel
-  virtual void onEnd(StreamEnd) = 0;  // by the peer or the network; the stream is closed
+  virtual void onOpen() {}           // an outgoing connection is established
+  virtual void onInput() = 0;        // bytes were added to the input
+  virtual void onOutputFlushed() {}  // all output has been handed to the kernel
+  // The stream was ended by the peer, the network, a linger limit or an exception in its owner, and is
+  // closed. Not called after close().
+  virtual void onEnd(StreamEnd) = 0;
 };
 
 class Stream final : private IoHandler {
@@ -34,10 +36,10 @@
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // Takes over a connection that is up. False when it can't be watched; it then stays the caller's.
+  // Takes over an established connection. Returns false if it can't be watched; the caller then keeps it.
   bool adopt(UniqueFd&& fd);
-  // Starts one. The owner hears of it later, of failures too. False, and the error number, where it could not
-  // even be begun, a moment's lack aside.
+  // Starts a connection; its success or failure is reported to the owner later. Returns false and sets
+  // 'error' to the errno if it could not be started, even after retries on a local shortage.
   bool connect(const SocketAddress& socketAddress, int& error);
 
   Buffer& input() { return input_; }
@@ -46,33 +48,37 @@
   const Buffer& output() const { return output_; }
   bool open() const { return static_cast<bool>(fd_) && !connecting_; }
   bool closed() const { return !fd_; }
-  // Hands as much of the output to the kernel as it takes.
+  // Writes as much of the output as the kernel accepts.
   void flush();
-  // No more is sent behind what was; reading goes on.
-  void endSending() {
-    if (open()) transport::endSending(fd_.get());
+  // Shuts down the sending direction; reading goes on.
+  void shutdownWrite() {
+    if (open()) transport::shutdownWrite(fd_.get());
   }
-  // Whether there was more to read than the input, or the memory of all, has room for.
+  // Returns whether there was more to read than fits the input's limit or the memory budget.
   bool stalled() const { return stalled_; }
-  // Whether the peer has ended its side or the connection broke: nothing comes behind what has come by now.
+  // Returns whether the peer has closed its side or the connection broke, so that nothing more will arrive
+  // than has arrived by now.
   bool hungUp() const { return hungUp_; }
-  // Reads on after the owner has made room in a full input.
+  // Continues reading after the owner has consumed bytes of a full input.
   void resume();
-  // Whether nothing has come in unnoticed: no bytes, no close, no error.
-  bool quiet() const { return open() && input_.empty() && transport::quiet(fd_.get()); }
-  // The orderly, lingering close: what is written still goes out, then sending ends. What comes meanwhile is
-  // thrown away and never reported. The stream ends at the peer's end, after so long, or at a bound of bytes.
-  void linger(Micros limit);
-  // At once. Of one that lingers what has come is dropped first, so that no reset overtakes what was sent.
+  // Returns whether the connection is open, has no unread bytes and the peer has neither closed nor broken
+  // it.
+  bool isIdle() const { return open() && input_.empty() && transport::isIdle(fd_.get()); }
+  // Closes with a linger: sends the pending output, then shuts down sending. Bytes received meanwhile are
+  // discarded and not reported. The stream ends when the peer closes, after 'timeout', or when too many bytes
+  // have been discarded.
+  void linger(Micros timeout);
+  // Closes at once. While lingering, received bytes are discarded first, so that no reset overtakes the sent
+  // data.
   void close();
 
  private:
   void onReady(std::uint32_t events) override;
   void handle(std::uint32_t events);
   void readInput(bool hungUp);
-  void dropSent();
-  bool dropTurn();
-  void outputGone();
+  void discardInput();
+  bool discardTurn();
+  void onOutputEmpty();
   bool writeOutput();
   void end(StreamEnd how);
 
@@ -82,12 +88,12 @@
   Buffer output_;
   UniqueFd fd_;
   bool connecting_ = false;
-  Timer lingerLimit_;
+  Timer lingerTimer_;
   bool lingering_ = false;
-  std::size_t dropped_ = 0;
-  std::optional<StreamEnd> dropEnd_;  // how what was thrown away ended
-  bool stalled_ = false;              // the input was full when there was more to read
-  bool hungUp_ = false;               // the peer has closed, or the connection broke
+  std::size_t discarded_ = 0;
+  std::optional<StreamEnd> discardEnd_;  // how the discarded input ended
+  bool stalled_ = false;                 // the input had no room when there was more to read
+  bool hungUp_ = false;                  // the peer has closed or the connection broke
 };
 
 }  // namespace heathflow::transport
