--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -99,11 +99,11 @@
   if (!budget_.canOpenUpstream() && !evictLongestIdle()) return StartResult::NoDescriptor;
   auto opened =
       std::make_unique<EndpointConnection>(loop_, static_cast<EndpointConnectionOwner&>(*this), endpoint,
-                                           protocol, protocols_[protocol]->towardsEndpoint());
+                                           protocol, protocols_[protocol]->makeEndpointSide());
   int error = 0;
   if (!opened->connect(address, timeouts_.connect, error)) {
     ++observer_.counters.connectionsFailed;
-    return transport::ownLack(error) ? StartResult::NoDescriptor : StartResult::Unreachable;
+    return transport::isLocalShortage(error) ? StartResult::NoDescriptor : StartResult::Unreachable;
   }
   ++observer_.counters.connectionsOpened;
   budget_.upstreamOpened();
@@ -175,7 +175,7 @@
   if (found == connections_.end()) return;
   budget_.upstreamClosed();
   observer_.upstreamStats.connectionClosed(found->second.usage);
-  loop_.retire(std::move(found->second.connection));
+  loop_.deleteLater(std::move(found->second.connection));
   connections_.erase(found);
 }
 
--- a/src/upstream/endpoint_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -21,7 +21,7 @@
       endpoint_(endpoint),
       protocol_(protocol),
       stream_(loop, *this, kLimits),
-      connectTimer_(loop, [this] { onEnd(transport::StreamEnd::NotConnected); }),
+      connectTimer_(loop, [this] { onEnd(transport::StreamEnd::ConnectFailed); }),
       side_(std::move(side)) {}
 
 bool EndpointConnection::connect(const transport::SocketAddress& socketAddress, Micros timeout, int& error) {
@@ -49,7 +49,7 @@
   if (!requestStarted_) return;
   const std::size_t before = stream_.output().size();
   // Without memory for the part the connection ends, so that no request runs without it.
-  if (!side_->more(message, stream_.output())) return connectTimer_.arm(loop_.now());
+  if (!side_->writeRequestPart(message, stream_.output())) return connectTimer_.arm(loop_.now());
   requestBytes_ += stream_.output().size() - before;
   stream_.flush();
 }
@@ -72,12 +72,12 @@
 
 ExchangeStage EndpointConnection::stage() const {
   if (!requestStarted_) return ExchangeStage::Connecting;
-  if (bytesWritten() < std::min(side_->runsFrom(), requestBytes_)) return ExchangeStage::PartlyWritten;
-  return side_->answering() ? ExchangeStage::Responding : ExchangeStage::Written;
+  if (bytesWritten() < std::min(side_->mayRunAfter(), requestBytes_)) return ExchangeStage::PartlyWritten;
+  return side_->answerStarted() ? ExchangeStage::Responding : ExchangeStage::Written;
 }
 
 bool EndpointConnection::rolledBackByClose() const {
-  return requestStarted_ && bytesWritten() < side_->effectFrom();
+  return requestStarted_ && bytesWritten() < side_->mayPersistAfter();
 }
 
 void EndpointConnection::onOpen() {
@@ -177,8 +177,8 @@
 }
 
 void EndpointConnection::consumeInput() {
-  stream_.input().consume(side_->seen());
-  side_->dropped();
+  stream_.input().consume(side_->parsedBytes());
+  side_->onConsumed();
 }
 
 // Ends the exchange. The connection is kept where it can carry another.
@@ -188,12 +188,12 @@
   const ExchangeStage reached = stage();
   const bool rolledBack = answer != nullptr ? answer->rolledBack : rolledBackByClose();
   const bool complete = cause == ExchangeEnd::Cause::Answered || cause == ExchangeEnd::Cause::Cancelled;
-  const bool inSync =
-      complete && !stream_.closed() && side_->seen() == stream_.input().size() && stream_.output().empty();
+  const bool inSync = complete && !stream_.closed() && side_->parsedBytes() == stream_.input().size() &&
+                      stream_.output().empty();
   const bool keep = inSync && side_->usable();
   if (!ready_) owner_.onConnectFailed(*this);
   // After a request that ended badly the protocol resets the connection, within the connect timeout.
-  const bool resetting = inSync && !keep && ready_ && side_->tidy(stream_.output());
+  const bool resetting = inSync && !keep && ready_ && side_->recover(stream_.output());
   paused_ = false;
   // Closed before the exchange ends, which may start the next attempt: no two of them overlap.
   if (!keep && !resetting) {
@@ -213,9 +213,9 @@
 
 void EndpointConnection::onEnd(transport::StreamEnd how) {
   // A response that was complete before the end counts.
-  if (side_->wholeAtEnd()) return finish(ExchangeEnd::Cause::Answered, &side_->answer());
+  if (side_->completeAtClose()) return finish(ExchangeEnd::Cause::Answered, &side_->answer());
   finish(ExchangeEnd::Cause::ConnectionBroken, nullptr,
-         connected_ && how != transport::StreamEnd::NotConnected);
+         connected_ && how != transport::StreamEnd::ConnectFailed);
 }
 
 }  // namespace heathflow::upstream
--- a/src/upstream/endpoint_connection.h
+++ b/src/upstream/endpoint_connection.h
@@ -92,7 +92,7 @@
   std::size_t protocol() const { return protocol_; }
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   // Whether an idle connection can be used: nothing has come in since it became idle.
-  bool reusable() const { return side_->usable() && stream_.quiet(); }
+  bool reusable() const { return side_->usable() && stream_.isIdle(); }
   ExchangeStage stage() const;
   // So much was written that the request may have run.
   bool requestWritten() const {
@@ -107,7 +107,7 @@
   // How long ago it became ready.
   Micros age() const { return ready_ ? loop_.now() - readySince_ : 0; }
   // Whether the next step is the endpoint's, and not the client's with a further part of the request.
-  bool awaitsEndpoint() const { return !requestStarted_ || side_->owes(); }
+  bool awaitsEndpoint() const { return !requestStarted_ || side_->answerPending(); }
 
  private:
   void onOpen() override;
--- a/tests/attempt_result_test.cpp
+++ b/tests/attempt_result_test.cpp
@@ -33,8 +33,8 @@
   explicit ParsedAnswer(const std::string& answerBytes) : bytes(answerBytes) {
     transport::Buffer out(1024);
     client.feed(pg::welcome(), false, out);
-    client.dropped();
-    client.askHealthCheck(out);
+    client.onConsumed();
+    client.writeHealthCheck(out);
     client.feed(bytes, false, out);
   }
   upstream::ExchangeEnd end(Cause cause = Cause::Answered,
--- a/tests/bolt_gateway_test.cpp
+++ b/tests/bolt_gateway_test.cpp
@@ -1,5 +1,5 @@
-// Bolt through the whole gateway: sessions and transactions across failovers and drains, streams and RESET,
-// bad clients, and one family over two protocols.
+// Bolt through the whole gateway: sessions and transactions across failovers and drains, streaming results
+// and RESET, misbehaving clients, and one family with two protocols.
 #include <gtest/gtest.h>
 
 #include "standins/gateway_rig.h"
@@ -42,7 +42,7 @@
     for (std::size_t i = 0; i < endpoints.size(); ++i) out += tagsAt(i, tag);
     return out;
   }
-  // The first endpoint dies; the second leads from then on, as health checks tell.
+  // The first endpoint goes down and the second becomes the primary, as health checks will report.
   void failOver() {
     endpoints[0]->shut();
     endpoints[0]->primary = false;
@@ -64,7 +64,8 @@
     EXPECT_TRUE(rig.until([&] { return socket.read().size() >= size || socket.ended; }));
     return socket.read();
   };
-  EXPECT_EQ(answer(bolt::handshake(7, 7), 4), bolt::version(4)) << "a range that reaches down to ours";
+  EXPECT_EQ(answer(bolt::handshake(7, 7), 4), bolt::version(4))
+      << "a range that includes a supported version";
   EXPECT_EQ(answer(bolt::handshake(3, 0), 4), bolt::version(3));
   const std::string none(4, '\0');
   for (const auto& [minor, range, major] :
@@ -79,7 +80,7 @@
   PlainSocket other(rig.loop, rig.socketAddress);
   ASSERT_TRUE(other.send("GET / HTTP/1.1\r\n\r\n"));
   EXPECT_TRUE(other.gone());
-  EXPECT_EQ(other.read(), "") << "nothing that it could take for an answer";
+  EXPECT_EQ(other.read(), "") << "no bytes that it could take for an answer";
 }
 
 TEST(BoltSessions, AskForRoutesAndTelemetryAndLogOffAndOn) {
@@ -95,7 +96,7 @@
   ASSERT_EQ(table.at("servers").parts.size(), 3U);
   for (const bolt::Value& server : table.at("servers").parts) {
     EXPECT_EQ(server.at("addresses").parts.at(0).text, transport::toText(rig.socketAddress.socketAddress))
-        << "this driver itself";
+        << "this gateway itself";
   }
   client.say(bolt::plain(bolt::kGoodbye));
   EXPECT_TRUE(client.gone());
@@ -110,7 +111,7 @@
   EXPECT_EQ(rig.endpoints[0]->statements.size(), 6U) << "writes at the primary, reads at replicas";
   EXPECT_EQ(rig.statements().size(), 12U);
   client.forget();
-  // A class of reads without mode r contradicts itself: nothing of it is sent.
+  // A class of reads contradicts a request without mode r: nothing is sent to an endpoint.
   client.say(bolt::run("RETURN 1", about("any", "x", false)) + bolt::pull());
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags(), "FI");
@@ -125,8 +126,8 @@
   ASSERT_TRUE(client.replied(2));
   const std::string given = client.reply(1).fields[0].at("bookmark").text;
   EXPECT_EQ(given.substr(0, 6), "hf1:0:");
-  EXPECT_EQ(given.substr(given.rfind(':')), ":own") << "the member's own stands behind ours";
-  EXPECT_EQ(client.reply(1).fields[0].at("mode").text, "read-write") << "the rest is as it was";
+  EXPECT_EQ(given.substr(given.rfind(':')), ":own") << "the endpoint's bookmark follows the gateway's";
+  EXPECT_EQ(client.reply(1).fields[0].at("mode").text, "read-write") << "the rest is unchanged";
   bolt::Value extra;
   rig.endpoints[0]->script = [&](Line&, const bolt::Message& message) {
     if (message.tag == bolt::kRun && message.fields[0].text == "CREATE") extra = message.fields[2];
@@ -197,14 +198,14 @@
   client.say(bolt::run("1", write("a")) + bolt::pull(2));
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags(), "SRRS");
-  EXPECT_EQ(rig.counters().requestsServed, 0U) << "it is open";
+  EXPECT_EQ(rig.counters().requestsServed, 0U) << "the request is still open";
   client.say(bolt::pull(2));
   ASSERT_TRUE(client.replied(3));
   client.say(bolt::discard());
   ASSERT_TRUE(client.replied(4));
   EXPECT_EQ(client.tags(), "SRRSRRSS");
   EXPECT_EQ(rig.counters().requestsServed, 1U);
-  // RUN alone is answered at once, for the client may wait for it.
+  // RUN alone is answered at once, because the client may wait for the reply.
   left = 1;
   client.forget();
   client.say(bolt::run("1", write("b")));
@@ -214,8 +215,8 @@
   EXPECT_EQ(client.tags(), "SRS");
 }
 
-// The statement's own fault is the client's to read, and no reason to ask another endpoint.
-TEST(BoltAnswers, AnEndpointsWordOnTheStatementIsPassedOn) {
+// An error in the statement is passed to the client and not retried at another endpoint.
+TEST(BoltAnswers, AnErrorInTheStatementIsPassedOn) {
   BoltRig rig;
   rig.answerAll([](Line& line, const std::string&) {
     line.say(bolt::failure("Neo.ClientError.Statement.SyntaxError") + bolt::ignored());
@@ -225,10 +226,10 @@
   ASSERT_TRUE(client.replied(4));
   client.say(bolt::plain(bolt::kReset));
   ASSERT_TRUE(client.replied(5));
-  EXPECT_EQ(client.tags(), "FIIIS") << "all up to RESET is ignored";
+  EXPECT_EQ(client.tags(), "FIIIS") << "messages up to RESET are ignored";
   EXPECT_EQ(client.code(), "Neo.ClientError.Statement.SyntaxError");
   EXPECT_EQ(rig.statements().size(), 1U);
-  // The endpoint's connection is set right and used again.
+  // The endpoint connection is reset and reused.
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("good")); });
   client.forget();
   for (int i = 0; i < 4; ++i) {
@@ -239,7 +240,7 @@
   EXPECT_EQ(rig.counters().endpointProtocolErrors, 0U);
 }
 
-// A deadlock has been rolled back: a write may go out again, and where it may not the client is told so.
+// A deadlock has been rolled back, so the write is sent again.
 TEST(BoltAnswers, ATransientFailureOfAnEndpointHadNoEffect) {
   BoltRig rig(1);
   int failures = 1;
@@ -255,7 +256,7 @@
   EXPECT_EQ(rig.statements().size(), 2U);
 }
 
-TEST(BoltFailover, AConnectionThatStaysOpenIsServedByTheNewPrimary) {
+TEST(BoltFailover, AnOpenConnectionIsServedByTheNewPrimary) {
   BoltRig rig;
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("save", "1"));
@@ -278,7 +279,7 @@
   client.say(bolt::run("second") + bolt::pull() + bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(6));
   EXPECT_EQ(client.tags(), "SSRSFII");
-  EXPECT_EQ(client.code(), kTransient) << "nothing was committed: the client may begin again";
+  EXPECT_EQ(client.code(), kTransient) << "nothing was committed: the client may retry";
   EXPECT_TRUE(rig.endpoints[1]->statements.empty() && rig.endpoints[2]->statements.empty());
   client.forget();
   client.say(bolt::plain(bolt::kReset) + bolt::begin(write("t2")) + bolt::run("again") + bolt::pull() +
@@ -289,7 +290,7 @@
   EXPECT_EQ(rig.counters().requestsServed + rig.counters().requestsRejected, 2U) << "one final answer each";
 }
 
-// The primary dies when it has read one message and replied to none of it.
+// The primary goes down after reading a certain message, without a reply to it.
 class BoltDies : public testing::Test {
  protected:
   void dieOn(unsigned char tag) {
@@ -347,7 +348,8 @@
   EXPECT_TRUE(rig.endpoints[1]->statements.empty() && rig.endpoints[2]->statements.empty());
 }
 
-// Once a part of a read's result is out no other endpoint goes on with it, yet asking again is harmless.
+// Once a part of a read's result was passed on, no other endpoint can continue it, but the client may safely
+// retry.
 TEST_F(BoltDies, BetweenPullAndTheSummaryAReadMayBeAskedAgain) {
   for (auto& endpoint : rig.endpoints) {
     endpoint->script = [&](Line& line, const bolt::Message& message) {
@@ -404,7 +406,8 @@
   EXPECT_EQ(rig.outcomes(AttemptOutcome::TimedOut), 1U);
 }
 
-// A client that thinks for too long is told so with its next message, and its endpoint is not to blame.
+// A client that is idle beyond its timeout gets the error with its next message, and the endpoint is not
+// blamed.
 TEST(BoltTransactions, WhoseClientLetsItsTimeGoByEndWithItsNextMessage) {
   BoltRig rig(1);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
@@ -414,7 +417,7 @@
   EXPECT_TRUE(rig.until([&] {
     const auto& lines = rig.endpoints[0]->lines;
     return std::any_of(lines.begin(), lines.end(), [](const auto& line) { return line->ended; });
-  })) << "the member takes it back";
+  })) << "the endpoint rolls back";
   client.say(bolt::run("CREATE") + bolt::pull());
   ASSERT_TRUE(client.replied(3));
   EXPECT_EQ(client.tags(), "SFI");
@@ -423,7 +426,8 @@
   EXPECT_EQ(rig.outcomes(AttemptOutcome::TimedOut), 0U);
 }
 
-// Guards the rule on drains: nothing new goes there, and what is pinned there ends with one answer.
+// A draining endpoint gets no new requests, and a transaction that is open there ends with exactly one
+// answer.
 TEST(BoltDrains, ATransactionPinnedToADrainingEndpointEndsThere) {
   BoltRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
@@ -438,14 +442,14 @@
   other.ask(request("save", "1"));
   ASSERT_TRUE(other.answered());
   EXPECT_EQ(other.value(), "from " + rig.endpoints[1]->address());
-  EXPECT_EQ(rig.endpoints[0]->statements.size(), before) << "no new request after the drain was told";
+  EXPECT_EQ(rig.endpoints[0]->statements.size(), before) << "no new request once the list reports the drain";
   client.say(bolt::run("UPDATE") + bolt::pull() + bolt::plain(bolt::kCommit));
   ASSERT_TRUE(client.replied(6));
   EXPECT_EQ(client.tags(), "SSRSSRSS");
   EXPECT_EQ(rig.tagsAt(0, bolt::kCommit), 1U);
 }
 
-TEST(BoltDrains, ATransactionWhoseDrainingEndpointEndsHasOneAnswerToo) {
+TEST(BoltDrains, ATransactionWhoseDrainingEndpointShutsDownHasOneAnswer) {
   BoltRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   BoltClientStandIn client(rig.loop, rig.socketAddress);
@@ -460,7 +464,7 @@
   EXPECT_EQ(rig.counters().requestsRejected + rig.counters().requestsFailed, 1U);
 }
 
-TEST(BoltDrains, TheGatewaysOwnEndWaitsForAnOpenTransaction) {
+TEST(BoltDrains, GracefulShutdownWaitsForAnOpenTransaction) {
   BoltRig rig;
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull());
@@ -474,7 +478,7 @@
   EXPECT_TRUE(rig.until([&] { return done; }));
 }
 
-// An endpoint that streams records until its connection ends.
+// Endpoints that stream records.
 class BoltStreams : public testing::Test {
  protected:
   void streams(std::size_t records, std::size_t size, bool ends) {
@@ -500,7 +504,7 @@
   ASSERT_TRUE(client.replied(5));
   std::string replies = client.tags();
   replies.erase(std::remove(replies.begin(), replies.end(), 'R'), replies.end());
-  EXPECT_EQ(replies, "SIIIS") << "all that stood before RESET is ignored";
+  EXPECT_EQ(replies, "SIIIS") << "messages before RESET are ignored";
   EXPECT_EQ(rig.counters().requestsCancelled, 1U);
   EXPECT_EQ(rig.outcomes(AttemptOutcome::Cancelled), 1U);
   EXPECT_EQ(rig.statements().size(), 1U);
@@ -511,8 +515,8 @@
   EXPECT_EQ(client.tags(), "SRS");
 }
 
-TEST_F(BoltStreams, ASlowReaderPausesItsEndpointAndHoldsUpNobodyElse) {
-  constexpr std::size_t kRecords = 4000;  // far more than kernels hold
+TEST_F(BoltStreams, ASlowReaderPausesItsEndpointAndDelaysNoOtherClient) {
+  constexpr std::size_t kRecords = 4000;  // far more than socket buffers hold
   constexpr std::size_t kSize = 10'000;
   streams(kRecords, kSize, true);
   BoltClientStandIn slow(rig.loop, rig.socketAddress);
@@ -526,7 +530,7 @@
     }
   }
   ASSERT_NE(endpoint, nullptr);
-  // It runs until all between the two is full; the rest stays at the endpoint.
+  // The endpoint sends until all buffers on the way are full; the rest stays there.
   std::size_t left = 0;
   ASSERT_TRUE(rig.until([&] {
     const bool still = endpoint->stream.output().size() == left;
@@ -534,8 +538,8 @@
     return still;
   }));
   EXPECT_GT(left, 1'000'000U);
-  EXPECT_LT(rig.loop.memory().taken() - endpoint->stream.output().capacity(), 1'000'000U)
-      << "what the gateway holds of it";
+  EXPECT_LT(rig.loop.memory().used() - endpoint->stream.output().capacity(), 1'000'000U)
+      << "bytes buffered by the gateway";
   EXPECT_EQ(rig.counters().requestsServed, 0U);
   streams(1, 5, true);
   BoltClientStandIn quick(rig.loop, rig.socketAddress);
@@ -552,7 +556,7 @@
   EXPECT_EQ(rig.counters().requestsServed, 21U);
 }
 
-// Guards a client against half a result that looks whole: a stream that breaks ends with a failure.
+// A partial result must not look complete: a stream that breaks ends with a failure.
 TEST_F(BoltStreams, AStreamThatBreaksEndsWithAFailure) {
   for (auto& endpoint : rig.endpoints) {
     endpoint->answer = [](Line& line, const std::string&) {
@@ -565,13 +569,13 @@
   client.say(bolt::run("MATCH", read("a")) + bolt::pull());
   ASSERT_TRUE(client.replied(2));
   EXPECT_EQ(client.tags().back(), 'F');
-  EXPECT_EQ(client.code(), kTransient) << "a read may be asked again";
-  EXPECT_EQ(rig.counters().attemptsStarted, 1U) << "and is not moved";
+  EXPECT_EQ(client.code(), kTransient) << "a read may be retried";
+  EXPECT_EQ(rig.counters().attemptsStarted, 1U) << "and is not retried by the gateway";
 }
 
 class BoltBadClients : public testing::Test {
  protected:
-  // Sent behind the login: the connection ends, with this failure as its last message.
+  // Sends bytes after the login and expects that the connection ends with a failure as the last message.
   void fatal(const std::string& what, const std::string& bytes) {
     BoltClientStandIn client(rig.loop, rig.socketAddress);
     client.say(bytes);
@@ -619,8 +623,8 @@
   fatal("a RUN within a result", bolt::run("1", read("r")) + bolt::run("2"));
   fatal("a reply", bolt::success());
   const std::size_t ran = rig.statements().size();
-  EXPECT_LE(ran, 3U) << "only what was sound before the flaw";
-  // What they left behind counts as not served for a while.
+  EXPECT_LE(ran, 3U) << "only what was valid before the error";
+  // Their open requests count as unserved for a while.
   std::size_t asked = 0;
   EXPECT_TRUE(rig.until([&] {
     ClientStandIn good(rig.loop, rig.socketAddress);
@@ -684,7 +688,7 @@
   EXPECT_EQ(rig.counters().requestsCancelled, 1U);
 }
 
-// One that has logged on may rest, as pools of clients do.
+// A client that has logged on may stay idle, as connection pools do.
 TEST(BoltSessions, ThatHaveLoggedOnMayRest) {
   BoltRig rig;
   BoltClientStandIn pooled(rig.loop, rig.socketAddress);
@@ -695,7 +699,7 @@
   EXPECT_EQ(pooled.tags(), "SRS");
 }
 
-// One family over two protocols.
+// One family with two protocols.
 class BothProtocols : public testing::Test {
  protected:
   static GatewayOptions options() {
@@ -722,7 +726,7 @@
     clients.push_back(std::make_unique<ClientStandIn>(rig.loop, door));
     clients.back()->ask(request("any", std::to_string(i)));
     ASSERT_TRUE(rig.until([&] { return held.size() == i + 1; }));
-    // Fewest in flight first, whatever the protocol: the replicas never differ by more than one.
+    // Fewest requests in flight first, whatever the protocol: the replicas never differ by more than one.
     EXPECT_LE(std::max(asked(1), asked(2)) - std::min(asked(1), asked(2)), 1U) << i;
   }
   EXPECT_EQ(asked(0), 0U);
@@ -730,8 +734,8 @@
   EXPECT_GE(rig.endpoints[1]->statements.size() + rig.endpoints[2]->statements.size(), 4U);
 }
 
-// Guards a cold endpoint: its budget is one, whatever the protocol that its requests come over.
-TEST_F(BothProtocols, KeepOneBudgetForAColdEndpoint) {
+// A cold endpoint has one request budget, shared by all protocols.
+TEST_F(BothProtocols, ShareOneBudgetForAColdEndpoint) {
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
@@ -741,7 +745,7 @@
   cold.replace(cold.find(launched), launched.size() + 1, launched + std::to_string(now));
   rig.discovery.tell("[" + cold + "]");
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  // What warm endpoints answer is what its budget is a part of.
+  // The budget is a share of what warm endpoints answer.
   ClientStandIn first(rig.loop, rig.socketAddress);
   for (std::size_t i = 0; i < 10; ++i) {
     first.ask(request("save", "w" + std::to_string(i)));
@@ -759,16 +763,17 @@
     clients.back()->ask(request("any", std::to_string(i)));
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == 34 && held >= 8; }));
-  // Warm it would have as many as the other; cold a fifth of what the warm ones answer, over both protocols.
+  // A warm endpoint would get as many as the other; a cold one gets a fifth of what warm ones answer, counted
+  // over both protocols.
   EXPECT_LE(asked(2) - before, 3U);
   EXPECT_GE(asked(1), 5U);
   EXPECT_GT(rig.endpoints[1]->statements.size(), 0U);
   EXPECT_GT(rig.graph[1]->statements.size(), 0U);
 }
 
-// Guards sessions that go on elsewhere: a commit by a clock that is ahead of ours is told as its endpoint
-// told it.
-TEST_F(BothProtocols, ABookmarkTellsACommitThatIsAheadOfOurClock) {
+// A session may continue at another gateway, so a commit position ahead of the gateway's clock is passed on
+// as the endpoint reported it.
+TEST_F(BothProtocols, ABookmarkKeepsACommitAheadOfTheGatewaysClock) {
   const auto ahead = std::chrono::duration_cast<std::chrono::milliseconds>(
                          std::chrono::system_clock::now().time_since_epoch())
                          .count() +
@@ -781,15 +786,15 @@
   ASSERT_TRUE(client.answered());
   const std::string mark = "hf1:0:" + std::to_string(ahead) + ":own";
   EXPECT_EQ(client.bookmark(), mark);
-  // And it is not cut on its way through a read either.
+  // A read does not reduce it either.
   rig.graph[0]->answer = [&](Line& line, const std::string&) { line.say(rig.graph[0]->value("read")); };
   client.ask(request("view", "r", ",bookmark=" + mark));
   ASSERT_TRUE(client.answered(2));
   EXPECT_EQ(client.bookmark(), mark);
 }
 
-// Guards the rule on stale reads across protocols: what is written over Bolt binds a reader over PostgreSQL
-// that carries its position, and the other way round.
+// No stale reads across protocols: a commit over Bolt binds a reader over PostgreSQL that carries its
+// position, and one over PostgreSQL binds a reader over Bolt.
 TEST_F(BothProtocols, ABookmarkBindsReadersOfEitherProtocol) {
   for (std::size_t i = 1; i < 3; ++i) rig.endpoints[i]->lagMs = rig.graph[i]->lagMs = 60'000;
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -807,12 +812,12 @@
     ASSERT_TRUE(rows.answered(i + 1));
     graphClient.ask(request("view", "g" + std::to_string(i), ",bookmark=" + mark));
     ASSERT_TRUE(graphClient.answered(i + 2));
-    // It binds a read of a class without sessions as well.
+    // It also binds a read of a class without sessions.
     graphClient.ask(request("any", "a" + std::to_string(i), ",bookmark=" + mark));
     ASSERT_TRUE(graphClient.answered(i + 2));
   }
-  EXPECT_EQ(asked(1) + asked(2), 0U) << "replicas that are behind it serve none of them";
-  // One that is old enough binds no more than it says; one that is not ours binds as tightly as can be.
+  EXPECT_EQ(asked(1) + asked(2), 0U) << "replicas behind that position serve none of them";
+  // An old bookmark binds only to its own position; a foreign one binds to the newest position.
   const std::string old = "hf1:0:" + std::to_string(now - 600'000) + ":";
   graphClient.ask(request("view", "old", ",bookmark=" + old));
   ASSERT_TRUE(rig.until([&] { return asked(1) + asked(2) == 1; }));
--- a/tests/bolt_states_test.cpp
+++ b/tests/bolt_states_test.cpp
@@ -1,4 +1,4 @@
-// Bolt's two state machines by themselves: fed bytes in any pieces, and bytes that make no sense.
+// Bolt's two state machines, fed with bytes in any pieces and with invalid bytes.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,7 +14,7 @@
 using Event = EndpointSide::Event;
 using Step = ClientSide::Step;
 
-// An endpoint's side with its connection up.
+// The state machine of an endpoint connection after a successful login.
 class Endpoint {
  public:
   Endpoint() : client(login) {
@@ -22,16 +22,16 @@
     feed(peer::version());
     EXPECT_EQ(feed(peer::success()), Event::NeedMore);
     EXPECT_EQ(feed(peer::success()), Event::Ready);
-    drop();
+    consume();
     out.consume(out.size());
   }
   Event feed(const std::string& bytes, bool full = false) {
     in += bytes;
     return client.feed(in, full, out);
   }
-  void drop() {
-    in.erase(0, client.seen());
-    client.dropped();
+  void consume() {
+    in.erase(0, client.parsedBytes());
+    client.onConsumed();
   }
   std::string sent() {
     std::string bytes(out.view());
@@ -82,7 +82,7 @@
   rejected.start(out);
   std::string in = peer::version() + peer::failure("Neo.TransientError.Request.NoThreadsAvailable");
   EXPECT_EQ(rejected.feed(in, false, out), Event::Rejected);
-  EXPECT_EQ(rejected.answer().kind, Answer::Kind::Full);
+  EXPECT_EQ(rejected.answer().kind, Answer::Kind::Overloaded);
   for (const std::string& version :
        {std::string(4, '\0'), peer::version(5), std::string("\0\0\4\4", 4), std::string("HTTP")}) {
     BoltClient other(endpoint.login);
@@ -98,7 +98,7 @@
                                            {"stats", peer::text("x0=1,x1=1")}});
   for (std::size_t at = 0; at <= whole.size(); ++at) {
     Endpoint endpoint;
-    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
     const Event first = endpoint.feed(whole.substr(0, at));
     EXPECT_EQ(first, at == whole.size() ? Event::Answered : Event::NeedMore) << at;
     if (at < whole.size()) {
@@ -116,50 +116,50 @@
 
 TEST(BoltEndpoint, TellsFromWhichByteOnAnEffectMayStay) {
   Endpoint endpoint;
-  ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
-  EXPECT_EQ(endpoint.client.runsFrom(), peer::run("1").size());
-  EXPECT_EQ(endpoint.client.effectFrom(), peer::run("1").size());
+  ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+  EXPECT_EQ(endpoint.client.mayRunAfter(), peer::run("1").size());
+  EXPECT_EQ(endpoint.client.mayPersistAfter(), peer::run("1").size());
   Endpoint open;
-  ASSERT_TRUE(open.client.ask(peer::begin() + peer::run("1"), {}, 500, open.out));
-  EXPECT_EQ(open.client.runsFrom(), peer::begin().size());
-  EXPECT_EQ(open.client.effectFrom(), EndpointSide::kNever);
-  ASSERT_TRUE(open.client.more(peer::pull() + peer::plain(peer::kCommit), open.out));
-  EXPECT_EQ(open.client.effectFrom(), open.out.size()) << "with the last byte of COMMIT";
+  ASSERT_TRUE(open.client.writeRequest(peer::begin() + peer::run("1"), {}, 500, open.out));
+  EXPECT_EQ(open.client.mayRunAfter(), peer::begin().size());
+  EXPECT_EQ(open.client.mayPersistAfter(), EndpointSide::kNever);
+  ASSERT_TRUE(open.client.writeRequestPart(peer::pull() + peer::plain(peer::kCommit), open.out));
+  EXPECT_EQ(open.client.mayPersistAfter(), open.out.size()) << "with the last byte of COMMIT";
 }
 
 TEST(BoltEndpoint, OpenTransactionsAnswerInPartsAndEndWithTheirCommit) {
   Endpoint endpoint;
-  ASSERT_TRUE(endpoint.client.ask(peer::begin(), {}, 500, endpoint.out));
+  ASSERT_TRUE(endpoint.client.writeRequest(peer::begin(), {}, 500, endpoint.out));
   EXPECT_EQ(endpoint.feed(peer::success()), Event::Part);
-  EXPECT_FALSE(endpoint.client.owes());
-  endpoint.drop();
-  ASSERT_TRUE(endpoint.client.more(peer::run("1") + peer::pull(), endpoint.out));
-  EXPECT_TRUE(endpoint.client.owes());
-  EXPECT_EQ(endpoint.feed(kFields), Event::Part) << "once a part is out nothing is held back";
-  endpoint.drop();
+  EXPECT_FALSE(endpoint.client.answerPending());
+  endpoint.consume();
+  ASSERT_TRUE(endpoint.client.writeRequestPart(peer::run("1") + peer::pull(), endpoint.out));
+  EXPECT_TRUE(endpoint.client.answerPending());
+  EXPECT_EQ(endpoint.feed(kFields), Event::Part) << "nothing is held back after the first part";
+  endpoint.consume();
   EXPECT_EQ(endpoint.feed(peer::success()), Event::Part);
-  endpoint.drop();
-  ASSERT_TRUE(endpoint.client.more(peer::plain(peer::kCommit), endpoint.out));
+  endpoint.consume();
+  ASSERT_TRUE(endpoint.client.writeRequestPart(peer::plain(peer::kCommit), endpoint.out));
   EXPECT_EQ(endpoint.feed(peer::success()), Event::Answered);
   EXPECT_TRUE(endpoint.client.usable());
 }
 
 TEST(BoltEndpoint, IsSetRightByAResetWhenARequestEndedBadly) {
   Endpoint endpoint;
-  ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+  ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
   EXPECT_EQ(endpoint.feed(peer::failure("Neo.ClientError.Statement.SyntaxError")), Event::NeedMore);
   EXPECT_EQ(endpoint.feed(peer::ignored()), Event::Answered);
   EXPECT_EQ(endpoint.client.answer().kind, Answer::Kind::Value);
   EXPECT_FALSE(endpoint.client.usable());
-  endpoint.drop();
+  endpoint.consume();
   endpoint.sent();
-  ASSERT_TRUE(endpoint.client.tidy(endpoint.out));
+  ASSERT_TRUE(endpoint.client.recover(endpoint.out));
   EXPECT_EQ(endpoint.sent(), peer::plain(peer::kReset));
   EXPECT_EQ(endpoint.feed(peer::success()), Event::Ready);
   EXPECT_TRUE(endpoint.client.usable());
 }
 
-// docs/bolt.md, the table of an endpoint's codes.
+// Each status code of an endpoint maps to one kind of answer.
 TEST(BoltEndpoint, CodesSayWhatHasRun) {
   struct Case {
     const char* code;
@@ -167,27 +167,28 @@
     bool rolledBack;
   };
   for (const Case& c :
-       {Case{"Neo.TransientError.Request.NoThreadsAvailable", Answer::Kind::Full, true},
-        Case{"Neo.ClientError.Cluster.NotALeader", Answer::Kind::Miss, true},
-        Case{"Neo.ClientError.General.ForbiddenOnReadOnlyDatabase", Answer::Kind::Miss, true},
-        Case{"Neo.TransientError.Transaction.BookmarkTimeout", Answer::Kind::Miss, true},
-        Case{"Neo.TransientError.General.DatabaseUnavailable", Answer::Kind::NotNow, true},
+       {Case{"Neo.TransientError.Request.NoThreadsAvailable", Answer::Kind::Overloaded, true},
+        Case{"Neo.ClientError.Cluster.NotALeader", Answer::Kind::PreconditionFailed, true},
+        Case{"Neo.ClientError.General.ForbiddenOnReadOnlyDatabase", Answer::Kind::PreconditionFailed, true},
+        Case{"Neo.TransientError.Transaction.BookmarkTimeout", Answer::Kind::PreconditionFailed, true},
+        Case{"Neo.TransientError.General.DatabaseUnavailable", Answer::Kind::Unavailable, true},
         Case{"Neo.TransientError.Transaction.DeadlockDetected", Answer::Kind::Error, true},
         Case{"Neo.ClientError.Security.AuthorizationExpired", Answer::Kind::Error, true},
         Case{"Neo.ClientError.Statement.SyntaxError", Answer::Kind::Value, false},
         Case{"Neo.DatabaseError.General.UnknownError", Answer::Kind::Error, false},
         Case{"Something.Else", Answer::Kind::Error, false}, Case{"", Answer::Kind::Error, false}}) {
     Endpoint endpoint;
-    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
     ASSERT_EQ(endpoint.feed(peer::failure(c.code) + peer::ignored()), Event::Answered) << c.code;
     EXPECT_EQ(endpoint.client.answer().kind, c.kind) << c.code;
     EXPECT_EQ(endpoint.client.answer().rolledBack, c.rolledBack) << c.code;
   }
-  // A transaction has had no effect before its COMMIT; behind it what is not transient may have.
+  // Before its COMMIT a transaction has had no effect; after it, a failure that is not transient may have had
+  // one.
   for (const bool commits : {false, true}) {
     Endpoint endpoint;
-    ASSERT_TRUE(endpoint.client.ask(peer::begin() + (commits ? peer::plain(peer::kCommit) : peer::run("1")),
-                                    {}, 500, endpoint.out));
+    ASSERT_TRUE(endpoint.client.writeRequest(
+        peer::begin() + (commits ? peer::plain(peer::kCommit) : peer::run("1")), {}, 500, endpoint.out));
     ASSERT_EQ(endpoint.feed(peer::success() + peer::failure("Neo.DatabaseError.General.UnknownError")),
               Event::Answered);
     EXPECT_EQ(endpoint.client.answer().rolledBack, !commits);
@@ -205,11 +206,11 @@
         kFields + "\xFF\xFF" + std::string(70'000, 'x') + "\xFF\xFF",
         kFields + peer::chunked("\xB1\x71\x91" + std::string(100, '\x91'))}) {
     Endpoint endpoint;
-    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
     const Event event = endpoint.feed(bytes);
-    // Bytes behind a whole answer are found when the connection is to be used again.
+    // Bytes after a complete answer are detected with the next feed.
     if (event == Event::Answered) {
-      endpoint.drop();
+      endpoint.consume();
       EXPECT_EQ(endpoint.feed(""), Event::Broken);
     } else {
       EXPECT_EQ(event, Event::Broken);
@@ -228,26 +229,26 @@
     std::string bytes = whole;
     for (int i = 0; i < 1 + round % 3; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     Endpoint endpoint;
-    ASSERT_TRUE(endpoint.client.ask(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
+    ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
     const Event event = endpoint.feed(bytes);
     broken += event == Event::Broken ? 1 : 0;
-    ASSERT_LE(endpoint.client.seen(), bytes.size());
+    ASSERT_LE(endpoint.client.parsedBytes(), bytes.size());
     if (event != Event::Answered) continue;
     for (const Slice& piece : endpoint.client.answer().pieces) ASSERT_LE(piece.at + piece.size, bytes.size());
   }
   EXPECT_GT(broken, 1000U);
 }
 
-// The client's side, driven as a client connection drives it: what it takes is given back in steps.
+// Drives the server side as a client connection does.
 class Client {
  public:
   Client() {
-    listening.agent = "test";
-    listening.readClass = "r";
-    listening.writeClass = "w";
-    server = std::make_unique<BoltServer>(listening);
+    settings.agent = "test";
+    settings.readClass = "r";
+    settings.writeClass = "w";
+    server = std::make_unique<BoltServer>(settings);
   }
-  // Feeds it all; answers each request at its end with a value.
+  // Feeds all bytes; fails each request when no further message is accepted.
   void drive(std::string_view bytes, bool& fatal) {
     std::size_t from = 0;
     bool open = false;
@@ -255,7 +256,7 @@
       const Step step = server->step(bytes, from, out);
       kinds += static_cast<char>('a' + static_cast<int>(step.kind));
       ASSERT_LE(from + step.consumed, bytes.size());
-      if (step.kind == Step::Kind::Fatal || step.kind == Step::Kind::Left) {
+      if (step.kind == Step::Kind::Fatal || step.kind == Step::Kind::Disconnect) {
         fatal = step.kind == Step::Kind::Fatal;
         return;
       }
@@ -269,14 +270,14 @@
       }
       if (step.kind == Step::Kind::Request) {
         std::string_view problem;
-        if (!server->read(bytes.substr(0, step.consumed), problem)) {
+        if (!server->parseRequest(bytes.substr(0, step.consumed), problem)) {
           server->rejected(problem, out);
           bytes.remove_prefix(step.consumed);
         } else {
           open = true;
           from = step.consumed;
         }
-      } else if (step.kind == Step::Kind::More) {
+      } else if (step.kind == Step::Kind::RequestPart) {
         from += step.consumed;
       } else if (step.kind == Step::Kind::Interrupt) {
         bytes.remove_prefix(from);
@@ -287,9 +288,9 @@
       }
       out.consume(out.size());
     }
-    FAIL() << "it does not come to an end";
+    FAIL() << "the input is never used up";
   }
-  BoltListening listening;
+  BoltListenerSettings settings;
   std::unique_ptr<BoltServer> server;
   transport::Buffer out{1 << 20};
   std::string kinds;
@@ -317,8 +318,8 @@
   EXPECT_GT(fatals, 1000U);
 }
 
-// Guards memory and the endpoint: so many messages of one request may be without replies, and no more are
-// taken.
+// A client that pipelines without end must not fill the gateway's memory: the number of unanswered messages
+// of one request is limited.
 TEST(BoltServerStates, BoundWhatIsPipelinedIntoOneRequest) {
   Client client;
   std::string bytes = peer::handshake() + peer::hello() + peer::logon() + peer::begin();
@@ -336,12 +337,12 @@
       ++more;
     }
   }
-  EXPECT_EQ(more, BoltServer::kOwedMost);
+  EXPECT_EQ(more, BoltServer::kMaxUnanswered);
   client.out.consume(client.out.size());
   client.server->rejected(250, client.out);
-  std::string told(client.out.view());
-  const auto messages = peer::cut(told);
-  ASSERT_EQ(messages.size(), BoltServer::kOwedMost) << "each has its reply";
+  std::string written(client.out.view());
+  const auto messages = peer::cut(written);
+  ASSERT_EQ(messages.size(), BoltServer::kMaxUnanswered) << "each has its reply";
   EXPECT_EQ(messages[0].fields[0].at("retry_after_ms").integer, 250);
   for (std::size_t i = 1; i < messages.size(); ++i) EXPECT_EQ(messages[i].tag, peer::kIgnored);
 }
--- a/tests/bytes.h
+++ b/tests/bytes.h
@@ -1,4 +1,4 @@
-// Bytes from and to hexadecimal text.
+// Conversion between bytes and hexadecimal text.
 #pragma once
 
 #include <string>
--- a/tests/connect_race_test.cpp
+++ b/tests/connect_race_test.cpp
@@ -84,7 +84,7 @@
   client.ask(request("save", "1", "", 1'000));
   ASSERT_TRUE(waitsForHandshake(rig));
   rig.endpoints[0]->welcomeNow();
-  rig.loop.clock().moveTo(rig.loop.now() + 2 * kSecond);
+  rig.loop.clock().advanceTo(rig.loop.now() + 2 * kSecond);
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.types(), "EZ");
   EXPECT_TRUE(rig.endpoints[0]->statements.empty());
@@ -101,7 +101,7 @@
   client.ask(request("save", "1"));
   ASSERT_TRUE(waitsForHandshake(rig));
   rig.endpoints[0]->welcomeNow();
-  rig.loop.clock().moveTo(rig.loop.now() + 2 * kSecond);
+  rig.loop.clock().advanceTo(rig.loop.now() + 2 * kSecond);
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "from " + rig.endpoints[0]->address());
   EXPECT_EQ(rig.counters().connectionsFailed, 0U);
--- a/tests/documents_test.cpp
+++ b/tests/documents_test.cpp
@@ -115,7 +115,7 @@
   HttpResponse response(1000);
   const std::string bytes = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1";
   EXPECT_EQ(response.feed(bytes), bytes.size() - 8);
-  EXPECT_EQ(response.state(), State::Whole);
+  EXPECT_EQ(response.state(), State::Complete);
   EXPECT_EQ(response.status(), 200);
   EXPECT_EQ(response.body(), "hello");
   EXPECT_TRUE(response.keepAlive());
@@ -130,7 +130,7 @@
     std::size_t used = response.feed(std::string_view(chunked).substr(0, at));
     ASSERT_EQ(used, at);
     used = response.feed(std::string_view(chunked).substr(at));
-    ASSERT_EQ(response.state(), State::Whole) << at;
+    ASSERT_EQ(response.state(), State::Complete) << at;
     ASSERT_EQ(response.status(), 503);
     ASSERT_EQ(response.body(), "abcde");
     ASSERT_FALSE(response.keepAlive());
@@ -141,15 +141,15 @@
   HttpResponse response(1000);
   response.feed("HTTP/1.0 200 OK\r\n\r\nsome");
   EXPECT_EQ(response.state(), State::Reading);
-  response.ended();
-  EXPECT_EQ(response.state(), State::Whole);
+  response.onConnectionClosed();
+  EXPECT_EQ(response.state(), State::Complete);
   EXPECT_EQ(response.body(), "some");
 }
 
 TEST(HttpResponses, ThatAreCutShortOrMalformedAreTold) {
   HttpResponse cut(1000);
   cut.feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel");
-  cut.ended();
+  cut.onConnectionClosed();
   EXPECT_EQ(cut.state(), State::Malformed);
   for (const std::string& bytes : std::vector<std::string>{
            "garbage that is no status line\r\n", "HTTP/1.1 2x0 OK\r\n", "HTTP/2 200 OK\r\n\r\n",
@@ -175,7 +175,7 @@
     bytes[random() % bytes.size()] = static_cast<char>(random());
     HttpResponse response(1000);
     ASSERT_LE(response.feed(bytes), bytes.size());
-    response.ended();
+    response.onConnectionClosed();
     malformed += response.state() == State::Malformed ? 1 : 0;
     ASSERT_NE(response.state(), State::Reading);
   }
--- a/tests/emulator_test.cpp
+++ b/tests/emulator_test.cpp
@@ -200,7 +200,7 @@
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(kLoopback);
   EXPECT_EQ(::bind(fd.get(), reinterpret_cast<sockaddr*>(&address), sizeof address), 0);
-  at = *transport::boundTo(fd.get());
+  at = *transport::localAddress(fd.get());
   return fd;
 }
 
--- a/tests/endpoint_connection_test.cpp
+++ b/tests/endpoint_connection_test.cpp
@@ -67,7 +67,7 @@
   client.ask(request("save", "1", "", 1'000));
   ASSERT_TRUE(rig.until([&] { return pending != nullptr; }));
   pending->say(rig.endpoints[0]->value("in time"));
-  rig.loop.clock().moveTo(rig.loop.now() + 2 * kSecond);
+  rig.loop.clock().advanceTo(rig.loop.now() + 2 * kSecond);
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "in time");
 }
--- a/tests/flood_test.cpp
+++ b/tests/flood_test.cpp
@@ -18,7 +18,7 @@
   ClientStandIn good(rig.loop, rig.socketAddress);
   good.ask(request("save", "good"));
   ASSERT_TRUE(good.answered());
-  const std::size_t before = rig.loop.memory().taken();
+  const std::size_t before = rig.loop.memory().used();
   for (int i = 0; i < 10; ++i) {
     PlainSocket flooding(rig.loop, rig.socketAddress);
     std::string much = openingOf(GetParam());
@@ -30,7 +30,7 @@
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().clientsAccepted == 11; }));
   ASSERT_TRUE(rig.until([&] { return rig.counters().descriptors <= 1 + rig.endpoints[0]->openLines(); }));
-  EXPECT_EQ(rig.loop.memory().taken(), before);
+  EXPECT_EQ(rig.loop.memory().used(), before);
   EXPECT_FALSE(good.ended());
   good.ask(request("save", "still good"));
   ASSERT_TRUE(good.answered(2));
--- a/tests/gateway_rules_test.cpp
+++ b/tests/gateway_rules_test.cpp
@@ -126,7 +126,7 @@
   }
   EXPECT_LE(most, 76U) << "a hundred less the reserve";
   EXPECT_EQ(rig.counters().requestsServed, kRounds);
-  EXPECT_LT(rig.loop.memory().taken(), 1'000'000U);
+  EXPECT_LT(rig.loop.memory().used(), 1'000'000U);
   // Once no more connect, idle clients are evicted too.
   EXPECT_TRUE(rig.until([&] {
     std::size_t open = 0;
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -284,7 +284,7 @@
     ASSERT_TRUE(greedy.back()->send(begun));
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().memoryRejections >= 1; }));
-  EXPECT_LE(rig.loop.memory().taken(), 500'000U);
+  EXPECT_LE(rig.loop.memory().used(), 500'000U);
   ClientStandIn usual(rig.loop, rig.socketAddress);
   usual.ask(request("any", "1"));
   ASSERT_TRUE(usual.answered());
@@ -296,7 +296,7 @@
     rejected += client->lastCode() == "53300" ? 1 : 0;
   }
   EXPECT_EQ(rejected, rig.counters().memoryRejections);
-  EXPECT_LT(rig.loop.memory().taken(), 100'000U) << "freed";
+  EXPECT_LT(rig.loop.memory().used(), 100'000U) << "freed";
 }
 
 // Failure: many silent connections evict clients that have sent requests.
--- a/tests/installation_test.cpp
+++ b/tests/installation_test.cpp
@@ -1,5 +1,5 @@
-// The installation's settings: what is read, and what is rejected with file, line, element and what was
-// expected.
+// The settings of an installation: what is read, and what is rejected with file, line, element and the
+// expected value.
 #include "installation/installation.h"
 
 #include <gtest/gtest.h>
@@ -58,7 +58,7 @@
   EXPECT_EQ(read->listeners[0].writeClass, "save");
   ASSERT_EQ(read->families.size(), 1U);
   EXPECT_EQ(read->families[0].cluster, 3U);
-  EXPECT_TRUE(read->families[0].speaks("bolt"));
+  EXPECT_TRUE(read->families[0].supports("bolt"));
   EXPECT_TRUE(read->families[0].protocols[0].listed);
   EXPECT_EQ(read->families[0].protocols[1].port, 7687);
   EXPECT_EQ(read->boltLogin->principal, "driver");
@@ -72,8 +72,8 @@
   EXPECT_EQ(read->log.form, LogForm::Text);
 }
 
-// Each of these is rejected, and the message names where it is and what was expected.
-TEST(InstallationSettings, ThatAreWrongAreRejectedWithAReason) {
+// Each case is rejected with a message that contains the given texts.
+TEST(InstallationSettings, ThatAreInvalidAreRejectedWithAReason) {
   const std::string family =
       "<families><family name=\"terms\" cluster=\"0\"><protocol name=\"bolt\" "
       "listed=\"true\"/></family></families>";
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -144,7 +144,7 @@
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const std::uint64_t before = rig.counters().listsTaken;
   rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "]");
-  rig.loop.clock().moveTo(rig.loop.now() + 10 * kSecond);
+  rig.loop.clock().advanceTo(rig.loop.now() + 10 * kSecond);
   ASSERT_TRUE(rig.until([&] { return rig.counters().listsTaken > before; }));
   EXPECT_EQ(rig.counters().discoveryFailures, 0U);
 }
--- a/tests/packstream_test.cpp
+++ b/tests/packstream_test.cpp
@@ -1,4 +1,4 @@
-// PackStream and the cutting of Bolt's messages, against bytes written independently.
+// PackStream and the framing of Bolt's messages, checked against an independent implementation.
 #include "protocol/packstream.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace heathflow::protocol {
 namespace {
 
-using packstream::Flaw;
+using packstream::DecodeError;
 using packstream::Reader;
 using packstream::Type;
 namespace peer = test::bolt;
@@ -29,10 +29,10 @@
     packstream::addInteger(bytes, value);
     EXPECT_EQ(bytes.size(), size) << value;
     Reader reader(bytes);
-    const auto head = reader.head();
-    ASSERT_TRUE(head) << value;
-    EXPECT_EQ(head->type, Type::Integer);
-    EXPECT_EQ(head->integer, value);
+    const auto header = reader.header();
+    ASSERT_TRUE(header) << value;
+    EXPECT_EQ(header->type, Type::Integer);
+    EXPECT_EQ(header->integer, value);
     EXPECT_TRUE(reader.atEnd());
   }
 }
@@ -55,13 +55,13 @@
       peer::structure('R', std::vector<std::string>(8, peer::integer(1)))};
   std::string all;
   for (const std::string& value : values) {
-    EXPECT_EQ(packstream::check(value), Flaw::None) << test::bolt::list({}).size();
+    EXPECT_EQ(packstream::check(value), DecodeError::None) << test::bolt::list({}).size();
     all += value;
-    // Cut anywhere it is no value, and neither is it with a byte behind it.
+    // Neither a truncated value nor one followed by a further byte is valid.
     for (std::size_t size = 0; size < std::min<std::size_t>(value.size(), 60); ++size) {
-      EXPECT_NE(packstream::check(value.substr(0, size)), Flaw::None);
+      EXPECT_NE(packstream::check(value.substr(0, size)), DecodeError::None);
     }
-    EXPECT_NE(packstream::check(value + "\x01"), Flaw::None);
+    EXPECT_NE(packstream::check(value + "\x01"), DecodeError::None);
   }
   Reader reader(all);
   for (std::size_t i = 0; i < values.size(); ++i) EXPECT_TRUE(reader.skip()) << i;
@@ -70,21 +70,21 @@
 
 TEST(PackStreamFlaws, AreNamed) {
   const auto nested = [](unsigned depth) { return std::string(depth, '\x91') + "\x01"; };
-  EXPECT_EQ(packstream::check(nested(packstream::kDeepest)), Flaw::None);
-  EXPECT_EQ(packstream::check(nested(packstream::kDeepest + 1)), Flaw::TooDeep);
-  EXPECT_EQ(packstream::check("\xC4"), Flaw::UnknownMarker);
-  EXPECT_EQ(packstream::check("\xD6\xFF\xFF\xFF\xFF\x01"), Flaw::CutShort);
-  EXPECT_EQ(packstream::check(std::string("\xD2\xB2\xD0\x5E\x00x", 6)), Flaw::CutShort);
-  EXPECT_EQ(packstream::check("\xA1\x01\x01"), Flaw::KeyIsNoText);
-  EXPECT_EQ(packstream::check("\xB1\x7A\x01"), Flaw::UnknownStructure);
-  EXPECT_EQ(packstream::check("\xB2\x44\x01\x01"), Flaw::WrongFieldCount);
-  // Twice the same key, among few and among many.
+  EXPECT_EQ(packstream::check(nested(packstream::kMaxDepth)), DecodeError::None);
+  EXPECT_EQ(packstream::check(nested(packstream::kMaxDepth + 1)), DecodeError::TooDeep);
+  EXPECT_EQ(packstream::check("\xC4"), DecodeError::UnknownMarker);
+  EXPECT_EQ(packstream::check("\xD6\xFF\xFF\xFF\xFF\x01"), DecodeError::Truncated);
+  EXPECT_EQ(packstream::check(std::string("\xD2\xB2\xD0\x5E\x00x", 6)), DecodeError::Truncated);
+  EXPECT_EQ(packstream::check("\xA1\x01\x01"), DecodeError::KeyNotText);
+  EXPECT_EQ(packstream::check("\xB1\x7A\x01"), DecodeError::UnknownStructure);
+  EXPECT_EQ(packstream::check("\xB2\x44\x01\x01"), DecodeError::WrongFieldCount);
+  // Duplicate keys in small and in large maps.
   for (const std::size_t entries : {2U, 16U, 17U, 200U}) {
     peer::Entries map;
     for (std::size_t i = 0; i < entries; ++i) map.emplace_back("k" + std::to_string(i), peer::integer(1));
-    EXPECT_EQ(packstream::check(peer::map(map)), Flaw::None) << entries;
+    EXPECT_EQ(packstream::check(peer::map(map)), DecodeError::None) << entries;
     map.back().first = "k0";
-    EXPECT_EQ(packstream::check(peer::map(map)), Flaw::RepeatedKey) << entries;
+    EXPECT_EQ(packstream::check(peer::map(map)), DecodeError::DuplicateKey) << entries;
   }
 }
 
@@ -106,26 +106,26 @@
   for (const std::size_t chunk : {1U, 7U, 100U, 65535U}) {
     const std::string bytes = peer::chunked(payload, chunk);
     bolt::ChunkScan scan;
-    bolt::Cut cut;
+    bolt::Frame frame;
     for (std::size_t size = 0; size < bytes.size(); ++size) {
-      cut = bolt::cut(std::string_view(bytes).substr(0, size), 10'000, scan);
-      ASSERT_EQ(cut.kind, bolt::Cut::Kind::Partial) << chunk << " " << size;
+      frame = bolt::readFrame(std::string_view(bytes).substr(0, size), 10'000, scan);
+      ASSERT_EQ(frame.kind, bolt::Frame::Kind::Partial) << chunk << " " << size;
     }
-    cut = bolt::cut(bytes, 10'000, scan);
-    ASSERT_EQ(cut.kind, bolt::Cut::Kind::Whole);
-    EXPECT_EQ(cut.size, bytes.size());
+    frame = bolt::readFrame(bytes, 10'000, scan);
+    ASSERT_EQ(frame.kind, bolt::Frame::Kind::Complete);
+    EXPECT_EQ(frame.size, bytes.size());
     std::string scratch;
-    EXPECT_EQ(bolt::payloadOf(bytes, cut, scratch), payload);
+    EXPECT_EQ(bolt::payloadOf(bytes, frame, scratch), payload);
     EXPECT_EQ(bolt::tagOf(bytes), bolt::Tag::Run);
   }
 }
 
 TEST(BoltChunks, ThatAreTooLongAreJudgedByTheirHeads) {
   bolt::ChunkScan scan;
-  EXPECT_EQ(bolt::cut("\xFF\xFF", 1000, scan).kind, bolt::Cut::Kind::TooLong);
+  EXPECT_EQ(bolt::readFrame("\xFF\xFF", 1000, scan).kind, bolt::Frame::Kind::TooLong);
   bolt::ChunkScan fresh;
   const std::string bytes = std::string("\x01\xF4", 2) + std::string(500, 'x') + std::string("\x01\xF5", 2);
-  EXPECT_EQ(bolt::cut(bytes, 1000, fresh).kind, bolt::Cut::Kind::TooLong);
+  EXPECT_EQ(bolt::readFrame(bytes, 1000, fresh).kind, bolt::Frame::Kind::TooLong);
 }
 
 TEST(BoltHandshakes, ChooseTheFirstProposalThatHasAVersion) {
@@ -150,7 +150,7 @@
   ASSERT_TRUE(read);
   EXPECT_EQ(read->group, 3U);
   EXPECT_EQ(read->positionMs, 1767225600123);
-  EXPECT_EQ(read->own, "FB:own:mark");
+  EXPECT_EQ(read->endpointBookmark, "FB:own:mark");
   EXPECT_EQ(bolt::toText(*read), "hf1:3:1767225600123:FB:own:mark");
   for (const char* text : {"", "hf1:", "hf1:3", "hf1:3:5", "hf1:x:5:", "hf1:-3:5:", "hf1:3:-5:", "hf1:3:5x:",
                            "hf2:3:5:", "hf1:99999999999:5:", "hf1:3:99999999999999999999:", "FB:abc"}) {
--- a/tests/pg_client_test.cpp
+++ b/tests/pg_client_test.cpp
@@ -1,4 +1,4 @@
-// The client side of the protocol: what endpoints answer, in any pieces.
+// The client side of PostgreSQL's protocol: answers of endpoints, in any pieces.
 #include "protocol/pg_client.h"
 
 #include <gtest/gtest.h>
@@ -23,15 +23,15 @@
     input += bytes;
     return client.feed(input);
   }
-  void drop() {
-    input.erase(0, client.seen());
-    client.dropped();
+  void consume() {
+    input.erase(0, client.parsedBytes());
+    client.onConsumed();
   }
-  // One that is up, with a query out.
+  // Completes the startup and sends a query.
   void ask() {
     EXPECT_EQ(feed(pg::welcome()), Event::Ready);
-    drop();
-    client.queried();
+    consume();
+    client.onQueryWritten();
   }
   std::string_view of(const Slice& slice) const { return slice.of(input); }
 };
@@ -62,7 +62,7 @@
   EXPECT_FALSE(endpoint.client.usable());
 }
 
-TEST(PgClientStart, RejectsToGiveAPassword) {
+TEST(PgClientStart, SendsNoPassword) {
   Endpoint endpoint;
   EXPECT_EQ(endpoint.feed(pg::message('R', pg::u32(3))), Event::Broken);
 }
@@ -86,7 +86,7 @@
     ASSERT_EQ(endpoint.of(answer.commandComplete), pg::complete());
     ASSERT_EQ(answer.primary, true);
     ASSERT_EQ(answer.positionMs, 1767225600123);
-    ASSERT_EQ(endpoint.client.seen(), whole.size());
+    ASSERT_EQ(endpoint.client.parsedBytes(), whole.size());
     ASSERT_TRUE(endpoint.client.usable());
   }
 }
@@ -99,8 +99,8 @@
             Event::Answered);
   EXPECT_EQ(endpoint.client.answer().primary, false);
   EXPECT_EQ(endpoint.of(endpoint.client.answer().report), "x0=1,x1=0");
-  endpoint.drop();
-  endpoint.client.queried();
+  endpoint.consume();
+  endpoint.client.onQueryWritten();
   ASSERT_EQ(endpoint.feed(pg::row("two") + pg::ready()), Event::Answered);
   EXPECT_EQ(endpoint.of(endpoint.client.answer().value), "two");
   EXPECT_EQ(endpoint.client.answer().primary, std::nullopt);
@@ -127,17 +127,17 @@
 TEST(PgClientAnswers, AreWholeAtTheEndOnceNothingCanChangeThem) {
   Endpoint endpoint;
   endpoint.ask();
-  EXPECT_FALSE(endpoint.client.wholeAtEnd());
+  EXPECT_FALSE(endpoint.client.completeAtClose());
   endpoint.feed(pg::rowDescription() + pg::dataRow("v"));
-  EXPECT_TRUE(endpoint.client.answering());
-  EXPECT_FALSE(endpoint.client.wholeAtEnd());
+  EXPECT_TRUE(endpoint.client.answerStarted());
+  EXPECT_FALSE(endpoint.client.completeAtClose());
   endpoint.feed(pg::complete());
-  EXPECT_TRUE(endpoint.client.wholeAtEnd());
+  EXPECT_TRUE(endpoint.client.completeAtClose());
   EXPECT_EQ(endpoint.client.answer().kind, Kind::Row);
 }
 
-// Guards a row against an error that only tells why the connection goes.
-TEST(PgClientAnswers, ARowStaysOneWhenTheEndpointEndsBehindIt) {
+// An error after a complete row that only explains why the connection is closed must not replace the row.
+TEST(PgClientAnswers, ARowRemainsTheAnswerIfTheEndpointThenShutsDown) {
   Endpoint endpoint;
   endpoint.ask();
   EXPECT_EQ(endpoint.feed(pg::row("v") + pg::error("57P01", "FATAL")), Event::Answered);
@@ -152,11 +152,11 @@
   EXPECT_EQ(endpoint.client.answer().kind, Kind::Empty);
 }
 
-// Guards the next request on the connection: bytes that nobody asked for are not its answer.
+// Unsolicited bytes must not be taken for the answer to the next request.
 TEST(PgClientAnswers, BytesThatNobodyAskedForBreakTheConnection) {
   Endpoint endpoint;
   EXPECT_EQ(endpoint.feed(pg::welcome()), Event::Ready);
-  endpoint.drop();
+  endpoint.consume();
   EXPECT_EQ(endpoint.feed(pg::row("stray")), Event::Broken);
 }
 
@@ -198,7 +198,7 @@
     endpoint.ask();
     const Event event = endpoint.feed(bytes);
     broken += event == Event::Broken ? 1 : 0;
-    ASSERT_LE(endpoint.client.seen(), bytes.size());
+    ASSERT_LE(endpoint.client.parsedBytes(), bytes.size());
     if (event != Event::Answered || endpoint.client.answer().kind != Kind::Row) continue;
     ++rows;
     const PgAnswer& answer = endpoint.client.answer();
--- a/tests/pg_server_test.cpp
+++ b/tests/pg_server_test.cpp
@@ -1,4 +1,4 @@
-// The server side of the protocol: what clients may send, in any pieces, and what they get.
+// The server side of PostgreSQL's protocol: messages of clients, in any pieces, and the replies.
 #include "protocol/pg_server.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace pg = test::pg;
 using Kind = PgServer::Step::Kind;
 
-// Feeds a machine as a connection does: bytes come in, whole steps are taken, consumed bytes go.
+// Drives the state machine as a client connection does.
 struct Client {
   Buffer output{1 << 20};
   PgServer server;
@@ -31,17 +31,17 @@
       last = step.kind;
       if (step.kind == Kind::NeedMore) return;
       if (step.kind == Kind::Query) statements.emplace_back(step.statement.of(input));
-      over = step.kind == Kind::Left || step.kind == Kind::Fatal;
+      over = step.kind == Kind::Disconnect || step.kind == Kind::Fatal;
       input.erase(0, step.consumed);
     }
   }
   std::string written() const { return std::string(output.view()); }
-  // The types of the messages written since the startup's were dropped.
+  // The types of the messages written since start().
   std::string types() const {
     std::string bytes = written();
     std::string out;
     for (const auto& message : pg::cut(bytes)) out += message.type;
-    EXPECT_TRUE(bytes.empty()) << "no whole messages";
+    EXPECT_TRUE(bytes.empty()) << "an incomplete message";
     return out;
   }
   std::string code() const {
@@ -84,7 +84,7 @@
 TEST(PgServerStartup, EndsWithACancelRequest) {
   Client client;
   client.feed(pg::u32(16) + pg::u32(80877102) + pg::u32(0) + pg::u32(0));
-  EXPECT_EQ(client.last, Kind::Left);
+  EXPECT_EQ(client.last, Kind::Disconnect);
   EXPECT_TRUE(client.written().empty());
 }
 
@@ -99,7 +99,7 @@
   EXPECT_TRUE(newer.server.started());
 }
 
-// Guards memory: a length is judged before its bytes are waited for.
+// A length is checked before its bytes are waited for; otherwise a client could make the gateway buffer them.
 TEST(PgServerStartup, TurnsDownLengthsOutOfRange) {
   for (const std::uint32_t length : {0U, 7U, 10'001U, 0x7FFFFFFFU, 0xFFFFFFFFU}) {
     Client client;
@@ -126,14 +126,14 @@
   Client reference;
   reference.feed(whole);
   ASSERT_EQ(reference.statements.size(), 2U);
-  ASSERT_EQ(reference.last, Kind::Left);
+  ASSERT_EQ(reference.last, Kind::Disconnect);
   for (std::size_t at = 1; at < whole.size(); ++at) {
     Client client;
     client.feed(std::string_view(whole).substr(0, at));
     client.feed(std::string_view(whole).substr(at));
     ASSERT_EQ(client.statements, reference.statements) << at;
     ASSERT_EQ(client.written(), reference.written()) << at;
-    ASSERT_EQ(client.last, Kind::Left) << at;
+    ASSERT_EQ(client.last, Kind::Disconnect) << at;
   }
   Client single;
   for (const char byte : whole) single.feed(std::string_view(&byte, 1));
@@ -141,7 +141,7 @@
   EXPECT_EQ(single.written(), reference.written());
 }
 
-// Guards clients that prepare statements: an error each, and the connection stays in step.
+// Clients that prepare statements get one error up to their Sync, and the connection stays usable.
 TEST(PgServerQueries, RejectTheExtendedProtocolUpToItsSync) {
   Client client;
   client.start();
@@ -178,7 +178,7 @@
   }
 }
 
-// Whatever comes, steps end and consume no more than there is.
+// Whatever the input, the steps come to an end and consume no more than there is.
 TEST(PgServerQueries, SurviveMutatedInput) {
   const std::string whole = pg::startup() + pg::query("SELECT 'a' /* id=1 */") + pg::message('P', "x") +
                             pg::message('S', "") + pg::query("");
@@ -196,7 +196,7 @@
       ASSERT_LE(step.consumed, rest.size());
       if (step.kind == Kind::NeedMore) break;
       fatal += step.kind == Kind::Fatal ? 1 : 0;
-      if (step.kind == Kind::Left || step.kind == Kind::Fatal) break;
+      if (step.kind == Kind::Disconnect || step.kind == Kind::Fatal) break;
       ASSERT_GT(step.consumed, 0U);
       ASSERT_LE(step.statement.at + step.statement.size, step.consumed);
       rest.remove_prefix(step.consumed);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -184,7 +184,7 @@
 // ---- Gateways that are cut off ----
 
 TEST(GatewayFleet, ThatIsHealedHearsAtOnceHoweverLongItsPathHasStood) {
-  transport::EventLoop loop(transport::Clock::byHand(transport::Clock().now()));
+  transport::EventLoop loop(transport::Clock::manual(transport::Clock().now()));
   FleetPlan plan = planOf(1, 0);
   plan.hasCutLink = true;
   GatewayFleet fleet(loop, plan, listOf(20));
@@ -206,7 +206,7 @@
 
 // A datagram that is on its way when the conditions changes arrives when it would have.
 TEST(DatagramLink, ThatIsChangedKeepsTheTimesOfWhatIsOnItsWay) {
-  transport::EventLoop loop(transport::Clock::byHand(transport::Clock().now()));
+  transport::EventLoop loop(transport::Clock::manual(transport::Clock().now()));
   const auto socketOf = [] {
     transport::UniqueFd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     sockaddr_in place{};
@@ -218,7 +218,8 @@
   const transport::UniqueFd from = socketOf(), to = socketOf();
   Fault slow;
   slow.delay = 2'000'000;
-  DatagramLink link(loop, {test::kLoopback, 0}, *transport::boundTo(to.get()), LinkConditions({slow}, 1));
+  DatagramLink link(loop, {test::kLoopback, 0}, *transport::localAddress(to.get()),
+                    LinkConditions({slow}, 1));
   const Micros start = loop.now();
   transport::Timer tenSeconds(loop, [] {});
   tenSeconds.arm(start + 10'000'000);
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -31,7 +31,7 @@
     ASSERT_TRUE(queued.back()->send(pg::startup() + pg::query(request("any", std::to_string(i)))));
   }
   ASSERT_EQ(rig.loop.now(), startedAt) << "the loop has turned meanwhile";
-  rig.loop.clock().moveTo(startedAt + 500'000);
+  rig.loop.clock().advanceTo(startedAt + 500'000);
   for (auto& client : queued) {
     EXPECT_TRUE(client->reads("served"));
     EXPECT_TRUE(client->gone());
@@ -76,7 +76,7 @@
   // The other listener has closed by now.
   ASSERT_TRUE(rig.until([&] { return PlainSocket(rig.loop, rig.graphEndpoint).gone(); }));
   ASSERT_TRUE(rig.until([&] {
-    transport::Opened opened = transport::startConnect(rig.graphEndpoint);
+    transport::SocketResult opened = transport::startConnect(rig.graphEndpoint);
     rig.loop.turn(1'000);
     return !opened.fd || transport::pendingError(opened.fd.get()) != 0;
   }));
--- a/tests/snapshot_source_test.cpp
+++ b/tests/snapshot_source_test.cpp
@@ -14,7 +14,7 @@
 class RestartedGateway {
  public:
   explicit RestartedGateway(const std::string& source)
-      : loop(transport::Clock::byHand(transport::Clock().now())), discovery(loop), endpoint(loop) {
+      : loop(transport::Clock::manual(transport::Clock().now())), discovery(loop), endpoint(loop) {
     endpoint.primary = true;
     discovery.endpoints = "[" + entry("m0", endpoint.address(), true) + "]";
     discovery.revision = 2 * kCachedRevision;
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -1,4 +1,4 @@
-// Buffers, the clock, the loop and streams over loopback.
+// Buffers, the clock, the event loop, and streams over loopback.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -38,12 +38,12 @@
   EXPECT_EQ(buffer.size(), 60U);
   EXPECT_TRUE(buffer.append(std::string(40, 'z')));
   EXPECT_TRUE(buffer.full());
-  EXPECT_EQ(buffer.room().size, 0U);
+  EXPECT_EQ(buffer.prepare().size, 0U);
   buffer.consume(10);
-  EXPECT_EQ(buffer.room().size, 10U);
+  EXPECT_EQ(buffer.prepare().size, 10U);
 }
 
-// Guards the memory of a process with many connections that each carried something large once.
+// Many connections that have each carried one large message must not keep its memory.
 TEST(BufferQueue, GivesBackWhatALargeMessageNeeded) {
   Buffer buffer(256 * 1024);
   ASSERT_TRUE(buffer.append(std::string(200 * 1024, 'x')));
@@ -52,32 +52,33 @@
   EXPECT_LE(buffer.capacity(), 16U * 1024);
 }
 
-// Guards the memory of all connections together.
+// The buffers of all connections share one memory limit.
 TEST(BufferQueue, TakesWhatIsLargeFromTheBudgetAndGivesItBack) {
   MemoryBudget budget(100'000);
   {
     Buffer first(80'000, &budget);
     Buffer second(80'000, &budget);
     ASSERT_TRUE(first.append(std::string(4000, 'x')));
-    EXPECT_EQ(budget.taken(), 0U) << "a small piece is always to be had";
+    EXPECT_EQ(budget.used(), 0U) << "small buffers are not charged";
     ASSERT_TRUE(first.append(std::string(60'000, 'x')));
-    EXPECT_EQ(budget.taken(), first.capacity());
+    EXPECT_EQ(budget.used(), first.capacity());
     EXPECT_FALSE(second.append(std::string(60'000, 'y')));
     EXPECT_TRUE(second.empty());
     EXPECT_TRUE(second.append(std::string(4000, 'y')));
     first.consume(64'000);
-    EXPECT_EQ(budget.taken(), 0U);
+    EXPECT_EQ(budget.used(), 0U);
     EXPECT_TRUE(second.append(std::string(60'000, 'y')));
     EXPECT_EQ(second.size(), 64'000U);
   }
-  EXPECT_EQ(budget.taken(), 0U);
+  EXPECT_EQ(budget.used(), 0U);
 }
 
-TEST(ClockReadings, TakeTheWallOnceAndRunWithTheSteadyClock) {
+TEST(ClockReadings, ReadTheWallClockOnceAndFollowTheSteadyClock) {
   Clock clock;
   EXPECT_EQ(clock.reading(1000, 5'000'000), 5'000'000);
   EXPECT_EQ(clock.reading(2000, 5'001'000), 5'001'000);
-  // Set back by four seconds, and forward by four, and by an hour: time goes on as the steady clock does.
+  // Wall clock steps of four seconds back, four seconds forward and one hour forward do not change the
+  // readings.
   EXPECT_EQ(clock.reading(3000, 1'002'000), 5'002'000);
   EXPECT_EQ(clock.reading(4000, 9'003'000), 5'003'000);
   EXPECT_EQ(clock.reading(5000, 3'605'004'000), 5'004'000);
@@ -142,12 +143,12 @@
   explicit Pair(EventLoop& loop, Stream::Limits limits = {1 << 20, 1 << 20}, Over over = Over::Unix)
       : a(loop, limits), b(loop, limits) {
     if (over == Over::Tcp) {
-      const Opened listener = listenOn({0x7F000001, 0}, 1);
-      Opened opened = startConnect(*boundTo(listener.fd.get()));
+      const SocketResult listener = listenOn({0x7F000001, 0}, 1);
+      SocketResult opened = startConnect(*localAddress(listener.fd.get()));
       EXPECT_TRUE(a.stream.adopt(std::move(opened.fd)));
-      Opened taken;
-      EXPECT_TRUE(until(loop, [&] { return (taken = acceptFrom(listener.fd.get())).error == 0; }));
-      EXPECT_TRUE(b.stream.adopt(std::move(taken.fd)));
+      SocketResult accepted;
+      EXPECT_TRUE(until(loop, [&] { return (accepted = acceptFrom(listener.fd.get())).error == 0; }));
+      EXPECT_TRUE(b.stream.adopt(std::move(accepted.fd)));
       return;
     }
     int fds[2] = {-1, -1};
@@ -172,7 +173,7 @@
   EXPECT_GE(pair.a.outputFlushed, 1);
 }
 
-// Guards edge-triggered reading: what is left in the socket when the input is full gets no second edge.
+// With edge-triggered events, bytes left in the socket because the input was full cause no further event.
 TEST(Streams, ReadOnAfterAFullInputWasEmptied) {
   EventLoop loop;
   Pair pair(loop, {2000, 1 << 20});
@@ -203,12 +204,12 @@
   EXPECT_TRUE(pair.b.stream.closed());
 }
 
-// Guards what stands behind a full input when the peer's end is there already, in order or not.
+// Data after a full input must not be lost if the peer has already closed, orderly or with a reset.
 TEST(Streams, ReadAllThatCameBeforeTheEndHoweverSmallTheirInput) {
   for (const StreamEnd how : {StreamEnd::Closed, StreamEnd::Failed}) {
     EventLoop loop;
     Pair pair(loop, {2000, 1 << 20});
-    // Closed over unread bytes, a socket is reset.
+    // Closing a socket with unread bytes resets the connection.
     if (how == StreamEnd::Failed) {
       ASSERT_TRUE(pair.b.stream.output().append("unread"));
       pair.b.stream.flush();
@@ -222,7 +223,7 @@
   }
 }
 
-// Guards the last words to a peer that sends on: they go out whole, and what it sends is never reported.
+// A peer that keeps sending must still get all output, and its data must not be reported.
 TEST(Streams, ThatLingerSendWhatIsWrittenAndDropWhatComes) {
   EventLoop loop;
   Pair pair(loop, {8 << 20, 8 << 20}, Over::Tcp);
@@ -249,13 +250,13 @@
   silent.a.stream.linger(1'000);
   EXPECT_TRUE(until(loop, [&] { return silent.a.ended; }));
   EXPECT_TRUE(silent.a.stream.closed());
-  // One that sends on after the other's half-close.
-  const Opened listener = listenOn({0x7F000001, 0}, 1);
-  const Opened greedy = startConnect(*boundTo(listener.fd.get()));
-  Opened taken;
-  ASSERT_TRUE(until(loop, [&] { return (taken = acceptFrom(listener.fd.get())).error == 0; }));
+  // A peer that keeps sending after the half-close.
+  const SocketResult listener = listenOn({0x7F000001, 0}, 1);
+  const SocketResult greedy = startConnect(*localAddress(listener.fd.get()));
+  SocketResult accepted;
+  ASSERT_TRUE(until(loop, [&] { return (accepted = acceptFrom(listener.fd.get())).error == 0; }));
   Peer lingering(loop);
-  ASSERT_TRUE(lingering.stream.adopt(std::move(taken.fd)));
+  ASSERT_TRUE(lingering.stream.adopt(std::move(accepted.fd)));
   lingering.stream.linger(3'600'000'000);
   std::size_t sent = 0;
   const std::string piece(1 << 20, 'x');
@@ -268,7 +269,8 @@
   EXPECT_EQ(lingering.got, "");
 }
 
-// Closed at once while it lingers: what has come is dropped first, so that what was sent is not overtaken.
+// When a lingering stream is closed at once, received bytes are discarded first; otherwise the kernel would
+// send a reset that overtakes the output.
 TEST(Streams, ThatLingerAreClosedWithoutAReset) {
   EventLoop loop;
   Pair pair(loop, {1 << 20, 1 << 20}, Over::Tcp);
@@ -282,7 +284,7 @@
   EXPECT_EQ(pair.b.end, StreamEnd::Closed);
 }
 
-// Guards the process: a fault in the handling of one connection ends that connection and no other.
+// An exception while handling one connection must not affect any other.
 TEST(Streams, EndWhenTheirOwnerThrows) {
   EventLoop loop;
   Pair bad(loop);
@@ -297,33 +299,33 @@
   EXPECT_TRUE(until(loop, [&] { return good.b.got == "y"; }));
 }
 
-// Guards an idle connection that its peer has closed, or spoken on, since it was last used.
+// An idle connection must not be reused if its peer has closed it or sent something meanwhile.
 TEST(Streams, AreQuietOnlyWhileNothingHasComeIn) {
   EventLoop loop;
-  Pair spoken(loop);
+  Pair withInput(loop);
   Pair closed(loop);
-  EXPECT_TRUE(spoken.b.stream.quiet());
-  ASSERT_TRUE(spoken.a.stream.output().append("!"));
-  spoken.a.stream.flush();
-  EXPECT_FALSE(spoken.b.stream.quiet());
-  EXPECT_TRUE(closed.b.stream.quiet());
+  EXPECT_TRUE(withInput.b.stream.isIdle());
+  ASSERT_TRUE(withInput.a.stream.output().append("!"));
+  withInput.a.stream.flush();
+  EXPECT_FALSE(withInput.b.stream.isIdle());
+  EXPECT_TRUE(closed.b.stream.isIdle());
   closed.a.stream.close();
-  EXPECT_FALSE(closed.b.stream.quiet());
+  EXPECT_FALSE(closed.b.stream.isIdle());
 }
 
-TEST(Streams, TellARejectedConnection) {
+TEST(Streams, ReportARejectedConnection) {
   EventLoop loop;
-  Opened listener = listenOn({0x7F000001, 0}, 1);
+  SocketResult listener = listenOn({0x7F000001, 0}, 1);
   ASSERT_TRUE(listener.fd);
-  const auto socketAddress = boundTo(listener.fd.get());
+  const auto socketAddress = localAddress(listener.fd.get());
   ASSERT_TRUE(socketAddress);
   listener.fd.reset();
   Peer peer(loop);
   int error = 0;
-  // The system may say so at once or a little later.
+  // The system may report it at once or later.
   if (peer.stream.connect(*socketAddress, error)) {
     EXPECT_TRUE(until(loop, [&] { return peer.ended; }));
-    EXPECT_EQ(peer.end, StreamEnd::NotConnected);
+    EXPECT_EQ(peer.end, StreamEnd::ConnectFailed);
   } else {
     EXPECT_EQ(error, ECONNREFUSED);
   }
