--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -129,7 +129,7 @@
 void DiscoveryWatch::onError(DiscoveryCall& call, const CallError& error) {
   if (&call == newest_.get()) return callFailed(error, loop_.now() - call.startedAt());
   // An overdue call was already counted as failed when it timed out.
-  if (auto overdue = takeOverdue(call)) loop_.retire(std::move(overdue));
+  if (auto overdue = takeOverdue(call)) loop_.deleteLater(std::move(overdue));
 }
 
 // Removes and returns an overdue call; returns null if the call is not overdue.
@@ -165,7 +165,7 @@
   overdue_.push_back(std::move(newest_));
   if (overdue_.size() > kMaxOverdueCalls) {
     overdue_.front()->close();
-    loop_.retire(std::move(overdue_.front()));
+    loop_.deleteLater(std::move(overdue_.front()));
     overdue_.erase(overdue_.begin());
   }
   callFailed({CallFailure::TimedOut, "no response", {}}, elapsed);
@@ -212,7 +212,7 @@
 void DiscoveryWatch::closeOverdue() {
   for (auto& entry : overdue_) {
     entry->close();
-    loop_.retire(std::move(entry));
+    loop_.deleteLater(std::move(entry));
   }
   overdue_.clear();
 }
--- a/src/downstream/client_connection.cpp
+++ b/src/downstream/client_connection.cpp
@@ -75,7 +75,7 @@
 // waited in the socket since it filled up, and count from then: no request outlives its client's timeout.
 void ClientConnection::recordArrivals() {
   const Micros arrivedAt = inputFullSince_ != 0 ? inputFullSince_ : loop_.now();
-  arrivals_.add(stream_.input().size() - arrivals_.waiting(), arrivedAt);
+  arrivals_.add(stream_.input().size() - arrivals_.bufferedBytes(), arrivedAt);
   if (!stream_.stalled()) {
     inputFullSince_ = 0;
   } else if (inputFullSince_ == 0) {
@@ -85,7 +85,7 @@
 
 void ClientConnection::consumeInput(std::size_t size) {
   stream_.input().consume(size);
-  arrivals_.drop(size);
+  arrivals_.consume(size);
 }
 
 void ClientConnection::onOutputFlushed() {
@@ -120,13 +120,13 @@
 // Returns whether the input behind the open request can't be handled at present.
 bool ClientConnection::mustWait() {
   if (!busy_) return false;
-  if (!side_->takesParts() || stream_.input().size() == requestSize_) {
+  if (!side_->acceptsRequestParts() || stream_.input().size() == requestSize_) {
     messageTimeout_.disarm();
     incompleteSince_ = 0;
     return true;
   }
   // The next part of the request waits until the connection to its endpoint has room for it.
-  return !side_->interrupted(stream_.input().view(), requestSize_) &&
+  return !side_->interruptPending(stream_.input().view(), requestSize_) &&
          !router_.canWriteMore(request_, stream_.input().size() - requestSize_);
 }
 
@@ -137,12 +137,12 @@
     ++observer_.counters.clientProtocolErrors;
     note(Topic::Downstream, "the client violated the protocol");
   }
-  if (side_->introduced()) identified_ = true;
+  if (side_->loginComplete()) identified_ = true;
   switch (step.kind) {
     case Kind::NeedMore:
-      onIncomplete(step.part);
+      onIncomplete(step.partialMessage);
       return false;
-    case Kind::Left:
+    case Kind::Disconnect:
       close(CloseReason::ClientFinished);
       return false;
     case Kind::Fatal:
@@ -154,7 +154,7 @@
       requestSize_ = step.consumed;
       beginRequest();
       return true;
-    case Kind::More:
+    case Kind::RequestPart:
       writeMore(step.consumed);
       return true;
     case Kind::Interrupt:
@@ -187,10 +187,11 @@
 void ClientConnection::beginRequest() {
   sentRequest_ = true;
   owner_.onConnectionBusy(*this);
-  if (rejecting_) return closeWithError(Reason::TooMany, "too many clients", CloseReason::TooManyClients);
+  if (rejecting_)
+    return closeWithError(Reason::TooManyClients, "too many clients", CloseReason::TooManyClients);
   std::string_view problem;
   group_.reset();
-  const auto parsed = side_->read(requestBytes(), problem);
+  const auto parsed = side_->parseRequest(requestBytes(), problem);
   if (!parsed) return failMalformed(problem);
   group_ = parsed->group;
   problem = findProblem(*parsed, context_, router_.settings(), protocol_);
@@ -207,7 +208,7 @@
   responding_ = false;
   request_ = 0;
   const Request request = toRequest(*parsed, context_, router_.settings(), router_.endpointTime(),
-                                    arrivals_.lastOf(requestSize_), loop_.now());
+                                    arrivals_.arrivalTimeOf(requestSize_), loop_.now());
   deadline_ = request.deadline;
   router_.checker().requestAcceptedOn(request_, lingering_ || closed_);
   router_.submit(*this, request, protocol_, parsed->timeout, request_);
@@ -272,7 +273,7 @@
 
 void ClientConnection::writeAnswer(const protocol::Answer& answer, std::string_view bytes) {
   const std::int64_t nowMs = router_.endpointTime().toEndpoints(loop_.now()) / kMicrosPerMilli;
-  side_->pass(answer, bytes, nowMs, stream_.output());
+  side_->writeAnswer(answer, bytes, nowMs, stream_.output());
 }
 
 bool ClientConnection::onResponsePart(const protocol::Answer& answer, std::string_view bytes) {
@@ -360,7 +361,8 @@
   if (busy_) cancelRequest();
   ++observer_.counters.clientProtocolErrors;
   note(Topic::Downstream, "closing the connection: a message was not complete in time");
-  closeWithError(Reason::Unfinished, "the message was not finished in time", CloseReason::IncompleteRequest);
+  closeWithError(Reason::IncompleteRequest, "the message was not finished in time",
+                 CloseReason::IncompleteRequest);
 }
 
 // Closes the connection of a client that has not read its last answer, or that is to be rejected and has sent
@@ -392,7 +394,7 @@
   if (busy_ || lingering_ || closed_ || !stream_.output().empty()) return false;
   // An incomplete message that is not continued delays neither an eviction nor the shutdown.
   const bool stalled = incompleteSince_ != 0 && loop_.now() - incompleteSince_ > kReactionTimeout;
-  return stalled || stream_.quiet();
+  return stalled || stream_.isIdle();
 }
 
 bool ClientConnection::closeIfIdle() {
--- a/src/downstream/client_listener.h
+++ b/src/downstream/client_listener.h
@@ -41,7 +41,7 @@
   void onConnectionIdle(ClientConnection& connection) override;
   void onConnectionLingering(ClientConnection& connection) override;
   bool acceptAll();
-  transport::Opened acceptOne();
+  transport::SocketResult acceptOne();
   bool onAcceptFailed(int error);
   bool freeDescriptors();
   bool startConnection(transport::UniqueFd&& fd, bool serve);
--- a/src/downstream/request_reader.h
+++ b/src/downstream/request_reader.h
@@ -14,12 +14,12 @@
 
 // Returns why a request can't be served, as an error text for the client; empty if it can.
 // @param protocol  the index of the client's protocol.
-std::string_view findProblem(const protocol::Asked& asked, const ClientConnectionContext& context,
+std::string_view findProblem(const protocol::RequestMetadata& asked, const ClientConnectionContext& context,
                              const settings::InstanceSettings& settings, std::size_t protocol);
 
 // Converts a request for which findProblem() has returned an empty text.
 // @param arrivedAt  the arrival time of its last byte, from which its timeout counts.
-Request toRequest(const protocol::Asked& asked, const ClientConnectionContext& context,
+Request toRequest(const protocol::RequestMetadata& asked, const ClientConnectionContext& context,
                   const settings::InstanceSettings& settings, const wallclock::EndpointTime& endpointTime,
                   Micros arrivedAt, Micros now);
 
--- a/src/upstream/endpoint_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -22,7 +22,7 @@
       endpoint_(endpoint),
       protocol_(protocol),
       stream_(loop, *this, kStreamLimits),
-      connectTimer_(loop, [this] { onEnd(transport::StreamEnd::NotConnected); }),
+      connectTimer_(loop, [this] { onEnd(transport::StreamEnd::ConnectFailed); }),
       side_(std::move(side)) {}
 
 bool EndpointConnection::connect(const transport::SocketAddress& socketAddress, Micros timeout, int& error) {
@@ -51,7 +51,7 @@
   const std::size_t before = stream_.output().size();
   // If there is no memory for the part, the timer ends the connection, so that the request can't run without
   // it.
-  if (!side_->more(message, stream_.output())) return connectTimer_.arm(loop_.now());
+  if (!side_->writeRequestPart(message, stream_.output())) return connectTimer_.arm(loop_.now());
   requestBytes_ += stream_.output().size() - before;
   stream_.flush();
 }
@@ -74,12 +74,12 @@
 
 ExchangeStage EndpointConnection::stage() const {
   if (!requestStarted_) return ExchangeStage::Connecting;
-  if (bytesWritten() < std::min(side_->runsFrom(), requestBytes_)) return ExchangeStage::PartlyWritten;
-  return side_->answering() ? ExchangeStage::Responding : ExchangeStage::Written;
+  if (bytesWritten() < std::min(side_->mayRunAfter(), requestBytes_)) return ExchangeStage::PartlyWritten;
+  return side_->answerStarted() ? ExchangeStage::Responding : ExchangeStage::Written;
 }
 
 bool EndpointConnection::rolledBackByClose() const {
-  return requestStarted_ && bytesWritten() < side_->effectFrom();
+  return requestStarted_ && bytesWritten() < side_->mayPersistAfter();
 }
 
 void EndpointConnection::onOpen() {
@@ -179,8 +179,8 @@
 }
 
 void EndpointConnection::consumeInput() {
-  stream_.input().consume(side_->seen());
-  side_->dropped();
+  stream_.input().consume(side_->parsedBytes());
+  side_->onConsumed();
 }
 
 // Ends the exchange. The connection is kept if it can carry another one.
@@ -190,12 +190,12 @@
   const ExchangeStage reached = stage();
   const bool rolledBack = answer != nullptr ? answer->rolledBack : rolledBackByClose();
   const bool complete = cause == ExchangeEnd::Cause::Answered || cause == ExchangeEnd::Cause::Cancelled;
-  const bool inSync =
-      complete && !stream_.closed() && side_->seen() == stream_.input().size() && stream_.output().empty();
+  const bool inSync = complete && !stream_.closed() && side_->parsedBytes() == stream_.input().size() &&
+                      stream_.output().empty();
   const bool keep = inSync && side_->usable();
   if (!ready_) owner_.onConnectFailed(*this);
   // After a failed request the protocol may make the connection usable again, within the connect timeout.
-  const bool recovering = inSync && !keep && ready_ && side_->tidy(stream_.output());
+  const bool recovering = inSync && !keep && ready_ && side_->recover(stream_.output());
   paused_ = false;
   // The connection is closed before the exchange is told that it has ended, because that may start the next
   // attempt, and attempts must not overlap.
@@ -216,9 +216,9 @@
 
 void EndpointConnection::onEnd(transport::StreamEnd how) {
   // A response that was complete when the connection ended counts.
-  if (side_->wholeAtEnd()) return finish(ExchangeEnd::Cause::Answered, &side_->answer());
+  if (side_->completeAtClose()) return finish(ExchangeEnd::Cause::Answered, &side_->answer());
   finish(ExchangeEnd::Cause::ConnectionBroken, nullptr,
-         connected_ && how != transport::StreamEnd::NotConnected);
+         connected_ && how != transport::StreamEnd::ConnectFailed);
 }
 
 }  // namespace heathflow::upstream
--- a/src/upstream/endpoint_connection.h
+++ b/src/upstream/endpoint_connection.h
@@ -91,7 +91,7 @@
   std::size_t protocol() const { return protocol_; }
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   // Returns whether an idle connection can be used: no bytes, close or error have come since it became idle.
-  bool reusable() const { return side_->usable() && stream_.quiet(); }
+  bool reusable() const { return side_->usable() && stream_.isIdle(); }
   ExchangeStage stage() const;
   // Returns whether enough of the request was written for it to run.
   bool requestWritten() const {
@@ -107,7 +107,7 @@
   // Returns for how long the connection has been ready.
   Micros age() const { return ready_ ? loop_.now() - readySince_ : 0; }
   // Returns whether the next step is the endpoint's; if not, the client has to send more of the request.
-  bool awaitsEndpoint() const { return !requestStarted_ || side_->owes(); }
+  bool awaitsEndpoint() const { return !requestStarted_ || side_->answerPending(); }
 
  private:
   void onOpen() override;
