--- a/src/emulator/gossip.h
+++ b/src/emulator/gossip.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <optional>
 
-#include "fleet/talk.h"
+#include "fleet/gossip_simulation.h"
 
 namespace heathflow::emulator {
 
--- a/src/fleet/simulated_endpoints.cpp
+++ b/src/fleet/simulated_endpoints.cpp
@@ -1,10 +1,10 @@
-// Modelled endpoints and the connections to them.
+// Models of endpoints and of the connections to them.
 #include "fleet/simulation.h"
 
 namespace heathflow::fleet {
 
 Micros Simulation::connect(GatewayModel& gateway, EndpointId id) {
-  unsigned& idle = gateway.idle[id];
+  unsigned& idle = gateway.idleConnections[id];
   if (idle > 0) {
     --idle;
     return 0;
@@ -12,12 +12,12 @@
   ++gateway.connections[id];
   ++result_.connections;
   result_.connectionsPeak = std::max(result_.connectionsPeak, ++openConnections_);
-  return kHandshake;
+  return kHandshakeTime;
 }
 
 void Simulation::release(GatewayModel& gateway, EndpointId id, bool kept) {
   if (kept) {
-    ++gateway.idle[id];
+    ++gateway.idleConnections[id];
   } else if (gateway.connections[id] > 0) {
     --gateway.connections[id];
     --openConnections_;
@@ -42,34 +42,35 @@
   return settings_.slowStartInitialShare + (1 - settings_.slowStartInitialShare) * share;
 }
 
-void Simulation::attempt(std::size_t index, const SendAttempt& action) {
+void Simulation::startAttempt(std::size_t index, const SendAttempt& action) {
   GatewayModel& gateway = gateways_[index];
   const auto found = gateway.pending.find(action.request);
   if (found == gateway.pending.end()) return;
   OpenRequest& pending = found->second;
   EndpointModel& model = endpoint(action.endpoint);
   ++result_.endpointAttempts[action.endpoint - 1];
-  auto transit = std::make_shared<Transit>();
-  *transit = {index, action.endpoint, action.request, pending.attempts++, gateway.incarnation, now_, false};
-  pending.inTransit[transit->attempt] = transit;
+  auto inFlight = std::make_shared<AttemptInFlight>();
+  *inFlight = {index, action.endpoint, action.request, pending.attempts++, gateway.incarnation, now_, false};
+  pending.attemptsInFlight[inFlight->attempt] = inFlight;
   if (!model.up) {
-    at(now_ + 2 * kNetworkDelay,
-       [this, transit, id = action.endpoint] { endAttempt(transit, id, AttemptOutcome::ConnectFailed); });
+    schedule(now_ + 2 * kNetworkDelay, [this, inFlight, id = action.endpoint] {
+      endAttempt(inFlight, id, AttemptOutcome::ConnectFailed);
+    });
     return;
   }
   const Micros wait = connect(gateway, action.endpoint);
-  at(pending.arrived + kRequestTimeouts[pending.classIndex], [this, transit, id = action.endpoint] {
-    if (abandon(transit, id)) endAttempt(transit, id, AttemptOutcome::TimedOut);
+  schedule(pending.arrived + kRequestTimeouts[pending.classIndex], [this, inFlight, id = action.endpoint] {
+    if (abandon(inFlight, id)) endAttempt(inFlight, id, AttemptOutcome::TimedOut);
   });
   if (isDegraded(index, action.endpoint) && uniform() < kLostMessageShare) return;
-  at(now_ + kNetworkDelay + extraDelay(index, action.endpoint) + wait,
-     [this, transit, id = action.endpoint] { receive(transit, id); });
+  schedule(now_ + kNetworkDelay + extraDelay(index, action.endpoint) + wait,
+           [this, inFlight, id = action.endpoint] { receive(inFlight, id); });
 }
 
-void Simulation::receive(const std::shared_ptr<Transit>& transit, EndpointId id) {
-  if (transit->dropped) return;
+void Simulation::receive(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id) {
+  if (inFlight->ended) return;
   EndpointModel& model = endpoint(id);
-  if (!model.up) return endWithoutResponse(transit, id, AttemptOutcome::ConnectionReset);
+  if (!model.up) return failAttempt(inFlight, id, AttemptOutcome::ConnectionReset);
   if (capacityShareOf(model) < 1) {
     model.slowStartArrivals.push_back(now_);
     while (now_ - model.slowStartArrivals.front() > settings_.overloadWindow)
@@ -83,66 +84,66 @@
         std::max(result_.slowStartPeakOfThreshold,
                  received / overloadThreshold(settings_.overloadMultiple * capacity));
   }
-  GatewayModel& gateway = gateways_[transit->gateway];
+  GatewayModel& gateway = gateways_[inFlight->gateway];
   if (model.failing || gateway.failingEndpoints.contains(id))
-    return endWithoutResponse(transit, id, AttemptOutcome::Error);
-  const auto pending = gateway.pending.find(transit->request);
+    return failAttempt(inFlight, id, AttemptOutcome::Error);
+  const auto pending = gateway.pending.find(inFlight->request);
   const bool write =
       pending != gateway.pending.end() && kConsistencies[pending->second.classIndex] == Consistency::Write;
-  if (write && !model.isPrimary) return endWithoutResponse(transit, id, AttemptOutcome::PreconditionFailed);
-  if (model.queue.size() >= kMaxQueue) return endWithoutResponse(transit, id, AttemptOutcome::Overloaded);
-  model.queue.push_back(transit);
-  serve(id);
+  if (write && !model.isPrimary) return failAttempt(inFlight, id, AttemptOutcome::PreconditionFailed);
+  if (model.queue.size() >= kMaxQueueLength) return failAttempt(inFlight, id, AttemptOutcome::Overloaded);
+  model.queue.push_back(inFlight);
+  serveQueue(id);
 }
 
-void Simulation::endWithoutResponse(const std::shared_ptr<Transit>& transit, EndpointId id,
-                                    AttemptOutcome outcome) {
-  transit->dropped = true;
-  release(gateways_[transit->gateway], id, outcome != AttemptOutcome::ConnectionReset);
-  at(now_ + kNetworkDelay, [this, transit, id, outcome] { endAttempt(transit, id, outcome); });
+void Simulation::failAttempt(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id,
+                             AttemptOutcome outcome) {
+  inFlight->ended = true;
+  release(gateways_[inFlight->gateway], id, outcome != AttemptOutcome::ConnectionReset);
+  schedule(now_ + kNetworkDelay, [this, inFlight, id, outcome] { endAttempt(inFlight, id, outcome); });
 }
 
-void Simulation::serve(EndpointId id) {
+void Simulation::serveQueue(EndpointId id) {
   EndpointModel& model = endpoint(id);
   while (model.up && now_ >= model.stalledUntil && model.running < plan_.cores && !model.queue.empty()) {
-    const auto transit = model.queue.front();
+    const auto inFlight = model.queue.front();
     model.queue.pop_front();
-    if (transit->dropped) continue;
+    if (inFlight->ended) continue;
     ++model.running;
     const LogPosition position = reportPosition(model);
     const Micros duration = exponential(static_cast<double>(plan_.serviceTime) / capacityShareOf(model));
-    at(now_ + duration, [this, transit, id, position, incarnation = model.incarnation] {
-      complete(transit, id, position, incarnation);
+    schedule(now_ + duration, [this, inFlight, id, position, incarnation = model.incarnation] {
+      complete(inFlight, id, position, incarnation);
     });
   }
 }
 
-void Simulation::complete(const std::shared_ptr<Transit>& transit, EndpointId id, LogPosition position,
-                          unsigned incarnation) {
-  EndpointModel& host = endpoint(id);
-  if (host.incarnation != incarnation) return;
-  if (now_ < host.stalledUntil) {
-    at(host.stalledUntil,
-       [this, transit, id, position, incarnation] { complete(transit, id, position, incarnation); });
+void Simulation::complete(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id,
+                          LogPosition position, unsigned incarnation) {
+  EndpointModel& model = endpoint(id);
+  if (model.incarnation != incarnation) return;
+  if (now_ < model.stalledUntil) {
+    schedule(model.stalledUntil,
+             [this, inFlight, id, position, incarnation] { complete(inFlight, id, position, incarnation); });
     return;
   }
-  --host.running;
-  const bool lost = (host.losesResponses && uniform() < kLostResponseShare) ||
-                    (isDegraded(transit->gateway, id) && uniform() < kLostMessageShare);
-  if (!transit->dropped && !lost) {
-    transit->dropped = true;
-    release(gateways_[transit->gateway], id, true);
-    at(now_ + kNetworkDelay + extraDelay(transit->gateway, id),
-       [this, transit, id, position] { endAttempt(transit, id, AttemptOutcome::Ok, position); });
+  --model.running;
+  const bool lost = (model.losesResponses && uniform() < kLostResponseShare) ||
+                    (isDegraded(inFlight->gateway, id) && uniform() < kLostMessageShare);
+  if (!inFlight->ended && !lost) {
+    inFlight->ended = true;
+    release(gateways_[inFlight->gateway], id, true);
+    schedule(now_ + kNetworkDelay + extraDelay(inFlight->gateway, id),
+             [this, inFlight, id, position] { endAttempt(inFlight, id, AttemptOutcome::Ok, position); });
   }
-  serve(id);
+  serveQueue(id);
 }
 
-bool Simulation::abandon(const std::shared_ptr<Transit>& transit, EndpointId id) {
-  if (transit->dropped) return false;
-  transit->dropped = true;
-  if (gateways_[transit->gateway].incarnation == transit->incarnation)
-    release(gateways_[transit->gateway], id, false);
+bool Simulation::abandon(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id) {
+  if (inFlight->ended) return false;
+  inFlight->ended = true;
+  if (gateways_[inFlight->gateway].incarnation == inFlight->incarnation)
+    release(gateways_[inFlight->gateway], id, false);
   return true;
 }
 
--- a/src/fleet/simulated_faults.cpp
+++ b/src/fleet/simulated_faults.cpp
@@ -1,4 +1,4 @@
-// Faults, and the failover that follows.
+// Injected faults, and the failover after the loss of a primary.
 #include "fleet/simulation.h"
 
 namespace heathflow::fleet {
@@ -25,7 +25,7 @@
         if (model.isPrimary || uniform() >= fault.share) continue;
         model.lagging = true;
         model.frozenPosition = now_;
-        at(now_ + fault.duration, [this, id = model.id] {
+        schedule(now_ + fault.duration, [this, id = model.id] {
           endpoint(id).lagging = false;
           endpoint(id).frozenPosition = 0;
         });
@@ -35,7 +35,7 @@
       for (GatewayModel& gateway : gateways_) {
         if (uniform() < fault.share) gateway.failingEndpoints.insert(1);
       }
-      at(now_ + fault.duration, [this] {
+      schedule(now_ + fault.duration, [this] {
         for (GatewayModel& gateway : gateways_) gateway.failingEndpoints.clear();
       });
       return;
@@ -49,33 +49,33 @@
   for (EndpointModel& model : endpoints_) {
     if (!model.up || uniform() >= fault.share) continue;
     begin(model);
-    at(now_ + fault.duration, [this, end, id = model.id] { end(endpoint(id)); });
+    schedule(now_ + fault.duration, [this, end, id = model.id] { end(endpoint(id)); });
   }
 }
 
 void Simulation::stall(EndpointModel& model, Micros duration) {
   model.stalledUntil = now_ + duration;
-  at(model.stalledUntil, [this, id = model.id] { serve(id); });
+  schedule(model.stalledUntil, [this, id = model.id] { serveQueue(id); });
 }
 
-void Simulation::repeat(EndpointId id, Micros every, Micros until,
+void Simulation::repeat(EndpointId id, Micros period, Micros until,
                         const std::function<void(EndpointModel&)>& apply) {
   if (now_ >= until) return;
   if (endpoint(id).up) apply(endpoint(id));
-  at(now_ + every, [this, id, every, until, apply] { repeat(id, every, until, apply); });
+  schedule(now_ + period, [this, id, period, until, apply] { repeat(id, period, until, apply); });
 }
 
 void Simulation::beginEndpointFault(const FaultEvent& fault) {
-  const auto nothing = [](EndpointModel&) {};
+  const auto doNothing = [](EndpointModel&) {};
   const Micros until = now_ + fault.duration;
   switch (fault.kind) {
     case FaultEvent::Kind::EndpointsHang:
       return applyToShare(
-          fault, [this, &fault](EndpointModel& m) { stall(m, fault.duration); }, nothing);
+          fault, [this, &fault](EndpointModel& m) { stall(m, fault.duration); }, doNothing);
     case FaultEvent::Kind::EndpointsPause: {
       const auto pause = [this](EndpointModel& m) { stall(m, kPauseDuration); };
       return applyToShare(
-          fault, [&](EndpointModel& m) { repeat(m.id, kPauseEvery, until, pause); }, nothing);
+          fault, [&](EndpointModel& m) { repeat(m.id, kPausePeriod, until, pause); }, doNothing);
     }
     case FaultEvent::Kind::EndpointsFail:
       return applyToShare(
@@ -89,19 +89,19 @@
           fault, [](EndpointModel& m) { m.failsHealthChecks = true; },
           [](EndpointModel& m) { m.failsHealthChecks = false; });
     case FaultEvent::Kind::EndpointsFlap: {
-      const auto die = [this](EndpointModel& m) { crash(m, kFlapDowntime); };
+      const auto crashBriefly = [this](EndpointModel& m) { crash(m, kFlapDowntime); };
       return applyToShare(
-          fault, [&](EndpointModel& m) { repeat(m.id, kFlapEvery, until, die); }, nothing);
+          fault, [&](EndpointModel& m) { repeat(m.id, kFlapPeriod, until, crashBriefly); }, doNothing);
     }
     case FaultEvent::Kind::EndpointsDrain:
       return applyToShare(
-          fault, [this, &fault](EndpointModel& m) { drain(m, fault.duration); }, nothing);
+          fault, [this, &fault](EndpointModel& m) { drain(m, fault.duration); }, doNothing);
     case FaultEvent::Kind::EndpointListDelayed:
       listDelayFactor_ = kListDelayFactor;
-      return at(until, [this] { listDelayFactor_ = 1; });
+      return schedule(until, [this] { listDelayFactor_ = 1; });
     case FaultEvent::Kind::NetworkDegraded:
       networkDegraded_ = true;
-      return at(until, [this] { networkDegraded_ = false; });
+      return schedule(until, [this] { networkDegraded_ = false; });
     default:
       return;
   }
@@ -109,8 +109,8 @@
 
 void Simulation::drain(EndpointModel& model, Micros duration) {
   model.draining = true;
-  announceChange(model, kListLag / 3);
-  at(now_ + kDrainDuration, [this, duration, id = model.id] {
+  announceChange(model, kListDelay / 3);
+  schedule(now_ + kDrainDuration, [this, duration, id = model.id] {
     endpoint(id).draining = false;
     if (endpoint(id).up) crash(endpoint(id), duration);
   });
@@ -120,22 +120,22 @@
   model.up = false;
   ++model.incarnation;
   model.running = 0;
-  for (const auto& transit : std::exchange(model.queue, {})) {
-    if (!transit->dropped) endWithoutResponse(transit, model.id, AttemptOutcome::ConnectionReset);
+  for (const auto& inFlight : std::exchange(model.queue, {})) {
+    if (!inFlight->ended) failAttempt(inFlight, model.id, AttemptOutcome::ConnectionReset);
   }
   for (GatewayModel& gateway : gateways_) {
     openConnections_ -= gateway.connections[model.id];
-    gateway.connections[model.id] = gateway.idle[model.id] = 0;
+    gateway.connections[model.id] = gateway.idleConnections[model.id] = 0;
   }
-  announceChange(model, kListLag / 3);
+  announceChange(model, kListDelay / 3);
   if (std::exchange(model.isPrimary, false)) electPrimary(model.group);
   model.frozenPosition = now_;
-  at(now_ + duration, [this, id = model.id] {
-    EndpointModel& back = endpoint(id);
-    back.up = true;
-    back.startedAt = now_;
-    if (primaryOf(back.group) != nullptr) back.frozenPosition = 0;
-    announceChange(back, kListLag / 3);
+  schedule(now_ + duration, [this, id = model.id] {
+    EndpointModel& restarted = endpoint(id);
+    restarted.up = true;
+    restarted.startedAt = now_;
+    if (primaryOf(restarted.group) != nullptr) restarted.frozenPosition = 0;
+    announceChange(restarted, kListDelay / 3);
   });
 }
 
@@ -152,19 +152,19 @@
       model.frozenPosition =
           std::max(model.reportedPosition, now_ - kReplicaLag - static_cast<Micros>(uniform() * kReplicaLag));
   }
-  at(now_ + kElection, [this, group] {
-    EndpointModel* next = nullptr;
+  schedule(now_ + kElectionTime, [this, group] {
+    EndpointModel* candidate = nullptr;
     for (EndpointModel& model : endpoints_) {
       if (model.group != group || !model.up) continue;
-      if (next == nullptr || model.frozenPosition > next->frozenPosition) next = &model;
+      if (candidate == nullptr || model.frozenPosition > candidate->frozenPosition) candidate = &model;
     }
-    if (next == nullptr) return electPrimary(group);
-    next->isPrimary = true;
+    if (candidate == nullptr) return electPrimary(group);
+    candidate->isPrimary = true;
     primarySince_[group] = now_;
     for (EndpointModel& model : endpoints_) {
       if (model.group == group && !model.lagging && model.up) model.frozenPosition = 0;
     }
-    announceChange(*next, kListLag);
+    announceChange(*candidate, kListDelay);
   });
 }
 
--- a/src/fleet/simulation.cpp
+++ b/src/fleet/simulation.cpp
@@ -2,7 +2,7 @@
 
 namespace heathflow::fleet {
 
-Result Simulation::play() {
+Result Simulation::run() {
   for (GroupId group = 0; group < plan_.groups; ++group) {
     primarySince_.push_back(0);
     for (unsigned i = 0; i < plan_.endpoints; ++i) {
@@ -18,7 +18,8 @@
   result_.gatewayRequests.resize(plan_.gateways);
   gateways_.resize(plan_.gateways);
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
-    // From the quietest to the busiest, with the mean as planned.
+    // Rates rise linearly from the least loaded gateway to the most loaded one; their mean is the planned
+    // rate.
     const double rank =
         gateways_.size() < 2 ? 0.5 : static_cast<double>(i) / static_cast<double>(gateways_.size() - 1);
     const double lowestRate = 2 / (1 + plan_.trafficRatio);
@@ -27,14 +28,14 @@
     scheduleArrival(i);
   }
   for (const FaultEvent& fault : plan_.faults) {
-    at(kStart + fault.at, [this, fault] { beginFault(fault); });
+    schedule(kStart + fault.at, [this, fault] { beginFault(fault); });
   }
   const Micros end = kStart + plan_.length;
   while (!events_.empty() && events_.top().at <= end + 10 * kSecond) {
     const Event event = events_.top();
     events_.pop();
     now_ = event.at;
-    arriving_ = now_ < end;
+    arrivalsEnabled_ = now_ < end;
     event.run();
   }
   if (failoversNoticed_ > 0)
@@ -43,8 +44,8 @@
   return result_;
 }
 
-Window& Simulation::window(Micros arrived) {
-  const auto index = static_cast<std::size_t>((arrived - kStart) / kWindow);
+Window& Simulation::windowOf(Micros arrived) {
+  const auto index = static_cast<std::size_t>((arrived - kStart) / kWindowLength);
   if (result_.windows.size() <= index) result_.windows.resize(index + 1);
   return result_.windows[index];
 }
@@ -56,13 +57,13 @@
   for (std::uint32_t i = 0; i < kClasses; ++i) {
     RequestClassSettings entry;
     entry.consistency = kConsistencies[i];
-    entry.maxStaleness = i == kView ? 3 * kSecond : 0;
+    entry.maxStaleness = i == kBoundedRead ? 3 * kSecond : 0;
     entry.latencyObjective = kObjectives[i];
     entry.requestTimeout = kRequestTimeouts[i];
     entry.priorityWeight = 2;
-    entry.lateValueShare = i == kSave ? 0.3 : 0;
-    entry.idempotency = i == kSave ? Idempotency::WithKey : Idempotency::Idempotent;
-    entry.keyScope = i == kSave ? KeyScope::Group : KeyScope::Global;
+    entry.lateValueShare = i == kWrite ? 0.3 : 0;
+    entry.idempotency = i == kWrite ? Idempotency::WithKey : Idempotency::Idempotent;
+    entry.keyScope = i == kWrite ? KeyScope::Group : KeyScope::Global;
     entry.keyWindow = 5 * kSecond;
     out.classes.push_back(entry);
   }
@@ -85,6 +86,6 @@
   return out;
 }
 
-Result play(const Plan& plan) { return Simulation(plan).play(); }
+Result simulate(const Plan& plan) { return Simulation(plan).run(); }
 
 }  // namespace heathflow::fleet
--- a/src/fleet/simulation.h
+++ b/src/fleet/simulation.h
@@ -1,4 +1,4 @@
-// The simulation behind play(): models of gateways, endpoints and the network under a virtual clock.
+// The simulation behind simulate(): models of gateways, endpoints and the network under a virtual clock.
 #pragma once
 
 #include <algorithm>
@@ -23,22 +23,22 @@
 
 inline constexpr Micros kMilli = 1000;
 inline constexpr Micros kSecond = 1000 * kMilli;
-inline constexpr Micros kStart = 1000 * kSecond;  // a time of 0 is long ago
+inline constexpr Micros kStart = 1000 * kSecond;  // not 0, which stands for "long ago"
 inline constexpr Micros kNetworkDelay = 300;      // in one direction
-inline constexpr Micros kHandshake = 4 * kMilli;
-inline constexpr Micros kElection = 4500 * kMilli;
-inline constexpr Micros kListLag = 3 * kSecond;  // of roles; of endpoints a third
+inline constexpr Micros kHandshakeTime = 4 * kMilli;
+inline constexpr Micros kElectionTime = 4500 * kMilli;
+inline constexpr Micros kListDelay = 3 * kSecond;  // mean, for a new role; a third of it for other changes
 inline constexpr Micros kReplicaLag = 50 * kMilli;
-inline constexpr Micros kReportAge = 100 * kMilli;
-inline constexpr Micros kWindow = 5 * kSecond;
-inline constexpr std::size_t kMaxQueue = 40;
-inline constexpr Micros kPauseDuration = 400 * kMilli, kPauseEvery = 2 * kSecond;
-inline constexpr Micros kFlapDowntime = 2 * kSecond, kFlapEvery = 5 * kSecond;
+inline constexpr Micros kMaxReportAge = 100 * kMilli;
+inline constexpr Micros kWindowLength = 5 * kSecond;
+inline constexpr std::size_t kMaxQueueLength = 40;
+inline constexpr Micros kPauseDuration = 400 * kMilli, kPausePeriod = 2 * kSecond;
+inline constexpr Micros kFlapDowntime = 2 * kSecond, kFlapPeriod = 5 * kSecond;
 inline constexpr Micros kDrainDuration = 1500 * kMilli;
 inline constexpr Micros kExtraNetworkDelay = 100 * kMilli;
 inline constexpr double kLostResponseShare = 0.25, kLostMessageShare = 0.1;
 inline constexpr Micros kListDelayFactor = 4;
-// By class.
+// By RequestClass.
 inline constexpr std::array<Micros, kClasses> kObjectives = {200 * kMilli, 500 * kMilli, 300 * kMilli,
                                                              750 * kMilli};
 inline constexpr std::array<Micros, kClasses> kRequestTimeouts = {600 * kMilli, 2 * kSecond, kSecond,
@@ -46,15 +46,15 @@
 inline constexpr std::array<Consistency, kClasses> kConsistencies = {
     Consistency::BoundedStaleness, Consistency::Eventual, Consistency::Strong, Consistency::Write};
 
-// An attempt on its way to an endpoint, waiting there, or being served.
-struct Transit {
+// An attempt that is being sent to an endpoint, is queued there, or is being served.
+struct AttemptInFlight {
   std::size_t gateway = 0;
   EndpointId endpoint = 0;
   RequestId request = 0;
   std::uint32_t attempt = 0;
   std::uint64_t incarnation = 0;  // of the gateway
   Micros sentAt = 0;
-  bool dropped = false;
+  bool ended = false;  // its outcome is decided; the endpoint neither serves nor answers it
 };
 
 struct EndpointModel {
@@ -67,14 +67,14 @@
   bool failing = false;
   bool losesResponses = false;
   bool failsHealthChecks = false;
-  Micros stalledUntil = 0;      // until then it accepts everything and answers nothing
-  Micros frozenPosition = 0;    // its position while it does not advance; 0: it does
-  Micros reportedPosition = 0;  // the newest that a gateway has seen
-  Micros startedAt = 0;         // 0: long ago
+  Micros stalledUntil = 0;      // until then it accepts requests and answers none
+  Micros frozenPosition = 0;    // its log position while that does not advance; 0: it advances
+  Micros reportedPosition = 0;  // the newest log position that any gateway has seen
+  Micros startedAt = 0;         // 0: before the simulation
   unsigned incarnation = 0;
-  std::deque<std::shared_ptr<Transit>> queue;
+  std::deque<std::shared_ptr<AttemptInFlight>> queue;
   unsigned running = 0;
-  std::deque<Micros> slowStartArrivals;  // of the last overload window, while in slow start
+  std::deque<Micros> slowStartArrivals;  // within the last overload window, during slow start
 };
 
 struct OpenRequest {
@@ -83,17 +83,17 @@
   GroupId group = 0;
   unsigned attempts = 0;
   unsigned answers = 0;
-  std::unordered_map<std::uint32_t, std::shared_ptr<Transit>> inTransit;
+  std::unordered_map<std::uint32_t, std::shared_ptr<AttemptInFlight>> attemptsInFlight;
 };
 
 struct GatewayModel {
   std::unique_ptr<RoutingPolicy> policy;
   std::uint64_t incarnation = 0;
-  double rate = 1;
-  RequestId lastId = 0;
+  double rate = 1;  // requests per second
+  RequestId lastRequestId = 0;
   std::unordered_map<RequestId, OpenRequest> pending;
-  std::unordered_map<EndpointId, unsigned> idle;  // connections
-  std::unordered_map<EndpointId, unsigned> connections;
+  std::unordered_map<EndpointId, unsigned> idleConnections;
+  std::unordered_map<EndpointId, unsigned> connections;  // including the idle ones
   std::set<EndpointId> failingEndpoints;
 };
 
@@ -101,7 +101,7 @@
  public:
   explicit Simulation(const Plan& plan) : plan_(plan), random_(plan.seed), settings_(settingsOf(plan)) {}
 
-  Result play();
+  Result run();
 
  private:
   struct Event {
@@ -111,22 +111,22 @@
     bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
-  void at(Micros when, std::function<void()> run) { events_.push({when, ++order_, std::move(run)}); }
+  void schedule(Micros when, std::function<void()> run) { events_.push({when, ++order_, std::move(run)}); }
   double uniform() { return uniformUnit(random_()); }
   Micros exponential(double mean) { return static_cast<Micros>(-mean * std::log(1 - uniform())); }
   EndpointModel& endpoint(EndpointId id) { return endpoints_[id - 1]; }
-  Window& window(Micros arrived);
+  Window& windowOf(Micros arrived);
 
   // ---- Gateways ----
 
   void restart(std::size_t index);
 
   Endpoint listEntryOf(const EndpointModel& model) const;
-  std::vector<Endpoint> listing() const;
-  // All gateways get the change, each after a delay of its own.
-  void announceChange(const EndpointModel& model, Micros lag);
+  std::vector<Endpoint> endpointList() const;
+  // Sends the change to every gateway, to each after a random delay of 0.5 to 1.5 times the mean.
+  void announceChange(const EndpointModel& model, Micros meanDelay);
   void sendList(std::size_t index, std::vector<Endpoint> entries, EndpointsChanged::Scope scope);
-  void post(std::size_t index, const heathflow::Event& event);
+  void deliver(std::size_t index, const heathflow::Event& event);
 
   void perform(std::size_t index, const std::vector<Action>& actions);
 
@@ -134,34 +134,35 @@
 
   void sendRequest(std::size_t index);
 
-  void answer(std::size_t index, RequestId id);
+  void recordAnswer(std::size_t index, RequestId id);
 
-  void endUnserved(std::size_t index, RequestId id, RejectReason reason);
+  void recordUnserved(std::size_t index, RequestId id, RejectReason reason);
 
   bool someEndpointHasCapacity(const OpenRequest& pending);
 
   // ---- Connections ----
 
-  // Takes an idle connection or opens one; returns how long that takes.
+  // Takes an idle connection or opens a new one. Returns the time until the connection is usable.
   Micros connect(GatewayModel& gateway, EndpointId id);
   void release(GatewayModel& gateway, EndpointId id, bool kept);
 
   // ---- Endpoints ----
 
   LogPosition positionOf(const EndpointModel& model) const;
-  // A position that a gateway sees. A log goes only forwards, so none before it is shown later.
+  // Returns the log position and records that a gateway has seen it. A later failover doesn't go back
+  // behind a reported position.
   LogPosition reportPosition(EndpointModel& model);
   double capacityShareOf(const EndpointModel& model) const;
 
-  void attempt(std::size_t index, const SendAttempt& action);
+  void startAttempt(std::size_t index, const SendAttempt& action);
 
-  void receive(const std::shared_ptr<Transit>& transit, EndpointId id);
+  void receive(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id);
 
-  void endWithoutResponse(const std::shared_ptr<Transit>& transit, EndpointId id, AttemptOutcome outcome);
+  void failAttempt(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id, AttemptOutcome outcome);
 
-  void serve(EndpointId id);
+  void serveQueue(EndpointId id);
 
-  void complete(const std::shared_ptr<Transit>& transit, EndpointId id, LogPosition position,
+  void complete(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id, LogPosition position,
                 unsigned incarnation);
 
   bool isDegraded(std::size_t gateway, EndpointId id) const {
@@ -171,31 +172,33 @@
     return isDegraded(gateway, id) ? kExtraNetworkDelay : 0;
   }
 
-  // Nobody waits for the attempt any more. False where it had ended.
-  bool abandon(const std::shared_ptr<Transit>& transit, EndpointId id);
+  // Ends an attempt whose answer is no longer awaited, and closes its connection. Returns false if it had
+  // already ended.
+  bool abandon(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id);
 
   void cancel(std::size_t index, const CancelAttempt& action);
 
-  void endAttempt(const std::shared_ptr<Transit>& transit, EndpointId id, AttemptOutcome outcome,
+  void endAttempt(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id, AttemptOutcome outcome,
                   LogPosition position = 0);
 
-  // The first write of a gateway at a group's new primary.
-  void observeWrite(std::size_t index, GroupId group, Micros arrived, Micros sentAt);
+  // Records how long a gateway's first successful write to a group's new primary waited for it.
+  void recordFailoverDelay(std::size_t index, GroupId group, Micros arrived, Micros sentAt);
 
-  void healthCheck(std::size_t index, const StartHealthCheck& action);
+  void startHealthCheck(std::size_t index, const StartHealthCheck& action);
 
   // ---- Faults ----
 
   void beginFault(const FaultEvent& fault);
 
-  // Begins a fault at each endpoint with the probability of its share, and ends it after its duration.
+  // Begins the fault at each running endpoint with a probability of its share, and ends it there after its
+  // duration.
   void applyToShare(const FaultEvent& fault, const std::function<void(EndpointModel&)>& begin,
                     const std::function<void(EndpointModel&)>& end);
 
   void stall(EndpointModel& model, Micros duration);
 
-  // Applies a fault every so often until a time.
-  void repeat(EndpointId id, Micros every, Micros until, const std::function<void(EndpointModel&)>& apply);
+  // Applies a fault to an endpoint once per period until a time, and skips it while the endpoint is down.
+  void repeat(EndpointId id, Micros period, Micros until, const std::function<void(EndpointModel&)>& apply);
 
   void beginEndpointFault(const FaultEvent& fault);
 
@@ -205,20 +208,21 @@
 
   EndpointModel* primaryOf(GroupId group);
 
-  // The log of a group without a primary stands still until the most advanced endpoint takes over.
+  // Freezes the log positions of a group that lost its primary. After the election time, its most advanced
+  // running endpoint becomes the primary; if none is running, the election starts again.
   void electPrimary(GroupId group);
 
   const Plan& plan_;
   std::mt19937_64 random_;
   PolicySettings settings_;
   Micros now_ = kStart;
-  bool arriving_ = true;
+  bool arrivalsEnabled_ = true;
   std::uint64_t order_ = 0;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::vector<EndpointModel> endpoints_;
   std::vector<GatewayModel> gateways_;
-  std::vector<Micros> primarySince_;
-  std::set<std::tuple<GroupId, std::size_t, Micros>> noticedBy_;
+  std::vector<Micros> primarySince_;                              // by group; 0: no failover so far
+  std::set<std::tuple<GroupId, std::size_t, Micros>> noticedBy_;  // group, gateway, start of the primary
   std::uint64_t failoversNoticed_ = 0;
   Micros failoverDelaySum_ = 0;
   std::uint64_t openConnections_ = 0;
--- a/src/tools/fleet_sim.cpp
+++ b/src/tools/fleet_sim.cpp
@@ -42,7 +42,7 @@
   std::size_t violations = 0;
   for (auto& [name, faults] : scenarios()) {
     plan.faults = faults;
-    const fleet::Result result = fleet::play(plan);
+    const fleet::Result result = fleet::simulate(plan);
     std::uint64_t inTime = 0, unserved = 0;
     double worstWithCapacity = 0;
     for (const fleet::Window& window : result.windows) {
--- a/tests/fleet_ramp_test.cpp
+++ b/tests/fleet_ramp_test.cpp
@@ -40,7 +40,7 @@
     for (const std::uint64_t seed : {1U, 2U}) {
       Plan plan = planOf(GetParam(), seed);
       plan.faults = happenings;
-      const Result result = fleet::play(plan);
+      const Result result = fleet::simulate(plan);
       EXPECT_LE(result.slowStartPeakOfThreshold, 1) << "seed " << seed;
       EXPECT_GT(result.slowStartPeakLoad, 0.2) << "they are used, seed " << seed;
       EXPECT_EQ(result.duplicateAnswers, 0U);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -4,169 +4,169 @@
 
 #include <algorithm>
 
-#include "fleet/talk.h"
+#include "fleet/gossip_simulation.h"
 #include "membership/detector.h"
 
 namespace heathflow::membership {
 namespace {
 
-using fleet::Talk;
-using fleet::TalkPlan;
+using fleet::GossipPlan;
+using fleet::GossipSimulation;
 using Kind = MembershipEvent::Kind;
 
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-TalkPlan plan(unsigned gateways, std::uint64_t seed = 1) {
-  TalkPlan out;
+GossipPlan plan(unsigned gateways, std::uint64_t seed = 1) {
+  GossipPlan out;
   out.gateways = gateways;
   out.seed = seed;
   return out;
 }
 
-std::size_t count(const Talk& talk, Kind kind, Micros since) {
+std::size_t count(const GossipSimulation& simulation, Kind kind, Micros since) {
   return static_cast<std::size_t>(
-      std::count_if(talk.events().begin(), talk.events().end(),
-                    [&](const auto& e) { return e.what.kind == kind && e.at >= since; }));
+      std::count_if(simulation.events().begin(), simulation.events().end(),
+                    [&](const auto& e) { return e.observed.kind == kind && e.at >= since; }));
 }
 
 TEST(Membership, GatewaysThatStartTogetherJoinBySeeds) {
   for (const unsigned gateways : {2U, 5U, 60U}) {
-    Talk talk(plan(gateways));
-    talk.run(15 * kS);
-    EXPECT_TRUE(talk.agreed()) << gateways;
-    EXPECT_EQ(count(talk, Kind::Failed, 0), 0U);
+    GossipSimulation simulation(plan(gateways));
+    simulation.run(15 * kS);
+    EXPECT_TRUE(simulation.viewsAgree()) << gateways;
+    EXPECT_EQ(count(simulation, Kind::Failed, 0), 0U);
   }
 }
 
 TEST(Membership, ACrashIsDetectedByAllWithinSeconds) {
-  Talk talk(plan(100));
-  talk.run(20 * kS);
-  ASSERT_TRUE(talk.agreed());
-  const Micros crashedAt = talk.now();
-  talk.kill(7);
-  talk.run(20 * kS);
-  const auto [last, by] = talk.seen(Kind::Failed, 7, crashedAt);
+  GossipSimulation simulation(plan(100));
+  simulation.run(20 * kS);
+  ASSERT_TRUE(simulation.viewsAgree());
+  const Micros crashedAt = simulation.now();
+  simulation.kill(7);
+  simulation.run(20 * kS);
+  const auto [last, by] = simulation.spreadOf(Kind::Failed, 7, crashedAt);
   EXPECT_EQ(by, 99U);
   EXPECT_LT(last - crashedAt, 10 * kS);
-  EXPECT_TRUE(talk.agreed());
+  EXPECT_TRUE(simulation.viewsAgree());
 }
 
 TEST(Membership, CrashesOfSevenInTenAreDetected) {
-  Talk talk(plan(50));
-  talk.run(20 * kS);
-  for (unsigned i = 0; i < 35; ++i) talk.kill(i);
-  talk.run(60 * kS);
-  EXPECT_TRUE(talk.agreed());
-  for (unsigned i = 35; i < 50; ++i) EXPECT_EQ(talk.at(i).livingCount(), 14U);
+  GossipSimulation simulation(plan(50));
+  simulation.run(20 * kS);
+  for (unsigned i = 0; i < 35; ++i) simulation.kill(i);
+  simulation.run(60 * kS);
+  EXPECT_TRUE(simulation.viewsAgree());
+  for (unsigned i = 35; i < 50; ++i) EXPECT_EQ(simulation.detectorOf(i).livingCount(), 14U);
 }
 
 TEST(Membership, LostMessagesCauseNoFailures) {
-  TalkPlan lossy = plan(40, 3);
-  Talk talk(lossy);
-  talk.run(15 * kS);
-  talk.setLoss(0.2);
-  const Micros since = talk.now();
-  talk.run(120 * kS);
-  EXPECT_EQ(count(talk, Kind::Failed, since), 0U);
+  GossipPlan lossy = plan(40, 3);
+  GossipSimulation simulation(lossy);
+  simulation.run(15 * kS);
+  simulation.setLoss(0.2);
+  const Micros since = simulation.now();
+  simulation.run(120 * kS);
+  EXPECT_EQ(count(simulation, Kind::Failed, since), 0U);
 }
 
 TEST(Membership, AStalledGatewayDeclaresNoOtherFailedAndRejoins) {
   for (const Micros pause : {500 * kMs, 2 * kS, 20 * kS}) {
-    Talk talk(plan(30));
-    talk.run(15 * kS);
-    ASSERT_TRUE(talk.agreed());
-    talk.pause(4);
-    talk.run(pause);
-    const Micros resumedAt = talk.now();
-    talk.resume(4);
-    talk.run(20 * kS);
-    EXPECT_TRUE(talk.agreed()) << pause;
-    for (const auto& event : talk.events()) {
+    GossipSimulation simulation(plan(30));
+    simulation.run(15 * kS);
+    ASSERT_TRUE(simulation.viewsAgree());
+    simulation.pause(4);
+    simulation.run(pause);
+    const Micros resumedAt = simulation.now();
+    simulation.resume(4);
+    simulation.run(20 * kS);
+    EXPECT_TRUE(simulation.viewsAgree()) << pause;
+    for (const auto& event : simulation.events()) {
       const bool own = event.at >= resumedAt && event.gateway == 4;
-      EXPECT_FALSE(own && event.what.kind == Kind::Failed) << event.what.name;
+      EXPECT_FALSE(own && event.observed.kind == Kind::Failed) << event.observed.name;
     }
   }
 }
 
 TEST(Membership, ALostDirectPathIsNoFailure) {
-  Talk talk(plan(12));
-  talk.run(15 * kS);
-  const Micros since = talk.now();
-  talk.cut(2, 5);
-  talk.run(60 * kS);
-  EXPECT_EQ(count(talk, Kind::Failed, since), 0U);
-  EXPECT_TRUE(talk.at(2).view().at("n5").directPathLost);
-  EXPECT_FALSE(talk.at(3).view().at("n5").directPathLost);
-  talk.heal();
-  talk.run(40 * kS);
-  EXPECT_FALSE(talk.at(2).view().at("n5").directPathLost);
+  GossipSimulation simulation(plan(12));
+  simulation.run(15 * kS);
+  const Micros since = simulation.now();
+  simulation.cut(2, 5);
+  simulation.run(60 * kS);
+  EXPECT_EQ(count(simulation, Kind::Failed, since), 0U);
+  EXPECT_TRUE(simulation.detectorOf(2).view().at("n5").directPathLost);
+  EXPECT_FALSE(simulation.detectorOf(3).view().at("n5").directPathLost);
+  simulation.heal();
+  simulation.run(40 * kS);
+  EXPECT_FALSE(simulation.detectorOf(2).view().at("n5").directPathLost);
 }
 
 TEST(Membership, AnIsolatedGatewayKnowsThatItLostContact) {
-  Talk talk(plan(12));
-  talk.run(15 * kS);
-  const Micros since = talk.now();
+  GossipSimulation simulation(plan(12));
+  simulation.run(15 * kS);
+  const Micros since = simulation.now();
   for (unsigned i = 1; i < 12; ++i) {
-    talk.cut(0, i);
-    talk.cut(i, 0);
+    simulation.cut(0, i);
+    simulation.cut(i, 0);
   }
-  talk.run(40 * kS);
-  EXPECT_TRUE(talk.at(0).contactLost());
+  simulation.run(40 * kS);
+  EXPECT_TRUE(simulation.detectorOf(0).contactLost());
   // At most those that it suspected before it lost contact.
   std::size_t declaredFailed = 0;
-  for (const auto& event : talk.events())
-    declaredFailed += event.gateway == 0 && event.at >= since && event.what.kind == Kind::Failed ? 1 : 0;
+  for (const auto& event : simulation.events())
+    declaredFailed += event.gateway == 0 && event.at >= since && event.observed.kind == Kind::Failed ? 1 : 0;
   EXPECT_LE(declaredFailed, 2U);
-  EXPECT_EQ(talk.at(5).view().at("n0").state, State::Failed);
-  talk.heal();
-  talk.run(120 * kS);
-  EXPECT_FALSE(talk.at(0).contactLost());
-  EXPECT_TRUE(talk.agreed());
+  EXPECT_EQ(simulation.detectorOf(5).view().at("n0").state, State::Failed);
+  simulation.heal();
+  simulation.run(120 * kS);
+  EXPECT_FALSE(simulation.detectorOf(0).contactLost());
+  EXPECT_TRUE(simulation.viewsAgree());
 }
 
 TEST(Membership, PartitionsJoinAgain) {
-  Talk talk(plan(16));
-  talk.run(15 * kS);
+  GossipSimulation simulation(plan(16));
+  simulation.run(15 * kS);
   for (unsigned a = 0; a < 8; ++a) {
     for (unsigned b = 8; b < 16; ++b) {
-      talk.cut(a, b);
-      talk.cut(b, a);
+      simulation.cut(a, b);
+      simulation.cut(b, a);
     }
   }
-  talk.run(30 * kS);
-  EXPECT_EQ(talk.at(0).view().at("n12").state, State::Failed);
-  talk.heal();
-  talk.run(100 * kS);
-  EXPECT_TRUE(talk.agreed());
+  simulation.run(30 * kS);
+  EXPECT_EQ(simulation.detectorOf(0).view().at("n12").state, State::Failed);
+  simulation.heal();
+  simulation.run(100 * kS);
+  EXPECT_TRUE(simulation.viewsAgree());
 }
 
 TEST(Membership, ARestartUnderTheSameNameIsANewIncarnation) {
-  Talk talk(plan(20));
-  talk.run(15 * kS);
-  const Incarnation before = talk.at(3).view().at("n9").incarnation;
-  talk.kill(9);
-  talk.run(200 * kMs);  // before it is detected
-  talk.start(9);
-  talk.run(20 * kS);
-  EXPECT_TRUE(talk.agreed());
-  EXPECT_GT(talk.at(3).view().at("n9").incarnation, before);
-  talk.kill(9);
-  talk.run(30 * kS);  // and after it was declared failed
-  EXPECT_EQ(talk.at(3).view().at("n9").state, State::Failed);
-  talk.start(9);
-  talk.run(20 * kS);
-  EXPECT_TRUE(talk.agreed());
+  GossipSimulation simulation(plan(20));
+  simulation.run(15 * kS);
+  const Incarnation before = simulation.detectorOf(3).view().at("n9").incarnation;
+  simulation.kill(9);
+  simulation.run(200 * kMs);  // before it is detected
+  simulation.start(9);
+  simulation.run(20 * kS);
+  EXPECT_TRUE(simulation.viewsAgree());
+  EXPECT_GT(simulation.detectorOf(3).view().at("n9").incarnation, before);
+  simulation.kill(9);
+  simulation.run(30 * kS);  // and after it was declared failed
+  EXPECT_EQ(simulation.detectorOf(3).view().at("n9").state, State::Failed);
+  simulation.start(9);
+  simulation.run(20 * kS);
+  EXPECT_TRUE(simulation.viewsAgree());
 }
 
 TEST(Membership, AGatewayThatLeavesHasNotFailed) {
-  Talk talk(plan(20));
-  talk.run(15 * kS);
-  const Micros since = talk.now();
-  talk.leave(6);
-  talk.run(20 * kS);
-  EXPECT_EQ(talk.seen(Kind::Left, 6, since).second, 19U);
-  EXPECT_EQ(talk.seen(Kind::Failed, 6, since).second, 0U);
+  GossipSimulation simulation(plan(20));
+  simulation.run(15 * kS);
+  const Micros since = simulation.now();
+  simulation.leave(6);
+  simulation.run(20 * kS);
+  EXPECT_EQ(simulation.spreadOf(Kind::Left, 6, since).second, 19U);
+  EXPECT_EQ(simulation.spreadOf(Kind::Failed, 6, since).second, 0U);
 }
 
 // ---- Single updates ----
--- a/tests/policy/fleet_faults_test.cpp
+++ b/tests/policy/fleet_faults_test.cpp
@@ -25,7 +25,7 @@
   plan.requestsPerSecond = 12;
   plan.length = 25 * kSecond;
   plan.faults = {{kind, 4 * kSecond, share, lasts}};
-  const Result result = fleet::play(plan);
+  const Result result = fleet::simulate(plan);
   EXPECT_EQ(result.answers, result.requests);
   EXPECT_EQ(result.duplicateAnswers, 0U);
   EXPECT_EQ(result.stale, 0U);
--- a/tests/sparing_test.cpp
+++ b/tests/sparing_test.cpp
@@ -352,8 +352,8 @@
 }
 
 TEST(Fleet, EqualPlansGiveEqualResults) {
-  const Result one = fleet::play(smallFleet());
-  const Result two = fleet::play(smallFleet());
+  const Result one = fleet::simulate(smallFleet());
+  const Result two = fleet::simulate(smallFleet());
   EXPECT_EQ(one.requests, two.requests);
   EXPECT_EQ(one.healthChecks, two.healthChecks);
   EXPECT_EQ(one.connections, two.connections);
@@ -364,7 +364,7 @@
   Plan plan = smallFleet();
   plan.requestsPerSecond = 11;
   plan.trafficRatio = 10;
-  const Result result = fleet::play(plan);
+  const Result result = fleet::simulate(plan);
   expectRules(result);
   EXPECT_LT(healthChecksPerRequest(result, 0, 6), 0.5);
   EXPECT_LT(healthChecksPerRequest(result, 54, 60), 0.35);
@@ -374,7 +374,7 @@
 TEST(Fleet, ARestartOfSevenInTenCostsFewConnectionsAndNoRejections) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::GatewaysRestart, 5'000'000, 0.7, 0}};
-  const Result result = fleet::play(plan);
+  const Result result = fleet::simulate(plan);
   EXPECT_EQ(result.duplicateAnswers, 0U);
   EXPECT_EQ(result.stale, 0U);
   // A connection to every endpoint, once more for those that restarted, would be 4,080.
@@ -386,7 +386,7 @@
 TEST(Fleet, LostPrimariesAreFoundAgainAtAFractionOfTheHealthChecks) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::PrimariesCrash, 4'000'000, 1, 6'000'000}};
-  const Result result = fleet::play(plan);
+  const Result result = fleet::simulate(plan);
   expectRules(result);
   EXPECT_GT(result.failoversNoticed, 100U);
   EXPECT_LT(result.failoverDelay, 400'000);
@@ -399,7 +399,7 @@
 TEST(Fleet, AllEndpointsBackAtOnceAndColdAreNotPushedOver) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::EndpointsRestart, 4'000'000, 1, 3'000'000}};
-  const Result result = fleet::play(plan);
+  const Result result = fleet::simulate(plan);
   expectRules(result);
   EXPECT_GT(result.windows.back().inTime, 0U);
 }
@@ -412,7 +412,7 @@
     plan.cores = 1;
     plan.seed = seed;
     plan.faults = {{FaultEvent::Kind::EndpointsRestart, 4'000'000, 0.5, 2'000'000}};
-    const Result result = fleet::play(plan);
+    const Result result = fleet::simulate(plan);
     expectRules(result);
     EXPECT_LE(result.slowStartPeakLoad, fleet::settingsOf(plan).overloadMultiple);
   }
@@ -421,7 +421,7 @@
 TEST(Fleet, ReplicasThatStandStillGiveNoStaleReadAndAreUsedAgain) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::ReplicasLag, 3'000'000, 0.8, 6'000'000}};
-  const Result result = fleet::play(plan);
+  const Result result = fleet::simulate(plan);
   expectRules(result);
   EXPECT_GT(result.windows.back().inTime * 100, result.windows.back().requests * 95);
 }
@@ -429,7 +429,7 @@
 TEST(Fleet, AnEndpointThatIsBadForSomeIsLeftByTheseOnly) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::EndpointFailsForSome, 3'000'000, 0.3, 9'000'000}};
-  const Result result = fleet::play(plan);
+  const Result result = fleet::simulate(plan);
   expectRules(result);
   EXPECT_GT(result.endpointAttempts[0], 100U);
   for (const fleet::Window& window : result.windows) EXPECT_LE(window.unserved * 50, window.requests);
