--- a/tests/sparing_test.cpp
+++ b/tests/sparing_test.cpp
@@ -1,5 +1,5 @@
-// What a router, and a fleet of them, asks of the endpoints: single routers, and 60 to 300 of them
-// with modelled endpoints under a virtual clock.
+// The health checks and requests that gateways send to endpoints: of single gateways, and of fleets of 60 to
+// 300 gateways with modelled endpoints under a virtual clock.
 #include <gtest/gtest.h>
 
 #include <numeric>
@@ -15,9 +15,9 @@
 using fleet::Result;
 using Endpoints = std::vector<EndpointId>;
 
-// ---- One router ----
+// ---- One gateway ----
 
-// Its primary has more than its part of the work, so that reads look for a replica.
+// Its primary has more than its share of the load, so that reads go to a replica.
 class HarnessWithBusyPrimary : public PolicyHarness {
  public:
   HarnessWithBusyPrimary() {
@@ -27,8 +27,8 @@
   }
 };
 
-// A bound of 3 s that is asked for every 4 s: one health check for each read, and none between.
-TEST(Sparing, AClassAskedForMoreSeldomThanItsBoundCostsOneHealthCheckARead) {
+// Reads with a staleness bound of 3 s, every 4 s: one health check per read, and none in between.
+TEST(Sparing, ReadsRarerThanTheirStalenessBoundCostOneHealthCheckEach) {
   HarnessWithBusyPrimary harness;
   std::size_t healthChecks = 0;
   for (int i = 0; i < 10; ++i) {
@@ -43,7 +43,7 @@
   EXPECT_EQ(healthChecks, 10U);
 }
 
-TEST(Sparing, ReadsWithoutABoundAndWritesToAListedPrimaryCostNone) {
+TEST(Sparing, EventualReadsAndWritesToAListedPrimaryCostNoHealthChecks) {
   PolicyHarness harness;
   harness.listUsualGroup();
   for (int i = 0; i < 20; ++i) {
@@ -54,8 +54,8 @@
   EXPECT_EQ(harness.healthChecks(), 0U);
 }
 
-// What is known serves until its bound: many reads on one health check.
-TEST(Sparing, AKnownPositionServesAllReadsThatItCovers) {
+// A reported log position is used until the staleness bound has passed: one health check serves many reads.
+TEST(Sparing, OneHealthCheckServesAllReadsWithinTheStalenessBound) {
   HarnessWithBusyPrimary harness;
   for (int i = 0; i < 6; ++i) {
     const auto read = harness.sendRequest(kBoundedRead);
@@ -67,8 +67,8 @@
   EXPECT_EQ(harness.healthChecks(), 1U);
 }
 
-// Idle replicas are taken in this router's own order, the same one each time, and others differ.
-TEST(Sparing, AQuietRouterStaysWithOneReplicaAndTheFleetSpreads) {
+// Each gateway chooses among idle replicas in a fixed order of its own; the orders differ between gateways.
+TEST(Sparing, AGatewayWithLittleTrafficKeepsToOneReplicaAndTheFleetSpreadsItsReads) {
   std::map<EndpointId, int> firsts;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     PolicyHarnessWithKnownGroup harness(makeSettings(), seed);
@@ -86,8 +86,8 @@
   EXPECT_GT(firsts[3], 50);
 }
 
-// Bad for this router only: it turns to the other, and others stay.
-TEST(Sparing, AnEndpointThatFailsARouterGoesToTheBackOfItsOrder) {
+// The gateway prefers the other replica from then on. Its own experience has no effect on other gateways.
+TEST(Sparing, AnEndpointThatFailsAnAttemptIsPreferredLast) {
   PolicyHarnessWithKnownGroup harness;
   auto read = harness.sendRequest(kEventualRead);
   const EndpointId first = harness.sentTo(read).at(0);
@@ -102,9 +102,9 @@
   }
 }
 
-TEST(Sparing, AReplicaBeyondAllBoundsIsNotHealthCheckedForEverAndIsFoundAgain) {
+TEST(Sparing, AReplicaFarBehindIsCheckedOnlyWhenItMayHaveCaughtUp) {
   HarnessWithBusyPrimary harness;
-  const auto askOnce = [&] {
+  const auto readOnce = [&] {
     const auto read = harness.sendRequest(kBoundedRead);
     harness.advance(50 * kMs);
     EXPECT_EQ(harness.sentTo(read), Endpoints{1});
@@ -113,8 +113,8 @@
   };
   harness.healthCheckOk(2, Role::Replica, harness.now - 30 * kS);
   harness.healthCheckOk(3, Role::Replica, harness.now - 30 * kS);
-  for (int i = 0; i < 15; ++i) askOnce();  // 15 s
-  EXPECT_EQ(harness.healthChecks(), 0U) << "neither can have caught up";
+  for (int i = 0; i < 15; ++i) readOnce();  // 15 s
+  EXPECT_EQ(harness.healthChecks(), 0U) << "neither replica can have caught up yet";
   harness.now += 40 * kS;
   harness.healthCheckOk(1, Role::Primary, harness.now);
   harness.clearActions();
@@ -126,9 +126,9 @@
   EXPECT_EQ(harness.sentTo(read), Endpoints{found});
 }
 
-// ---- Who leads ----
+// ---- Finding the primary ----
 
-TEST(Sparing, WhoLeadsIsAskedOfTheMostAdvancedFirstAndNoFurtherOnceFound) {
+TEST(Sparing, TheSearchForThePrimaryStartsAtTheMostAdvancedReplicaAndEndsWhenItIsFound) {
   PolicyHarnessWithKnownGroup harness;
   harness.healthCheckOk(3, Role::Replica, harness.now - 10 * kMs);  // ahead of 2
   harness.updateEndpoints({makeEndpoint(1, true, EndpointStatus::Removed), makeEndpoint(2), makeEndpoint(3)});
@@ -143,31 +143,32 @@
   EXPECT_EQ(harness.healthChecks(), 1U);
 }
 
-TEST(Sparing, WhileNobodyLeadsOnlyTheHeirIsAskedAgain) {
+TEST(Sparing, WithoutAPrimaryOnlyTheMostAdvancedReplicaIsCheckedAgain) {
   PolicyHarnessWithKnownGroup harness;
   harness.healthCheckOk(3, Role::Replica, harness.now - 10 * kMs);
   harness.updateEndpoints({makeEndpoint(1, true, EndpointStatus::Removed), makeEndpoint(2), makeEndpoint(3)});
   harness.now += kS;
   harness.clearActions();
   harness.sendRequest(kUnsafeWrite);
-  const LogPosition stood = harness.now - kS;
-  std::map<EndpointId, int> asked;
-  for (int i = 0; i < 60; ++i) {  // 1.5 s, a round every 400 ms
+  const LogPosition lastPosition = harness.now - kS;
+  std::map<EndpointId, int> checks;
+  for (int i = 0; i < 60; ++i) {  // 1.5 s, with a round of health checks every 400 ms
     for (const StartHealthCheck& healthCheck : harness.actionsOf<StartHealthCheck>())
-      ++asked[healthCheck.endpoint];
+      ++checks[healthCheck.endpoint];
     const auto healthChecks = harness.actionsOf<StartHealthCheck>();
     harness.clearActions();
     for (const StartHealthCheck& healthCheck : healthChecks)
       harness.healthCheckOk(healthCheck.endpoint, Role::Replica,
-                            healthCheck.endpoint == 3 ? stood : stood - kMs);
+                            healthCheck.endpoint == 3 ? lastPosition : lastPosition - kMs);
     harness.advance(25 * kMs);
   }
-  EXPECT_EQ(asked[2], 1);
-  EXPECT_GE(asked[3], 3);
+  EXPECT_EQ(checks[2], 1);
+  EXPECT_GE(checks[3], 3);
 }
 
-// The primary goes while nobody has a connection to its replicas, and answers come slowly.
-TEST(Sparing, TheNextIsAskedWhereTheFirstStaysSilent) {
+// As after the loss of a primary to whose replicas no gateway has a connection: no primary is known, and
+// health checks are answered slowly.
+TEST(Sparing, FurtherEndpointsAreCheckedIfTheFirstDoesNotAnswer) {
   PolicyHarness harness;
   harness.updateEndpoints({makeEndpoint(1), makeEndpoint(2), makeEndpoint(3)});
   const auto write = harness.sendRequest(kUnsafeWrite);
@@ -179,7 +180,7 @@
   EXPECT_EQ(harness.sentTo(write), Endpoints{last});
 }
 
-TEST(Sparing, APrimaryThatIsAboutToTellWhetherItLivesIsWaitedFor) {
+TEST(Sparing, OtherEndpointsAreCheckedOnlyAfterTheHealthCheckOfThePrimaryFails) {
   PolicyHarnessWithKnownGroup harness;
   harness.now += kS;
   const auto first = harness.sendRequest(kUnsafeWrite);
@@ -189,10 +190,10 @@
   EXPECT_EQ(harness.actionsOf<StartHealthCheck>()[0].endpoint, 1U);
   EXPECT_EQ(harness.actionsOf<StartHealthCheck>()[0].reason, HealthCheckReason::ConnectionBroken);
   harness.healthCheckFailed(1);
-  EXPECT_EQ(harness.healthChecks(), 2U) << "now the others are asked";
+  EXPECT_EQ(harness.healthChecks(), 2U) << "the next endpoint is checked now";
 }
 
-TEST(Sparing, ANewerWordOfTheListNamesThePrimaryWithoutAHealthCheck) {
+TEST(Sparing, ANewerEndpointListNamesThePrimaryWithoutAHealthCheck) {
   PolicyHarnessWithKnownGroup harness;
   harness.now += kS;
   harness.updateEndpoints(
@@ -203,20 +204,21 @@
   EXPECT_EQ(harness.healthChecks(), 0U);
 }
 
-TEST(Sparing, AWriteThatMissedDoesNotGoToTheSameEndpointAgain) {
+TEST(Sparing, AWriteThatFailedItsPreconditionIsNotRetriedAtTheSameEndpoint) {
   PolicyHarness harness;
   harness.listUsualGroup();
   const auto write = harness.sendRequest(kUnsafeWrite);
   ASSERT_EQ(harness.sentTo(write), Endpoints{1});
-  harness.endAttempt(write, 0, AttemptOutcome::PreconditionFailed);  // answers show no role
+  harness.endAttempt(write, 0, AttemptOutcome::PreconditionFailed);  // answers carry no role
   EXPECT_EQ(harness.sentTo(write), Endpoints{1});
   EXPECT_GE(harness.healthChecks(), 1U);
 }
 
-// ---- Cold endpoints ----
+// ---- Slow start ----
 
-// Within the contract's window the whole fleet stays inside what a cold endpoint can do, and it is used.
-TEST(Sparing, QuietRoutersShareAColdEndpointBySingleRequestsFarApart) {
+// In each overload window the whole fleet stays below the overload threshold of an endpoint in slow start,
+// and still uses it.
+TEST(Sparing, GatewaysWithLittleTrafficSendFewRequestsToAnEndpointInSlowStart) {
   PolicySettings settings = makeSettings();
   settings.gatewayCount = 300;
   int sent = 0;
@@ -249,25 +251,28 @@
     sent += inWindow;
     most = std::max(most, inWindow);
   }
-  // In 2 s a core answers 40 of 50 ms; three times that at the 20% to 100% that the contract gives it.
+  // In 2 s one core serves 40 requests of 50 ms. The threshold is three times that; the endpoint has 20% to
+  // 100% of its capacity.
   EXPECT_GT(sent, 20);
   EXPECT_LT(most, 3 * 40);
 }
 
-// One of three endpoints that have all just started; it answers each read after a time.
+// A gateway and three endpoints that have all just started.
 struct ColdStart : PolicyHarness {
-  explicit ColdStart(unsigned gateways, Micros usual = 0) : PolicyHarness(settingsFor(gateways, usual)) {
+  explicit ColdStart(unsigned gateways, Micros initialLatency = 0)
+      : PolicyHarness(settingsFor(gateways, initialLatency)) {
     updateEndpoints({makeEndpoint(1, true, EndpointStatus::Ready, now),
                      makeEndpoint(2, false, EndpointStatus::Ready, now),
                      makeEndpoint(3, false, EndpointStatus::Ready, now)});
   }
-  static PolicySettings settingsFor(unsigned gateways, Micros usual) {
+  static PolicySettings settingsFor(unsigned gateways, Micros initialLatency) {
     PolicySettings out = makeSettings();
     out.gatewayCount = gateways;
-    out.initialLatency = usual;
+    out.initialLatency = initialLatency;
     return out;
   }
-  // Sends ten requests a second, each attempt answered after a time; returns how many attempts there were.
+  // Sends ten requests per second for a time and answers each attempt with the given latency. Returns the
+  // number of attempts.
   int attemptsWithin(Micros span, Micros elapsed, std::uint32_t classIndex = kEventualRead) {
     int sent = 0;
     for (const Micros end = now + span; now < end;) {
@@ -284,49 +289,51 @@
   }
 };
 
-// Nothing is known of endpoints of which none has answered yet, and nothing would ever be without a request.
-TEST(ColdStart, AFleetThatHasAllJustStartedIsServedFromTheBeginning) {
+// While no endpoint has answered yet their latency is unknown, and it stays unknown unless a request is sent.
+TEST(ColdStart, RequestsAreSentWhileAllEndpointsAreInSlowStart) {
   EXPECT_GT(ColdStart(2).attemptsWithin(5 * kS, 10 * kMs), 25);
-  // Of many routers each has little of it, but something.
+  // Each of many gateways has a small share of the capacity, but not none.
   const int few = ColdStart(300).attemptsWithin(8 * kS, 10 * kMs);
   EXPECT_GT(few, 3);
   EXPECT_LT(few, 60);
 }
 
-TEST(ColdStart, WhatAnEarlierLifeKnewOfItsEndpointsIsUsedAtOnce) {
-  const auto sentBy = [](Micros usual) {
+TEST(ColdStart, TheLatencyThatAnEarlierIncarnationMeasuredIsUsedAtOnce) {
+  const auto sentBy = [](Micros initialLatency) {
     int sent = 0;
-    for (int i = 0; i < 20; ++i) sent += ColdStart(100, usual).attemptsWithin(2 * kS, 30 * kMs);
+    for (int i = 0; i < 20; ++i) sent += ColdStart(100, initialLatency).attemptsWithin(2 * kS, 30 * kMs);
     return sent;
   };
   EXPECT_GT(sentBy(6 * kMs), sentBy(0) * 5 / 4);
 }
 
-// The speed of a cold endpoint is not taken for that of a warm one, nor cut off its part a second time.
-TEST(ColdStart, SlowAnswersOfColdEndpointsAreReckonedAsWhatTheyWouldBeWarm) {
+// Latency measured during slow start is not taken for that at full capacity, and the slow-start share is not
+// applied to it twice.
+TEST(ColdStart, LatencyDuringSlowStartIsScaledToFullCapacity) {
   EXPECT_GT(ColdStart(100, 6 * kMs).attemptsWithin(4 * kS, 30 * kMs), 12);
 }
 
-// One first answer that came late (a connection that had to be opened) must not bar its class from all cold
-// endpoints until they are warm.
-TEST(ColdStart, AClassIsNotTakenForHeavyByOneAnswer) {
+// A slow first answer, such as one whose connection had to be opened, must not keep its class away from all
+// endpoints in slow start until that ends.
+TEST(ColdStart, OneSlowAnswerDoesNotExcludeItsClass) {
   ColdStart harness(2);
   harness.attemptsWithin(2 * kS, 10 * kMs, kEventualRead);
   EXPECT_EQ(harness.attemptsWithin(100 * kMs, 40 * kMs, kSessionRead), 1);
   EXPECT_GT(harness.attemptsWithin(3 * kS, 10 * kMs, kSessionRead), 10);
 }
 
-// An endpoint of many cores shows it by its answers; one that slows down gets its even part again.
-TEST(ColdStart, TheEvenPartGrowsWithQuickAnswersAndFallsWithSlowOnes) {
-  const auto secondHalf = [](Micros took) {
+// Quick answers of an endpoint with many cores raise its share of requests; slow answers return it to an even
+// share.
+TEST(ColdStart, QuickAnswersRaiseTheShareOfAnEndpointAndSlowOnesLowerIt) {
+  const auto attemptsAtLatency = [](Micros latency) {
     ColdStart harness(300, 6 * kMs);
     harness.attemptsWithin(4 * kS, 30 * kMs);
-    return harness.attemptsWithin(4 * kS, took);
+    return harness.attemptsWithin(4 * kS, latency);
   };
-  EXPECT_GT(secondHalf(15 * kMs), 2 * secondHalf(290 * kMs));
+  EXPECT_GT(attemptsAtLatency(15 * kMs), 2 * attemptsAtLatency(290 * kMs));
 }
 
-// ---- The fleet ----
+// ---- Fleets ----
 
 Plan smallFleet() {
   Plan plan;
@@ -337,7 +344,7 @@
   return plan;
 }
 
-void expectRules(const Result& result) {
+void expectInvariants(const Result& result) {
   EXPECT_EQ(result.answers, result.requests);
   EXPECT_EQ(result.duplicateAnswers, 0U);
   EXPECT_EQ(result.stale, 0U);
@@ -345,8 +352,9 @@
 }
 
 double healthChecksPerRequest(const Result& result, std::size_t from, std::size_t to) {
-  const auto sum = [&](const std::vector<std::uint64_t>& of) {
-    return std::accumulate(of.begin() + static_cast<long>(from), of.begin() + static_cast<long>(to), 0.0);
+  const auto sum = [&](const std::vector<std::uint64_t>& counts) {
+    return std::accumulate(counts.begin() + static_cast<long>(from), counts.begin() + static_cast<long>(to),
+                           0.0);
   };
   return sum(result.gatewayHealthChecks) / sum(result.gatewayRequests);
 }
@@ -359,78 +367,78 @@
   EXPECT_EQ(one.connections, two.connections);
 }
 
-// One router with two requests a second beside 59 others with up to ten times as many.
-TEST(Fleet, AQuietRouterPaysLittleMoreForARequestThanABusyOne) {
+// 60 gateways, from 2 to 20 requests per second.
+TEST(Fleet, GatewaysWithLittleTrafficNeedLittleMoreHealthChecksPerRequest) {
   Plan plan = smallFleet();
   plan.requestsPerSecond = 11;
   plan.trafficRatio = 10;
   const Result result = fleet::simulate(plan);
-  expectRules(result);
+  expectInvariants(result);
   EXPECT_LT(healthChecksPerRequest(result, 0, 6), 0.5);
   EXPECT_LT(healthChecksPerRequest(result, 54, 60), 0.35);
   EXPECT_LT(healthChecksPerRequest(result, 0, 60), 0.4);
 }
 
-TEST(Fleet, ARestartOfSevenInTenCostsFewConnectionsAndNoRejections) {
+TEST(Fleet, ARestartOf70PercentOfGatewaysCostsFewConnectionsAndNoRejections) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::GatewaysRestart, 5'000'000, 0.7, 0}};
   const Result result = fleet::simulate(plan);
   EXPECT_EQ(result.duplicateAnswers, 0U);
   EXPECT_EQ(result.stale, 0U);
-  // A connection to every endpoint, once more for those that restarted, would be 4,080.
+  // Connections of every gateway to every endpoint, and again of those that restarted, would be 4,080.
   EXPECT_LT(result.connections, 3200U);
   for (const fleet::Window& window : result.windows)
     EXPECT_LE(window.unservedWithCapacity * 50, window.requests);
 }
 
-TEST(Fleet, LostPrimariesAreFoundAgainAtAFractionOfTheHealthChecks) {
+TEST(Fleet, NewPrimariesAreFoundWithFewHealthChecks) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::PrimariesCrash, 4'000'000, 1, 6'000'000}};
   const Result result = fleet::simulate(plan);
-  expectRules(result);
+  expectInvariants(result);
   EXPECT_GT(result.failoversNoticed, 100U);
   EXPECT_LT(result.failoverDelay, 400'000);
-  const auto role = result.healthChecksBy[static_cast<std::size_t>(HealthCheckReason::PrimaryUnknown)];
-  // All of four replicas, every 400 ms for 4.5 s, would be 44 for each router and group.
-  EXPECT_LT(role, 60U * 8U * 15U);
-  EXPECT_GT(role, 0U);
+  const auto searching = result.healthChecksBy[static_cast<std::size_t>(HealthCheckReason::PrimaryUnknown)];
+  // Checking all four replicas every 400 ms for 4.5 s would take 44 health checks per gateway and group.
+  EXPECT_LT(searching, 60U * 8U * 15U);
+  EXPECT_GT(searching, 0U);
 }
 
-TEST(Fleet, AllEndpointsBackAtOnceAndColdAreNotPushedOver) {
+TEST(Fleet, EndpointsThatAllRestartAtOnceAreNotOverloaded) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::EndpointsRestart, 4'000'000, 1, 3'000'000}};
   const Result result = fleet::simulate(plan);
-  expectRules(result);
+  expectInvariants(result);
   EXPECT_GT(result.windows.back().inTime, 0U);
 }
 
-// One core each, and more asked of them than they can do: what grows with quick answers stays inside the
-// contract.
-TEST(Fleet, ColdEndpointsOfOneCoreUnderMoreThanTheyCanDoAreNotPushedOver) {
+// Endpoints with one core and more load than they can serve: the share that grows with quick answers stays
+// below the overload threshold.
+TEST(Fleet, SingleCoreEndpointsInSlowStartAreNotOverloadedByExcessLoad) {
   for (const std::uint64_t seed : {1U, 2U, 3U}) {
     Plan plan = smallFleet();
     plan.cores = 1;
     plan.seed = seed;
     plan.faults = {{FaultEvent::Kind::EndpointsRestart, 4'000'000, 0.5, 2'000'000}};
     const Result result = fleet::simulate(plan);
-    expectRules(result);
+    expectInvariants(result);
     EXPECT_LE(result.slowStartPeakLoad, fleet::settingsOf(plan).overloadMultiple);
   }
 }
 
-TEST(Fleet, ReplicasThatStandStillGiveNoStaleReadAndAreUsedAgain) {
+TEST(Fleet, LaggingReplicasServeNoStaleReadsAndAreUsedAgain) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::ReplicasLag, 3'000'000, 0.8, 6'000'000}};
   const Result result = fleet::simulate(plan);
-  expectRules(result);
+  expectInvariants(result);
   EXPECT_GT(result.windows.back().inTime * 100, result.windows.back().requests * 95);
 }
 
-TEST(Fleet, AnEndpointThatIsBadForSomeIsLeftByTheseOnly) {
+TEST(Fleet, AnEndpointThatFailsForSomeGatewaysIsAvoidedOnlyByThem) {
   Plan plan = smallFleet();
   plan.faults = {{FaultEvent::Kind::EndpointFailsForSome, 3'000'000, 0.3, 9'000'000}};
   const Result result = fleet::simulate(plan);
-  expectRules(result);
+  expectInvariants(result);
   EXPECT_GT(result.endpointAttempts[0], 100U);
   for (const fleet::Window& window : result.windows) EXPECT_LE(window.unserved * 50, window.requests);
 }
