--- a/src/tools/emulator_commands.cpp
+++ b/src/tools/emulator_commands.cpp
@@ -57,14 +57,14 @@
   ::setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-void printErrors(const std::vector<xml::Problem>& errors) {
-  for (const auto& error : errors) std::fprintf(stderr, "%s\n", toText(error).c_str());
+void printProblems(const std::vector<xml::Problem>& problems) {
+  for (const auto& problem : problems) std::fprintf(stderr, "%s\n", toText(problem).c_str());
 }
 
 std::optional<Scenario> loadOrReport(const std::string& file) {
-  std::vector<xml::Problem> errors;
-  auto scenario = loadScenario(file, errors);
-  printErrors(errors);
+  std::vector<xml::Problem> problems;
+  auto scenario = loadScenario(file, problems);
+  printProblems(problems);
   return scenario;
 }
 
@@ -224,9 +224,9 @@
 }
 
 int scale(const ScaleOptions& options, const std::string& gatewayProgram) {
-  std::vector<xml::Problem> errors;
-  const auto plan = loadScalePlan(options.plan, errors);
-  printErrors(errors);
+  std::vector<xml::Problem> problems;
+  const auto plan = loadScalePlan(options.plan, problems);
+  printProblems(problems);
   if (!plan) return kInvalidInput;
   raiseDescriptorLimit();
   if (!hasDescriptorsFor(*plan)) return kInvalidInput;
@@ -241,7 +241,7 @@
   const ScaleOutcome outcome = run.play();
   std::printf("\n%s, %s, on %s\n\n%s", note.name.c_str(), note.date.c_str(), note.machine.c_str(),
               outcome.results.table().c_str());
-  for (const std::string& error : outcome.problems) std::printf("NOT REACHED: %s\n", error.c_str());
+  for (const std::string& problem : outcome.problems) std::printf("NOT REACHED: %s\n", problem.c_str());
   if (!options.resultsFolder.empty()) writeScaleResults(outcome.results, note, options.resultsFolder);
   if (outcome.ended) return endedEarly();
   return outcome.problems.empty() ? kSuccess : kFailed;
--- a/src/tools/startup_sim.cpp
+++ b/src/tools/startup_sim.cpp
@@ -117,22 +117,22 @@
   model.set({});
   std::vector<Strategy> strategies;
   std::priority_queue<std::pair<Micros, unsigned>, std::vector<std::pair<Micros, unsigned>>, std::greater<>>
-      calls;
+      nextCalls;
   for (unsigned i = 0; i < gateways; ++i) {
     const auto upAt = static_cast<Micros>(uniform(random) * static_cast<double>(kStartSpread));
     strategies.push_back(makeStrategy(i, gateways, upAt, random));
-    calls.emplace(strategies.back().firstCall(), i);
+    nextCalls.emplace(strategies.back().firstCall(), i);
   }
   Outcome out;
-  while (!calls.empty() && calls.top().first < kSimulationEnd) {
-    const auto [now, number] = calls.top();
-    calls.pop();
+  while (!nextCalls.empty() && nextCalls.top().first < kSimulationEnd) {
+    const auto [now, number] = nextCalls.top();
+    nextCalls.pop();
     const auto answer = model.call(now, -1, false);
     if (answer->kind == ListModel::Answer::Kind::Served) {
       out.lastListAt = std::max(out.lastListAt, answer->at);
       if (answer->at > discovery::kNotificationTimeout) ++out.late;
     } else {
-      calls.emplace(strategies[number].nextCall(now, CallFailure::Rejected), number);
+      nextCalls.emplace(strategies[number].nextCall(now, CallFailure::Rejected), number);
     }
   }
   out.calls = model.calls();
