--- a/src/tools/fleet_sim.cpp
+++ b/src/tools/fleet_sim.cpp
@@ -1,5 +1,5 @@
-// Simulates a fleet of gateways under a virtual clock, with one fault per scenario, and prints a row of
-// results for each scenario.
+// Simulates a fleet of gateways under a virtual clock, with at most one fault per scenario, and prints a row
+// of results for each.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <string>
