--- a/tests/deployment_play.h
+++ b/tests/deployment_play.h
@@ -1,4 +1,4 @@
-// Shared by the tests that play deployments with the built program.
+// Helpers for tests that play deployments with the built program.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,6 +16,7 @@
   return Deployment(loop, scenario, ProgramPaths{HEATHFLOW_PROGRAM, HEATHFLOW_FAULT_LIBRARY, ""}).play();
 }
 
+// Expects no breach, no crash, and some served requests.
 inline void expectKept(const DeploymentResults& results) {
   for (const Breach& breach : results.breaches)
     ADD_FAILURE() << nameOf(breach.rule) << " " << breach.who << " " << breach.what;
@@ -23,6 +24,7 @@
   EXPECT_GT(results.served, 0U);
 }
 
+// Returns a short scenario without faults.
 inline Scenario quiet() {
   Scenario out;
   out.name = "quiet";
--- a/tests/judge_test.cpp
+++ b/tests/judge_test.cpp
@@ -1,4 +1,4 @@
-// The judge: which observations break which rule.
+// Tests which observations the judge reports as a breach, and of which rule.
 #include "emulator/judge.h"
 
 #include <gtest/gtest.h>
@@ -123,7 +123,8 @@
   judge.requestSent(read("s", 10 * kS));
   judge.attemptReceived("s", "m2", 10 * kS, 7 * kS - 1);
   EXPECT_EQ(judge.count(Rule::NoStaleRead), 1U);
-  judge.endpointWarmingUp("m3", 20 * kS, 2);  // 4 in a window, 10 with the multiple, 22 with chance
+  judge.endpointWarmingUp("m3", 20 * kS,
+                          2);  // 4 in a window, 10 with the multiple, 22 with the allowance for chance
   for (int i = 0; i < 22; ++i)
     judge.attemptReceived("c" + std::to_string(i), "m3", 20 * kS + i * kMs, 20 * kS);
   EXPECT_EQ(judge.count(Rule::SlowStartRespected), 0U);
@@ -133,7 +134,7 @@
   EXPECT_EQ(judge.count(Rule::SlowStartRespected), 1U) << "the window has passed";
 }
 
-// Guards against renaming the keys of the JSON results along with the code.
+// Guards against renaming keys of the JSON results when the code is renamed.
 TEST(JudgeTest, NamesOfRulesAreTheKeysOfTheResults) {
   std::vector<std::string> names;
   for (std::size_t i = 0; i < kRules; ++i) names.emplace_back(nameOf(static_cast<Rule>(i)));
--- a/tests/notifications_test.cpp
+++ b/tests/notifications_test.cpp
@@ -1,5 +1,5 @@
-// From when on a change of the endpoint list counts as known to a gateway: each term, and where terms
-// overlap.
+// Tests from when on a change of the endpoint list counts as known to a gateway: each term alone, and terms
+// that overlap.
 #include "emulator/notifications.h"
 
 #include <gtest/gtest.h>
@@ -10,13 +10,14 @@
 constexpr Micros kMs = 1000;
 constexpr Micros kS = 1000 * kMs;
 
-// A service that is up, and a gateway that started long before.
+// A list service that is up, and a gateway that started long before.
 struct NotificationTest {
   NotificationTest() { model.gatewayStarted("n0", -100 * kS); }
   std::optional<Micros> at(Micros time, const std::string& gateway = "n0") const {
     return model.notifiedNotReadySince(gateway, "m1", time);
   }
-  // Expects that the endpoint counts as not ready within this time alone, in steps of 100 ms.
+  // Expects that the endpoint counts as not ready from 'from' until 'until' and at no other time; checked
+  // every 100 ms.
   void expectNotReadyWithin(Micros from, Micros until, const std::string& gateway = "n0") const {
     for (Micros time = 0; time <= 40 * kS; time += 100 * kMs) {
       const bool wanted = time >= from && time < until;
@@ -30,7 +31,7 @@
 };
 constexpr Micros kAlways = 1000 * kS;
 
-TEST(Notified, OfNothingAnEndpointIsReady) {
+TEST(Notified, OfNoChangeTheEndpointIsReady) {
   NotificationTest test;
   test.expectNotReadyWithin(kAlways, kAlways);
 }
@@ -49,7 +50,7 @@
   test.expectNotReadyWithin(9 * kS, kAlways);
 }
 
-// Calls that fail, are rejected, given up or were never made: it is the same.
+// Whether calls fail, are rejected, are given up or were never made makes no difference.
 TEST(Notified, SixSecondsLaterAtTheLatestOfDrainsAndRemovalsAlike) {
   for (const ListedState state : {ListedState::Draining, ListedState::Gone}) {
     NotificationTest test;
@@ -146,7 +147,7 @@
   test.expectNotReadyWithin(3 * kS, 6 * kS);
 }
 
-// The incident's case: the endpoint is back, and the gateway does not know.
+// The endpoint is ready again, but no answer has told the gateway so.
 TEST(NotifiedOfAReturn, ByTheSameTermsAsOfTheRemoval) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Gone, 2 * kS);
@@ -180,8 +181,8 @@
   test.expectNotReadyWithin(8 * kS, 18 * kS);
 }
 
-// An answer held back by a cut arrives at its end: a removal still counts no earlier than the term, and a
-// return from then on (soak seed 30030).
+// An answer that a cut holds back arrives when the cut ends. A removal in it still counts no earlier than by
+// the term, but a return counts from the end of the cut on (found by the fault soak, seed 30030).
 TEST(NotifiedOfAReturn, ByAnAnswerOverACutPathAtItsEnd) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Gone, 2 * kS);
--- a/tests/soak_test.cpp
+++ b/tests/soak_test.cpp
@@ -1,5 +1,5 @@
-// The fault soak: its scenarios are valid and repeatable, breaches are found, and short plays with each kind
-// of fault keep all rules.
+// Tests of the fault soak: its scenarios are valid and reproducible, a program that fails is reported, and
+// short plays with many kinds of faults keep all rules.
 #include <gtest/gtest.h>
 
 #include "deployment_play.h"
@@ -60,7 +60,7 @@
   EXPECT_FALSE(results.crashes.empty());
 }
 
-// Guards a soak against playing its scenarios without their faults.
+// Guards against a soak that plays its scenarios without their system call faults.
 TEST(SoakPlays, DoNotStartWithoutTheFaultLibrary) {
   Scenario scenario = quiet();
   scenario.faults = "short-read=0.1";
