--- a/src/emulator/deployment_faults.cpp
+++ b/src/emulator/deployment_faults.cpp
@@ -9,7 +9,7 @@
 
 // After a failover the list names the new primary this much later than the endpoint takes over.
 constexpr Micros kListLagsFailover = 300 * kMicrosPerMilli;
-// From the failover until the old primaries are back.
+// From the failover until the old primaries are started again.
 constexpr Micros kPrimariesReturnAfter = kMicrosPerSecond;
 // From the time an endpoint is listed as draining until it stops.
 constexpr Micros kDrainDuration = kMicrosPerSecond;
--- a/src/emulator/deployment_results.h
+++ b/src/emulator/deployment_results.h
@@ -52,7 +52,7 @@
   std::array<std::size_t, kRules> broken{};  // breaches of each rule
   std::vector<Breach> breaches;
   std::map<std::string, std::uint64_t> counters;  // of the newest incarnation of each gateway, summed
-  std::vector<std::string> crashes;  // gateways that exited by themselves or were not ready in time
+  std::vector<std::string> crashes;  // gateways that exited unexpectedly, failed, or were not ready in time
   Micros emulatorLateness =
       0;                    // the most by which the emulator's timers fired late: the error of measured times
   Micros slowestStart = 0;  // the longest time from the start of a gateway until it served
--- a/src/emulator/gateway_process.cpp
+++ b/src/emulator/gateway_process.cpp
@@ -13,8 +13,8 @@
 namespace heathflow::emulator {
 namespace {
 
-// Time from the start of a process until it handles signals, on a busy machine.
-constexpr Micros kFirstLineWithin = 200 * kMicrosPerMilli;
+// A process has installed its signal handlers within this time after its start, also on a busy machine.
+constexpr Micros kHandlesSignalsWithin = 200 * kMicrosPerMilli;
 constexpr std::int64_t kLatencyObjectiveMs = 500;
 constexpr std::int64_t kConnectTimeoutMs = 250;
 constexpr std::int64_t kIdleTimeoutMs = 60'000;
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-Micros signalsAllowedFrom(const GatewayProcess& gateway) { return gateway.startedAt + kFirstLineWithin; }
+Micros signalsAllowedFrom(const GatewayProcess& gateway) { return gateway.startedAt + kHandlesSignalsWithin; }
 
 void writeStartFiles(GatewayProcess& gateway, const Scenario& scenario, const std::string& folder,
                      const std::string& traces) {
--- a/src/emulator/judge.h
+++ b/src/emulator/judge.h
@@ -73,7 +73,7 @@
   void requestAnswered(const std::string& id, Micros at, RequestResult result);
   // The client disconnected by itself, so no answer is owed any more.
   void clientDisconnected(const std::string& id, Micros at);
-  // The emulator killed or paused a gateway: its open requests are exempt from the rules.
+  // The emulator killed or paused a gateway: its open requests need no answer any more.
   void gatewayKilled(const std::string& gateway, Micros at);
   // A gateway was killed no earlier than the platform may do so: its open requests are breaches.
   void gatewayEndedWithOpenRequests(const std::string& gateway, Micros at);
--- a/src/emulator/scenario.h
+++ b/src/emulator/scenario.h
@@ -61,8 +61,8 @@
   unsigned gateways = 1;
   KnownList knownList = KnownList::Old;
   bool snapshot = false;              // they keep snapshots
-  Micros learnedCallCost = 0;         // in the snapshot that they start with; 0: not in it
-  Micros initialLatency = 0;          // in the snapshot that they start with; 0: not in it
+  Micros learnedCallCost = 0;         // in the snapshot that they start with; 0: not known
+  Micros initialLatency = 0;          // in the snapshot that they start with; 0: not known
   std::string faults;                 // plan of their failing system calls (faultshim/fault_plan.h)
   double faultsShare = 1;             // share of gateways with failing system calls
   Micros requestTimeout = 2'000'000;  // the longest request timeout in their settings
