--- a/src/tools/startup_sim.cpp
+++ b/src/tools/startup_sim.cpp
@@ -136,7 +136,7 @@
     }
   }
   out.calls = model.calls();
-  out.failed = model.turnedAway();
+  out.failed = model.rejected();
   out.mostCalls = model.arrivals().mostWithin(100 * kMs);
   return out;
 }
