--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -8,8 +8,8 @@
 
 using stats::Topic;
 using transport::kMicrosPerMilli;
-// The pause after an unchanged list that arrives before half of the wait, which prevents a tight loop. The
-// service treats calls at most 200 ms apart as one continuous watch.
+// The pause before the next call if an unchanged list arrives before half of the watch duration is over. It
+// prevents a tight loop. The service treats calls at most 200 ms apart as one continuous watch.
 constexpr Micros kPauseAfterEarlyAnswer = 50'000;
 // The wait of calls that are not watches: the first call and those after a failure or a move. They are
 // answered without waiting for a change; without a revision they request the complete list.
@@ -79,8 +79,8 @@
   newest_->start(revision_, wait);
 }
 
-// Uses the first answer and closes all other calls: all of them requested the changes after the same
-// revision, so that the first answer has the newest list.
+// Uses the first answer and closes all other calls. They requested the changes after the same revision, so
+// their answers are not needed; the next call requests the changes after this answer.
 void DiscoveryWatch::onList(DiscoveryCall& call, const protocol::EndpointList& list) {
   closeAllExcept(call);
   calling_ = false;
@@ -101,7 +101,8 @@
   const bool early = !changed && elapsed < watchDuration / 2;
   onList_(list);
   if (!calling_) callAt(loop_.now() + (early ? kPauseAfterEarlyAnswer : 0), watchDuration);
-  // The routing policy uses this list from now on, although a long delayed one may have expired already.
+  // The routing policy uses this list from now on. If its answer was delayed so long that the lease has ended
+  // already, the lease timer fires at once.
   expired_ = false;
   leaseChanged();
 }
@@ -159,7 +160,7 @@
   onLeaseEnd_(lease_.connectedBefore());
 }
 
-// Keeps the call open while the next one is made.
+// Keeps the call that timed out open while the next one is made.
 void DiscoveryWatch::callTimedOut() {
   const Micros elapsed = loop_.now() - newest_->startedAt();
   overdue_.push_back(std::move(newest_));
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -22,7 +22,8 @@
  public:
   using OnList = std::function<void(const protocol::EndpointList&)>;
   using OnFailure = std::function<void()>;
-  // Called when the lease on the list ends; from then on the list may lack a change that counts.
+  // Called when the lease on the list ends. From then on the list may lack a change of which the gateway
+  // counts as notified.
   // @param connectedBefore an endpoint with a connection that has been open since then was in the newest list
   //        and has not been removed since; std::nullopt: that is known of no endpoint.
   using OnLeaseEnd = std::function<void(std::optional<Micros> connectedBefore)>;
--- a/src/discovery/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -14,7 +14,8 @@
 // change and could be reached, no matter which calls failed, were rejected or timed out. From then on it must
 // not send requests to endpoints that the change drains or removes.
 inline constexpr Micros kNotificationTimeout = 6'000'000;
-// During a watch it counts as notified this long after the end of the watch's wait, if that is later.
+// During a watch the gateway counts as notified this long after the end of the watch's wait, if that is
+// later.
 inline constexpr Micros kNotificationAfterWatch = 2'000'000;
 // After the service has moved to a new address (configuration reload by SIGHUP), the gateway counts as
 // notified of the list there this long after the reload.
@@ -23,7 +24,7 @@
 // The longest time that a change may wait in the service's queue before its watch is rejected.
 inline constexpr Micros kMaxServiceQueueTime = kNotificationTimeout / 2;
 
-// The longest time from an endpoint's return to its entry in the list of the list service.
+// The longest time from when a removed endpoint runs again until the list of the list service contains it.
 inline constexpr Micros kMaxReturnRecordingDelay = 2'000'000;
 
 // The lease on the endpoint list. While it lasts, the list contains every change that the gateway counts as
@@ -31,9 +32,9 @@
 class ListLease {
  public:
   // Creates the lease of a process that starts with a cached list.
-  // @param pushed whether changes count as soon as the service has recorded them. Then the cached list has no
-  //        lease; otherwise the list may be used for the notification timeout, or until a call fails before
-  //        the first answer.
+  // @param pushed whether the gateway counts as notified of a change as soon as the service has recorded it.
+  //        Then the cached list has no lease; otherwise the list may be used for the notification timeout, or
+  //        until a call fails before the first answer.
   ListLease(Micros now, bool pushed) : endsAt_(pushed ? now : now + kNotificationTimeout) {}
 
   // Renews the lease after an answer of the service, which may have been delayed.
@@ -52,8 +53,8 @@
   void watchEnded(Micros now) {
     endsAt_ = std::max(renewedUntil_, now + kNotificationTimeout - kMaxServiceQueueTime);
   }
-  // Shortens the lease after a watch had no response at the end of its wait: a change since the last
-  // confirmation may count by now.
+  // Shortens the lease after a watch had no response at the end of its wait: by now the gateway may count as
+  // notified of a change since the last confirmation.
   void watchTimedOut(Micros now) { endsAt_ = std::max(renewedUntil_, now); }
   // Ends the lease after a failed call, if this process has had no answer yet.
   void callFailed(Micros now) {
--- a/src/invariants/invariant_checker.h
+++ b/src/invariants/invariant_checker.h
@@ -62,7 +62,8 @@
     EndpointId endpoint = 0;
     Micros timeout = 0;  // sent to the endpoint
   };
-  // Returns whether the attempt may be sent, and then records it as sent. If not, it must not be sent.
+  // Returns whether the attempt may be sent. If so, records it as sent; if not, counts the violation, and the
+  // attempt must not be sent.
   bool maySend(Micros now, const AttemptToSend& sending);
   // @param mayHaveRun whether the attempt was sent and may have had an effect.
   void attemptEnded(RequestId request, std::uint32_t attempt, bool mayHaveRun);
--- a/src/membership/detector.cpp
+++ b/src/membership/detector.cpp
@@ -10,8 +10,8 @@
 
 using EventKind = MembershipEvent::Kind;
 
-// The number of syncs in quick succession that a joining gateway makes, plus one for each doubling of the
-// number of gateways.
+// A joining gateway makes this many syncs in quick succession, and one more for each doubling of the number
+// of gateways.
 constexpr double kJoinSyncs = 4;
 // The shares of syncs with gateways that were declared failed, with seeds, and with seeds while joining.
 constexpr double kFailedSyncShare = 0.25, kSeedSyncShare = 0.25, kJoinSeedSyncShare = 0.5;
@@ -67,7 +67,7 @@
   return out;
 }
 
-// Sends a message. If it contains no updates yet, gossip is added.
+// Sends a message. If it contains no updates yet, this gateway's own state and gossip are added.
 void Detector::send(const std::string& address, Message message, std::vector<OutgoingMessage>& out) {
   message.from = settings_.name;
   if (message.updates.empty()) {
@@ -171,8 +171,9 @@
   table_.gossip().add(ownUpdate());
 }
 
-// Handles an update about another incarnation with this gateway's name. If that one is later, this gateway
-// begins an even later one. If it is alive, a second gateway has this name, unless the update is old.
+// Handles an update about an incarnation with this gateway's name that another process began. If it is later
+// than this gateway's own, begins an even later one. If it is also alive, records a duplicate name: a second
+// gateway has this name, unless the update is old.
 void Detector::resolveNameConflict(const StateUpdate& update) {
   if (update.incarnation <= incarnation_) return;
   if (update.state == State::Alive) table_.record(EventKind::DuplicateName, settings_.name);
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -33,7 +33,8 @@
   if (!request.needsPrimary()) {
     std::optional<double> minPrimaryLimit;
     if (EndpointState* replica = selectReplica(request, group, primary, minPrimaryLimit)) return replica;
-    // The read waits for a replica that qualifies, unless the primary has spare capacity.
+    // If minPrimaryLimit is set, the read waits for a replica, unless the primary has spare capacity and at
+    // least that concurrency limit. If it is not set, the read goes to the primary.
     const bool primaryMayServe = primary != nullptr && hasSpareCapacity(*primary) &&
                                  (!minPrimaryLimit || primary->concurrencyLimit() >= *minPrimaryLimit);
     if (minPrimaryLimit && !primaryMayServe) return nullptr;
@@ -102,7 +103,8 @@
   minPrimaryLimit = search.minPrimaryLimit;
   if (search.best != nullptr || minPrimaryLimit) return search.best;
   if (EndpointState* candidate = selectMostAdvanced(query, search)) return candidate;
-  // An idle primary serves the read while primaries have less than their fair share of this gateway's work.
+  // A primary with spare capacity serves the read while primaries get less than their fair share of this
+  // gateway's work.
   const bool spareShare = primaryHasSpareShare(group);
   if (spareShare && primary != nullptr && hasSpareCapacity(*primary)) return nullptr;
   if (waitsForHealthCheck(query, search)) {
--- a/src/policy/endpoint_selection.h
+++ b/src/policy/endpoint_selection.h
@@ -25,9 +25,9 @@
         slowStart_(slowStart),
         latency_(latency) {}
 
-  // Returns the endpoint for a request, or nullptr if the request has to wait; its reason is then set, except
-  // for a long read that waits for the replicas on which long reads are packed. May start a health check that
-  // a later selection needs.
+  // Returns the endpoint for a request, or nullptr if the request can't be sent now. The request's reason is
+  // then set, except for a long read that waits for the replicas on which long reads are packed. May start a
+  // health check that a later selection needs.
   EndpointState* select(PendingRequest& request, EndpointGroup& group);
   // Returns whether an endpoint may still get a request for which it was selected earlier.
   bool stillQualifies(const EndpointState& endpoint, const PendingRequest& request);
@@ -56,7 +56,7 @@
     EndpointState* checkCandidate = nullptr;  // a health check may show that it qualifies
     bool checkInProgress = false;
     double longReadReplica = 0;  // number of the current one among those that take long reads
-    // If set, the read waits unless the primary has spare capacity and at least this limit.
+    // If set, the read waits unless the primary has spare capacity and at least this concurrency limit.
     std::optional<double> minPrimaryLimit;
   };
 
--- a/src/policy/request_dispatcher.cpp
+++ b/src/policy/request_dispatcher.cpp
@@ -5,9 +5,9 @@
 namespace heathflow::policy {
 namespace {
 
-// Interval at which a queue is dispatched again if no other event does so.
+// Interval at which a queue that is not empty is dispatched, in addition to the dispatches after events.
 constexpr Micros kQueueRetryInterval = 20 * kMillisecond;
-// A session token may have been rounded by up to this much in transit.
+// The age in a session token may have been rounded up by as much as this in transit.
 constexpr Micros kTokenRounding = kMillisecond;
 
 }  // namespace
@@ -53,8 +53,8 @@
   eraseIfDone(request.id);
 }
 
-// Returns whether a request is valid and not too late. Groups that only a client names are not stored, so
-// they use no memory.
+// Returns whether a request is valid and neither its deadline nor that of the shutdown has passed. A group
+// that no endpoint list has named is not stored, so clients can't use up memory with invented groups.
 bool RequestDispatcher::isServable(const Request& request) const {
   return request.classIndex < context_.settings().classes.size() && registry_.hasGroup(request.group) &&
          request.deadline > context_.now() && context_.now() < shutdownAt_;
@@ -149,7 +149,8 @@
   inFlight.work += work;
   selection_.observeSent(work, isPrimary);
   slowStart_.observeSent(endpoint, work);
-  // Writes alone would never detect that an endpoint has become unresponsive with requests in flight.
+  // The selection sends a write to an unresponsive endpoint too, and starts no health check for it. Without
+  // this check, writes alone would never detect that the endpoint has become unresponsive.
   const Micros sinceCheck = context_.now() - endpoint.healthCheck.startedAt;
   if (wasUnresponsive && sinceCheck > EndpointState::responseTimeout(context_.settings()))
     healthChecks_.start(endpoint, HealthCheckReason::Unresponsive);
@@ -273,7 +274,7 @@
   const RequestClassSettings& requestClass = context_.classAt(request.request.classIndex);
   const bool mayHaveRun = request.attempts[event.attempt].mayHaveRun;
   if (!mayHaveRun || requestClass.consistency != Consistency::Write || request.request.session == 0) return;
-  // Without an answer the write may still start until the client's deadline, and then needs time to commit.
+  // A write that did not succeed may still start until the client's deadline, and then needs time to commit.
   const LogPosition latest = event.outcome == AttemptOutcome::Ok
                                  ? event.position.value_or(context_.now())
                                  : request.request.deadline + requestClass.latencyObjective;
@@ -288,9 +289,9 @@
   cancelInFlight(*request, event.attempt);
 }
 
-// Checks an attempt that waited for its connection again before it is written: its endpoint may drain, have
-// lost its role or be too stale by now. Such an attempt is cancelled; when it ends, the request is dispatched
-// again.
+// Repeats the checks for an attempt that had to wait for its connection, before it is written: its endpoint
+// may by now be draining, have lost its role or be too stale. If so, the attempt is cancelled; when it ends,
+// the request is dispatched again.
 void RequestDispatcher::observeAttemptConnected(const AttemptConnected& event) {
   PendingRequest* request = find(event.request);
   if (request == nullptr || event.attempt >= request->attempts.size()) return;
@@ -307,7 +308,7 @@
 
 // ---- Ends ----
 
-// Cancels the attempts of a client that has disconnected, if that is allowed.
+// Cancels the attempts of a client that has disconnected, if the settings allow cancelling.
 void RequestDispatcher::observeClientDisconnect(RequestId id) {
   if (const PendingRequest* request = find(id)) cancelInFlight(*request);
   finish(id);
--- a/src/policy/request_dispatcher.h
+++ b/src/policy/request_dispatcher.h
@@ -34,8 +34,9 @@
   void observeExpiryTimer(RequestId id);
   void observeQueueTimer(GroupId id);
 
-  // Sends the queued requests that can be sent, highest priority first. Rejects or fails those that have
-  // expired, and those for which no health check can show that an endpoint of the expired list may be used.
+  // Sends queued requests: repeatedly the one with the highest priority among the newest of each class, until
+  // the newest of every class can't be sent. Rejects or fails a newest request that has expired, and one for
+  // a primary that lacks evidence after the endpoint list has expired and can't get any from a health check.
   void dispatchQueued(EndpointGroup& group);
   // Requests that arrive after the deadline are rejected.
   void startShutdown(Micros deadline);
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -74,10 +74,11 @@
   Micros responseSlack = 0;          // allowed delay of a final answer past its deadline; used by tests
   double slowStartInitialShare = 1;  // the share of its capacity with which an endpoint starts
   Micros slowStartDuration = 0;      // from its start until it has its full capacity
-  // An endpoint in slow start fails if it gets more than this multiple of its capacity within the window.
+  // An endpoint in slow start fails if it gets more than overloadMultiple times its capacity within
+  // overloadWindow.
   Micros overloadWindow = 0;
   double overloadMultiple = 1;
-  Micros initialLatency = 0;  // of an average request, measured before the start; 0: not known
+  Micros initialLatency = 0;  // of an average request, measured by an earlier process; 0: not known
 };
 
 enum class EndpointStatus { Removed, Ready, Draining };
@@ -139,8 +140,9 @@
 // The endpoint list was not confirmed in time and may miss a change. Until the next list an endpoint is used
 // only with evidence from its health checks (see EndpointEvidence).
 struct EndpointListExpired {
-  Micros healthCheckMaxAge = 0;           // maximum age of an answered health check that counts as evidence
-  std::optional<Micros> connectedBefore;  // its connection was open by then; not set: no evidence counts
+  Micros healthCheckMaxAge = 0;  // maximum age of an answered health check that counts as evidence
+  // The check's connection must have been open since this time or longer. Not set: no evidence counts.
+  std::optional<Micros> connectedBefore;
 };
 struct RequestArrived {
   Request request;
@@ -203,7 +205,7 @@
 struct SendAttempt {
   RequestId request = 0;
   EndpointId endpoint = 0;
-  Micros abandonAt = 0;    // always 0: at the request's deadline
+  Micros abandonAt = 0;    // when to give up; 0 (the policy sets no other value): the request's deadline
   bool asPrimary = false;  // an answer does not count if the endpoint reports that it is not the primary
 };
 struct CancelAttempt {
--- a/src/routing/attempt_manager.h
+++ b/src/routing/attempt_manager.h
@@ -54,7 +54,7 @@
   void connect(Attempt& attempt);
   // Closes the connection of an attempt in flight and ends the attempt.
   void abort(Attempt& attempt, AttemptOutcome outcome);
-  // @param exchangeEnd  null if the attempt ended without an end of its exchange.
+  // @param exchangeEnd  null if the attempt was aborted, or ended before an exchange was started.
   void end(Attempt& attempt, AttemptOutcome outcome, const upstream::ExchangeEnd* exchangeEnd,
            bool rolledBack = false);
   AttemptEnded describeEnd(Attempt& attempt, AttemptOutcome outcome,
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -50,7 +50,7 @@
   return read<T>(object, key);
 }
 
-// An unknown word maps to the most cautious value, in the last line of each function.
+// Each function here that takes a word maps an unknown one to the most cautious value, in its last line.
 Consistency consistencyOf(const std::string& word) {
   if (word == "fresh") return Consistency::Strong;
   if (word == "session") return Consistency::Session;
@@ -148,8 +148,8 @@
   policy.overloadMultiple = readOr<double>(contract, "FallMultiple", 1.0);
 }
 
-// Adds a note on each missing optional setting. A missing connect timeout is derived from the request
-// timeouts; the other settings keep their defaults, which are the most cautious values.
+// Adds a note on each of these optional settings that is missing. A missing connect timeout is set to the
+// longest request timeout; the others keep their defaults, which are the most cautious values.
 void noteMissing(InstanceSettings& out) {
   PolicySettings& policy = out.policy;
   const auto note = [&](const std::string& what) { out.notes.push_back("settings: " + what); };
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -33,8 +33,8 @@
   std::vector<std::string> notes;
 };
 
-// Parses the settings. Throws SettingsError if the text is not a JSON object, or if a required setting is
-// missing or a value is invalid; then the message names the key.
+// Parses the settings. Throws SettingsError if the text is not a JSON object, a required setting is missing
+// or a value is invalid. In the last two cases the message names the key.
 InstanceSettings parseSettings(std::string_view text);
 
 }  // namespace heathflow::settings
--- a/src/snapshot/snapshot.cpp
+++ b/src/snapshot/snapshot.cpp
@@ -22,7 +22,7 @@
 // Version 1 did not contain the source of the list.
 constexpr std::uint32_t kVersion = 2;
 constexpr std::uint32_t kOldestVersion = 1;
-// Limit the memory that is needed to read a file.
+// These limits bound the memory that is needed to read a file.
 constexpr std::size_t kMaxFileSize = 16 << 20;
 constexpr std::size_t kMaxEndpoints = 100'000;
 constexpr std::size_t kMaxMapSize = 64;
--- a/src/snapshot/snapshot.h
+++ b/src/snapshot/snapshot.h
@@ -1,5 +1,5 @@
 // The state that a gateway stores on disk for its next start, if the settings name a file: the endpoint list
-// with its source and the time at which it was correct, the cost of a call for the list service, the usual
+// with its source and the time at which it was correct, the cost of a call for the list service, the average
 // latency, and the number of early crashes. It contains no log position. trustInCachedList() decides how long
 // the parts of the list are used.
 #pragma once
@@ -24,7 +24,7 @@
   std::string source;              // the address of the list service that sent the list; empty: unknown
   protocol::EndpointList list;
   std::optional<Micros> callCost;  // of the list service
-  Micros initialLatency = 0;       // of a usual request; 0: unknown
+  Micros initialLatency = 0;       // of an average request; 0: unknown
   unsigned earlyCrashes = 0;  // in a row; includes the running process until it has run for kEarlyCrashTime
 };
 
--- a/src/stats/upstream_stats.h
+++ b/src/stats/upstream_stats.h
@@ -1,5 +1,5 @@
 // Counts health checks by reason and how many of their results were used, connections by the traffic that
-// they carried, and requests that no endpoint served by reason. It does no I/O and reads no clock.
+// they carried, and the requests that were rejected or failed, by reason. It does no I/O and reads no clock.
 #pragma once
 
 #include <array>
@@ -22,7 +22,7 @@
 struct HealthCheckCounts {
   std::uint64_t started = 0;
   std::uint64_t answered = 0;
-  std::uint64_t used = 0;  // answered, and an attempt was started there before the next one
+  std::uint64_t used = 0;  // answered, and an attempt was started there before the next health check
 };
 
 // The traffic that one connection has carried so far.
@@ -43,8 +43,8 @@
  public:
   void healthCheckStarted(EndpointId endpoint, HealthCheckReason reason);
   void healthCheckEnded(EndpointId endpoint, bool answered);
-  // Called when an attempt is started at the endpoint, written or not. The result of the last health check
-  // then counts as used.
+  // Called when an attempt at the endpoint is started, whether or not it is written later. If the last health
+  // check there was answered, its result then counts as used.
   void attemptStarted(EndpointId endpoint);
   void endpointRemoved(EndpointId endpoint) { endpoints_.erase(endpoint); }
 
--- a/src/subset/subset.h
+++ b/src/subset/subset.h
@@ -17,10 +17,11 @@
 // gateway with the next highest hash, and nothing else changes.
 std::vector<std::size_t> rendezvousSubset(const std::string& group, const Names& gateways, std::size_t count);
 
-// Returns the indexes of `count` gateways for a group, by the group's number. The gateways are shuffled once
-// per round of groups that uses all of them, and distributed in that order (deterministic subsetting, "Site
-// Reliability Engineering", 2016, chapter 20). If `count` divides `gateways`, the numbers of groups of any
-// two gateways differ by at most one. If a gateway is removed, the shuffles of all rounds change.
+// Returns the indexes of `count` gateways for a group, by the group's number, or of all gateways if there are
+// fewer. The gateways are shuffled once per round and assigned in that order, `count` to each group of the
+// round, until fewer than `count` are left; those serve no group in this round (deterministic subsetting,
+// "Site Reliability Engineering", 2016, chapter 20). If `count` divides `gateways`, the numbers of groups of
+// any two gateways differ by at most one. If a gateway is removed, the shuffles of all rounds change.
 std::vector<std::size_t> deterministicSubset(std::size_t group, std::size_t gateways, std::size_t count);
 
 }  // namespace heathflow::subset
--- a/src/upstream/endpoint_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -7,8 +7,8 @@
 
 // Room for a rewritten timeout, which may make a request longer than the longest that a client may send.
 constexpr std::size_t kRewrittenTimeoutBytes = 1024;
-// A request and its attempt together never hold more than both limits, which bounds the memory of the
-// process.
+// The limits of the buffered input and output of a connection. They bound the memory of an attempt, and so
+// that of the process.
 constexpr transport::Stream::Limits kStreamLimits = {protocol::kEndpointAnswerLimit,
                                                      protocol::kClientMessageLimit + kRewrittenTimeoutBytes};
 
@@ -50,7 +50,7 @@
   if (!requestStarted_) return;
   const std::size_t before = stream_.output().size();
   // If there is no memory for the part, the timer ends the connection, so that the request can't run without
-  // it.
+  // the part.
   if (!side_->writeRequestPart(message, stream_.output())) return connectTimer_.arm(loop_.now());
   requestBytes_ += stream_.output().size() - before;
   stream_.flush();
--- a/src/upstream/endpoint_connection.h
+++ b/src/upstream/endpoint_connection.h
@@ -28,7 +28,7 @@
   } cause = Cause::ConnectionBroken;
   ExchangeStage stage = ExchangeStage::Connecting;
   const protocol::Answer* answer = nullptr;  // null if there is none
-  std::string_view bytes;                    // to which the slices of the answer refer
+  std::string_view bytes;                    // the input that the slices of the answer refer to
   bool brokenAfterConnect = false;           // the connection broke after the endpoint's host had accepted it
   bool rolledBack = false;                   // any effect of the request has been undone
 };
--- a/src/wallclock/launch_times.h
+++ b/src/wallclock/launch_times.h
@@ -1,6 +1,7 @@
 // Determines when endpoints started, by this process's own clock. The endpoint list gives the start as a
-// reading of another wall clock, which may have been set or may differ from this one; it is limited by what
-// this process has observed. Pure logic without I/O; all times are readings of one clock.
+// reading of another wall clock, which may have been adjusted or may differ from this one; so the listed
+// start is limited by what this process has observed. Pure logic without I/O; all times except the listed
+// starts are readings of one clock, in Unix microseconds.
 #pragma once
 
 #include <cstdint>
@@ -39,7 +40,7 @@
   std::unordered_map<std::string, Record> records_;
   Micros now_ = 0;
   bool confirmed_ = false;
-  Micros previousConfirmedAt_ = kNever;  // of the list before the current one
+  Micros previousConfirmedAt_ = kNever;  // when the last confirmed list before the current one came
   Micros confirmedAt_ = kNever;
 };
 
