--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -24,8 +24,9 @@
   using OnFailure = std::function<void()>;
   // Called when the lease on the list ends. From then on the list may lack a change of which the gateway
   // counts as notified.
-  // @param connectedBefore an endpoint with a connection that has been open since then was in the newest list
-  //        and has not been removed since; std::nullopt: that is known of no endpoint.
+  // @param connectedBefore an endpoint with a connection that has been open since this time was in the newest
+  //        confirmed list and has not been removed since; std::nullopt: no list has been confirmed, so a
+  //        connection shows nothing.
   using OnLeaseEnd = std::function<void(std::optional<Micros> connectedBefore)>;
 
   DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -166,7 +166,8 @@
   std::uint32_t attempt = 0;
 };
 // The first part of the response is about to be forwarded to the client: no other attempt may serve the
-// request any more, and an outcome other than Ok still needs a final answer.
+// request any more. If this attempt ends with an outcome other than Ok, the request still needs a final
+// answer.
 struct ResponsePartForwarded {
   RequestId request = 0;
   std::uint32_t attempt = 0;
