--- a/src/discovery/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -48,8 +48,8 @@
   void watchStarted(Micros now, Micros wait) {
     endsAt_ = std::max(endsAt_, now + wait + kNotificationAfterWatch);
   }
-  // Shortens the lease after a watch was rejected or its connection was reset. Until now the watch would have
-  // delivered all changes except those still in the service's queue.
+  // Sets a new end of the lease, mostly an earlier one, after a watch was rejected or its connection was
+  // reset. Until now the watch would have delivered all changes except those still in the service's queue.
   void watchEnded(Micros now) {
     endsAt_ = std::max(renewedUntil_, now + kNotificationTimeout - kMaxServiceQueueTime);
   }
