--- a/src/downstream/client_connection.cpp
+++ b/src/downstream/client_connection.cpp
@@ -17,14 +17,15 @@
 // Input: one message and pipelined bytes behind it. Output: one response and the protocol messages around it.
 constexpr transport::Stream::Limits kLimits = {protocol::kClientMessageLimit + 4 * 1024,
                                                protocol::kEndpointAnswerLimit + 16 * 1024};
-// The time that a client has to read its last answer, to notice the close, or to continue an incomplete
-// message while its descriptor is needed.
+// The time that a client has to read its last answer after the request's deadline, to close its side
+// after the gateway has closed gracefully, to send a request that is to be rejected, or to complete
+// a message that it has begun when its descriptor is needed or the gateway shuts down.
 constexpr Micros kReactionTimeout = 1'000'000;
 // A client that sends no valid message has to get an error, or its connection closed, within 3 s of
 // connecting. Incomplete messages get the same time.
 constexpr Micros kMessageTimeout = 2'500'000;
-// How long a client that was sent a fatal error may keep sending. Below the 3 s within which a misbehaving
-// client has to see an error or a close (6 s if it floods 60 MB).
+// How long a client that was sent a fatal error may keep sending. A misbehaving client has to see an error or
+// a close within 3 s (6 s if it floods 60 MB), so this timeout is shorter.
 constexpr Micros kLingerTimeout = 2'500'000;
 // Limits the work per loop turn, so that a client that pipelines many messages does not delay the others.
 constexpr int kMaxMessagesPerTurn = 16;
@@ -71,8 +72,9 @@
   closeWithError(Reason::NoMemory, "no memory is left", CloseReason::NoMemory);
 }
 
-// Records the arrival time of the bytes that were just read. Bytes for which the input had no room may have
-// waited in the socket since it filled up, and count from then: no request outlives its client's timeout.
+// Records the arrival time of the bytes that were just read. If the input had no room for them, they may have
+// waited in the socket since the input became full, and that time counts as their arrival. Otherwise a
+// request could outlive its client's timeout.
 void ClientConnection::recordArrivals() {
   const Micros arrivedAt = inputFullSince_ != 0 ? inputFullSince_ : loop_.now();
   arrivals_.add(stream_.input().size() - arrivals_.bufferedBytes(), arrivedAt);
@@ -94,7 +96,8 @@
   process();
 }
 
-// A closed connection counts as a disconnect, whether or not a request is open.
+// Counts the end as a disconnect by the client, whether or not a request is open, unless the gateway has
+// already begun to close the connection.
 void ClientConnection::onEnd(transport::StreamEnd) {
   if (lingering_ && !stream_.output().empty()) ++observer_.counters.slowReadersClosed;
   close(CloseReason::ByClient);
@@ -183,7 +186,8 @@
 
 // ---- Requests ----
 
-// Submits the request at the front of the input, or rejects it as malformed.
+// Submits the request at the front of the input, or rejects it: as malformed, or because its client is to be
+// rejected.
 void ClientConnection::beginRequest() {
   sentRequest_ = true;
   owner_.onConnectionBusy(*this);
@@ -196,7 +200,7 @@
   group_ = parsed->group;
   problem = findProblem(*parsed, context_, router_.settings(), protocol_);
   if (!problem.empty()) return failMalformed(problem);
-  // Endpoints identify a request by its id, so the ids of all open requests differ.
+  // Endpoints identify a request by its id, so no two open requests may have the same one.
   if (!context_.openRequestIds.emplace(parsed->id).second) {
     return failMalformed("the request has the id of one that is open");
   }
@@ -222,7 +226,7 @@
   if (responding_) consumeInput(std::exchange(requestSize_, 0));
 }
 
-// Answers a request that can't be submitted with 'problem' as its error.
+// Answers a request that can't be submitted with an error, whose text is 'problem'.
 void ClientConnection::failMalformed(std::string_view problem) {
   ++observer_.counters.requestsMalformed;
   note(Topic::Downstream, "malformed request rejected: " + std::string(problem));
@@ -246,7 +250,8 @@
   idleSince_ = loop_.now();
   owner_.onConnectionIdle(*this);
   stream_.flush();
-  // A client that never reads must not keep its descriptor, so the connection is closed after its deadline.
+  // A client that never reads must not keep its descriptor, so the connection is closed if the output is not
+  // flushed some time after the request's deadline.
   if (!stream_.output().empty()) reactionTimeout_.arm(std::max(loop_.now(), deadline_) + kReactionTimeout);
 }
 
@@ -261,8 +266,8 @@
   return out.empty() || out.size() + size + protocol::ClientSide::kHeadroom <= kLimits.output;
 }
 
-// Reserves memory for the complete answer, so that a client never gets a truncated one. Returns false if
-// there is not enough.
+// Reserves memory for all of 'answer', so that a client never gets it truncated. Returns false if there is
+// not enough memory.
 bool ClientConnection::reserveOutput(const protocol::Answer& answer) {
   transport::Buffer& out = stream_.output();
   if (out.reserve(out.size() + answer.size() + protocol::ClientSide::kHeadroom)) return true;
@@ -288,7 +293,8 @@
 }
 
 void ClientConnection::onResponse(const protocol::Answer& answer, std::string_view bytes) {
-  // The request may have had an effect, so without memory for its response it fails and is not rejected.
+  // Without memory for the response the request is reported as failed. A rejection would say that it had no
+  // effect, but it may have had one.
   if (!reserveOutput(answer)) return onFailed();
   writeAnswer(answer, bytes);
   side_->served(stream_.output());
@@ -354,7 +360,8 @@
   }
 }
 
-// Closes the connection of a client that has sent no request, or only a part of a message, in time.
+// Closes the connection of a client that has not sent its first request, or the rest of an incomplete
+// message, in time.
 void ClientConnection::onMessageTimeout() {
   if (lingering_ || closed_ || (busy_ && incompleteSince_ == 0)) return;
   if (stream_.input().empty()) return linger(CloseReason::IncompleteRequest, kReactionTimeout);
@@ -388,11 +395,11 @@
   }
 }
 
-// Returns whether no request is open, all output is flushed, and the input is empty or its incomplete message
-// has not been continued for too long.
+// Returns whether no request is open, all output is flushed, and nothing is left to read or the input has
+// ended with an incomplete message for too long.
 bool ClientConnection::canClose() const {
   if (busy_ || lingering_ || closed_ || !stream_.output().empty()) return false;
-  // An incomplete message that is not continued delays neither an eviction nor the shutdown.
+  // A message that is not completed in time delays neither an eviction nor the shutdown.
   const bool stalled = incompleteSince_ != 0 && loop_.now() - incompleteSince_ > kReactionTimeout;
   return stalled || stream_.isIdle();
 }
--- a/src/downstream/client_connection.h
+++ b/src/downstream/client_connection.h
@@ -47,14 +47,15 @@
   // Takes over an accepted connection.
   // @return false if it can't be watched; 'fd' then stays with the caller.
   bool adopt(transport::UniqueFd&& fd);
-  // Rejects a client beyond the limit: its first request gets a fatal error, and the connection is closed.
+  // Rejects a client for which no descriptor is left: its first request gets a fatal error and the connection
+  // is closed. Without a request the connection is closed after a timeout.
   void rejectConnection();
   // Closes the connection as soon as it is idle.
   // @param closeUnused  whether to close it also if the client has sent no request yet, with an error that
   //                     says that the gateway shuts down.
   void closeWhenIdle(bool closeUnused);
-  // Closes the connection gracefully if it is idle with nothing unread, or with an incomplete message that is
-  // not continued. @return whether it did.
+  // Closes the connection gracefully if no request is open, the output is flushed, and nothing is left to
+  // read or an incomplete message has not been completed in time. @return whether it closes the connection.
   bool closeIfIdle();
   // Closes a lingering connection at once, to free its descriptor.
   void closeLingering() { close(stats::CloseReason::LingerEnded); }
@@ -124,8 +125,8 @@
   std::optional<GroupId> group_;  // of the open request, or the previous one
   std::unique_ptr<protocol::ClientSide> side_;
   transport::ArrivalTimes arrivals_;  // of the bytes in the input
-  Micros inputFullSince_ = 0;  // when the input became full with the socket not read to its end; 0: it is not
-  Micros incompleteSince_ = 0;  // when the input became a part of a message; 0: it is not
+  Micros inputFullSince_ = 0;   // since when the input has no room for the bytes in the socket; 0: it has
+  Micros incompleteSince_ = 0;  // since when the input ends with an incomplete message; 0: it does not
   RequestId request_ = 0;
   std::size_t requestSize_ = 0;  // the bytes of the open request at the front of the input
   std::string requestName_;      // the client's id of the open request
--- a/src/files/files.cpp
+++ b/src/files/files.cpp
@@ -77,7 +77,8 @@
   return error != 0 ? error : closeError;
 }
 
-// Returns the id of the process that wrote a temporary file; nothing if the name is not that of one.
+// Returns the id of the process that wrote the temporary file 'name'; nothing if 'name' is not 'prefix'
+// followed by a process id.
 std::optional<pid_t> writerOf(std::string_view name, std::string_view prefix) {
   if (!name.starts_with(prefix)) return std::nullopt;
   pid_t writer = 0;
--- a/src/installation/installation.cpp
+++ b/src/installation/installation.cpp
@@ -187,7 +187,7 @@
                                   std::vector<Problem>& problems) {
   const auto document = xml::Document::read(path, text, schemaText(), kNamespace, problems);
   if (!document) return std::nullopt;
-  // All problems are reported at once, as far as they can be found.
+  // An invalid document is read as well, so that as many problems as possible are reported at once.
   Collector collector(path, problems);
   Installation out;
   if (document->root() != nullptr && nameOf(document->root()) == "heathflow") {
--- a/src/installation/installation.h
+++ b/src/installation/installation.h
@@ -37,8 +37,8 @@
 
 struct FamilyProtocol {
   std::string protocol;
-  bool listed = false;
-  std::uint16_t port = 0;  // 0: the port from the endpoint list, if it has one
+  bool listed = false;     // endpoints accept the protocol at their address in the endpoint list
+  std::uint16_t port = 0;  // used if the endpoint list gives no port for the protocol; 0: none
 };
 
 struct Family {
@@ -52,7 +52,7 @@
 struct Login {
   std::string principal;
   std::string credentialsFile;
-  std::string credentials;  // content of the file, see readSecrets()
+  std::string credentials;  // first line of the file, see readSecrets()
 };
 
 // The snapshot on disk that the gateway reads after a restart.
@@ -63,7 +63,7 @@
 };
 
 struct Installation {
-  std::string nodeFile;  // empty: taken from NODE_CONFIG
+  std::string nodeFile;  // the node's configuration, read if NODE_CONFIG is not set; empty: none
   LogSettings log;
   SnapshotSettings snapshot;
   std::vector<Listener> listeners;
@@ -80,8 +80,8 @@
 std::optional<Installation> parse(const std::string& path, std::string_view text,
                                   std::vector<Problem>& problems);
 
-// Reads the credentials file that the settings name. Adds a problem if it can't be read, is empty or is
-// accessible to anyone but its owner.
+// Reads the first line of the credentials file, if the settings name one. Adds a problem if the file can't be
+// read, its first line is missing or empty, or it is accessible to anyone but its owner.
 void readSecrets(Installation& installation, const std::string& path, std::vector<Problem>& problems);
 
 // Adds a problem for each class name in the file that is not a class of the node's settings.
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -23,13 +23,13 @@
 constexpr Micros kKillAfterRequestTimeout = 700'000;
 constexpr Micros kAnswerBeforeKill = 500'000;
 
-// A mean latency of fewer answers is not stored in the snapshot.
+// A mean latency is stored in the snapshot only if it is the mean of at least this many answers.
 constexpr std::uint64_t kMinAnswersForLatency = 50;
 
 // Half of the memory is for the connections' buffers, the rest for the program, its request state and lists.
 constexpr std::size_t kBufferMemoryDivisor = 2;
 
-// Returns the time from SIGTERM until all requests are answered.
+// Returns the time from SIGTERM within which all requests must be answered.
 Micros shutdownTimeout(const PolicySettings& settings) {
   Micros longest = 0;
   for (const RequestClassSettings& entry : settings.classes)
@@ -41,7 +41,7 @@
                                                       const std::optional<snapshot::Snapshot>& earlier) {
   discovery::DiscoveryScheduleSettings out;
   out.gatewayName = config.name;
-  // If lists are pushed, each gateway has its own agent, which serves nobody else.
+  // If lists are pushed, each gateway has a list service of its own, which serves no other gateway.
   out.dedicatedService = !config.settings.policy.discoveryIsPolled;
   out.gatewayCount = out.dedicatedService ? 1 : config.settings.policy.gatewayCount;
   out.maxPollInterval = config.settings.policy.maxPollInterval;
@@ -52,7 +52,7 @@
   return out;
 }
 
-// Sets the latency that an earlier incarnation measured.
+// Sets the initial latency to the one that an earlier incarnation measured.
 settings::InstanceSettings withInitialLatency(settings::InstanceSettings settings,
                                               const std::optional<snapshot::Snapshot>& earlier) {
   if (earlier) settings.policy.initialLatency = earlier->initialLatency;
@@ -151,7 +151,8 @@
   router_.endpointsChanged(directory_.apply(list, loop_.now(), false));
   router_.start();
   router_.checker().servingStarted();
-  // If lists are pushed, the policy does not subscribe; here a pushed list arrives over a watch as well.
+  // If lists are pushed, the policy does not subscribe. The gateway receives pushed lists over the same watch
+  // as polled ones, so it subscribes itself.
   if (!config_.settings.policy.discoveryIsPolled) watch_.subscribe();
 }
 
@@ -175,8 +176,8 @@
   newListSource_ = toText(updated.discovery);
 }
 
-// Applies a list, complete or of changes. The snapshot always holds the complete list, which is what the next
-// incarnation needs.
+// Applies a complete list or a list of changes. The snapshot always holds the complete list, because the next
+// incarnation needs that one.
 void Gateway::onList(const protocol::EndpointList& list) {
   if (!installation_.snapshot.file.empty()) {
     snapshot_.listValidAsOf = loop_.now();
--- a/src/program/gateway.h
+++ b/src/program/gateway.h
@@ -41,7 +41,8 @@
   std::optional<ListenError> listen();
   // Starts routing and discovery with the newest known list. Clients are accepted from here on.
   void start();
-  // Returns the address to which a listener is bound; 0 is the platform's.
+  // Returns the address to which a listener is bound. Listener 0 is the platform's, which is opened at the
+  // address 'listen' of the configuration; those of the installation follow.
   std::optional<transport::SocketAddress> boundTo(std::size_t listener = 0) const {
     return listeners_[listener].listener->boundTo();
   }
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -77,8 +77,9 @@
   return config;
 }
 
-// Creates an object, and retries while descriptors or memory are short.
-// @return null, and logs why, if it can't be created.
+// Creates an object, and retries while descriptors or memory are short. Logs the failure if it can't be
+// created.
+// @return the object; null if it can't be created.
 template <typename Make>
 auto createAtStartup(const std::string& step, const std::string& failure, Make make) -> decltype(make()) {
   decltype(make()) created;
--- a/src/protocol/bolt_server.cpp
+++ b/src/protocol/bolt_server.cpp
@@ -20,7 +20,8 @@
 // Later than any clock reading; Unix time.
 constexpr std::int64_t kNewestPositionMs = 9'000'000'000'000;
 
-// Returns the number n of a PULL or DISCARD; nothing if the map is malformed or n is missing or 0.
+// Returns the number of records n that a PULL or DISCARD names, -1 for all; nothing if the map is malformed
+// or n is missing or 0.
 std::optional<std::int64_t> recordCountOf(std::string_view payload) {
   Reader reader(payload, 2);
   const auto map = reader.header();
@@ -355,7 +356,8 @@
   metadata.className = hasClass        ? extra->className
                        : extra->isRead ? settings_.readClass
                                        : settings_.writeClass;
-  // A request without mode "r" is a write. One with mode "r" that names a class of writes is a write as well.
+  // A request without mode "r" is a write. For one with mode "r" its class decides, so it is a write as well
+  // if it names a class of writes.
   if (!extra->isRead) metadata.write = true;
   ++requestCount_;
   requestId_ = std::string(extra->id);
@@ -385,7 +387,8 @@
   minPositionMs_ = 0;
   for (const std::string_view text : extra->bookmarkTexts) {
     const auto bookmark = bolt::parseBookmark(text);
-    // A foreign bookmark may cover anything written so far, so it requires the newest position.
+    // A foreign bookmark, which no gateway issued, may cover anything written so far, so it requires the
+    // newest position.
     minPositionMs_ = std::max(
         minPositionMs_, bookmark ? std::min(bookmark->positionMs, kNewestPositionMs) : kNewestPositionMs);
   }
@@ -403,10 +406,11 @@
   const auto summary = bolt::readSummary(payload);
   const bool success = static_cast<Tag>(payload[1]) == Tag::Success;
   endpointFailed_ = endpointFailed_ || !success;
-  // A commit whose position is not reported happened no later than now. A read covers no more than its
-  // endpoint had, and at least the position that it was bound to.
+  // The bookmark covers the position that the endpoint reports. If it reports none, a commit happened no
+  // later than now, and a read may have seen nothing, which is position 0.
   std::int64_t position = std::min(answer.positionMs.value_or(isWrite_ ? nowMs + 1 : 0), nowMs + kMaxAheadMs);
-  // A foreign bookmark covers what may have been written by now.
+  // The new bookmark covers at least what the request's bookmarks required; for a foreign one that is
+  // anything that may have been written by now.
   position = std::max(
       position, minPositionMs_ == kNewestPositionMs ? nowMs : std::min(minPositionMs_, nowMs + kMaxAheadMs));
   const bool hasBookmark = summary && summary->bookmarkEntry.size != 0;
--- a/src/protocol/bolt_server.h
+++ b/src/protocol/bolt_server.h
@@ -40,7 +40,7 @@
   void fatalError(Reason reason, std::string_view message, Buffer& out) override;
   bool loginComplete() const override { return state_ >= State::Ready; }
 
-  // Messages of one request that may be unanswered at the same time.
+  // Upper limit of the messages of one request that are unanswered at the same time.
   static constexpr std::size_t kMaxUnanswered = 256;
 
  private:
@@ -84,8 +84,8 @@
   RequestKind requestKind_ = RequestKind::None;
   std::size_t unanswered_ = 0;        // messages without a reply
   bool lastMessageReceived_ = false;  // no further messages belong to the request
-  bool mayEndWithReply_ = false;      // the endpoint's reply tells whether the last message ended it
-  bool mayCommit_ = false;            // it may end with a commit
+  bool mayEndWithReply_ = false;      // the endpoint's reply tells whether the last message ended the request
+  bool mayCommit_ = false;            // the request may end with a commit
   bool hasResult_ = false;            // a result may be pulled, as far as the client can know
   bool isWrite_ = false;
   bool endpointFailed_ = false;
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -19,8 +19,8 @@
 
 using transport::Buffer;
 
-// Limits that every protocol enforces, bytes: of one message of a client, and of the buffered part of an
-// endpoint's answer. A value holds at most 64 KiB, twice that as text.
+// Limits in bytes that every protocol enforces: for one message of a client, and for the buffered part of an
+// endpoint's answer. A value holds at most 64 KiB, which take up twice that as text.
 inline constexpr std::size_t kClientMessageLimit = 136 * 1024;
 inline constexpr std::size_t kEndpointAnswerLimit = 96 * 1024;
 
@@ -30,11 +30,11 @@
   std::string_view className;
   std::optional<std::uint32_t> group;
   std::optional<std::int64_t> timeoutMs;  // how long the client waits
-  Slice timeout;                          // its position in the request, if it is forwarded from there
+  Slice timeout;                          // its bytes in the request, if each attempt replaces them there
   std::optional<std::int64_t> afterMs;    // position of the commit that a read must see, Unix time
   bool isClientRetry = false;
   bool keyed = false;         // has an idempotency key
-  std::optional<bool> write;  // whether it writes, if its form tells; otherwise its class does
+  std::optional<bool> write;  // whether the request writes, if it tells; otherwise its class does
   std::string_view session;   // empty: no session
 };
 
@@ -50,7 +50,7 @@
     Error,
   } kind = Kind::None;
   std::array<Slice, 3> pieces;             // what is forwarded to the client, in order
-  Slice value;                             // of a health check's row
+  Slice value;                             // the value in the row that a health check returned
   Slice code;                              // the endpoint's error code
   std::size_t replies = 0;                 // number of the client's messages that these bytes answer
   std::optional<bool> primary;             // the endpoint's role, if it reported one
@@ -104,7 +104,8 @@
   // Writes an error that ends the connection; writes nothing if the protocol has no unsolicited message for
   // it.
   virtual void fatalError(Reason reason, std::string_view message, Buffer& out) = 0;
-  // Returns whether the client has completed a login beyond its first message.
+  // Returns whether the client has completed a login that takes more than the connection's first message;
+  // always false for a protocol without one.
   virtual bool loginComplete() const { return false; }
 
   static constexpr std::size_t kHeadroom = 4096;  // bytes
@@ -139,8 +140,8 @@
   virtual std::size_t parsedBytes() const = 0;
   virtual void onConsumed() = 0;
   virtual const Answer& answer() const = 0;
-  // Return how many bytes of the request must have been sent before it may have run, and before an effect of
-  // it may persist even if the connection breaks.
+  // If fewer bytes of the request than mayRunAfter() have been sent, the endpoint can't have run it. If fewer
+  // than mayPersistAfter() have been sent and the connection breaks, no effect of the request persists.
   virtual std::size_t mayRunAfter() const = 0;
   virtual std::size_t mayPersistAfter() const = 0;
   // Returns whether the endpoint has still to send something of an answer.
@@ -150,8 +151,8 @@
   // After the connection has ended: returns whether the answer was complete by then.
   virtual bool completeAtClose() const = 0;
   virtual bool usable() const = 0;
-  // Starts to make a connection usable again whose request failed; Ready is reported when it is. Returns
-  // false if that is not possible.
+  // Starts to make the connection usable again after its request has failed; Ready is reported once it is
+  // usable. Returns false if it can't be made usable.
   virtual bool recover(Buffer& out) = 0;
 };
 
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -35,7 +35,7 @@
   bool watch(int fd, IoHandler& handler);
   // Must be called before the descriptor is closed; the handler gets no events afterwards.
   void unwatch(int fd, IoHandler& handler);
-  // Calls the handler in the next turn without waiting for an event, for one with work left.
+  // Calls the handler in the next turn without waiting for an event. Used by a handler that has work left.
   void requeue(IoHandler& handler);
 
   // Returns the clock reading of this turn.
@@ -47,7 +47,8 @@
   void run();
   void stop() { stopping_ = true; }
 
-  // Deletes an object at the end of the turn, for one that is dropped while its own code is running.
+  // Deletes an object at the end of the turn. Used if the object's own code may be running when it is
+  // dropped.
   template <typename T>
   void deleteLater(std::unique_ptr<T> object) {
     pendingDeletes_.push_back(std::shared_ptr<void>(std::move(object)));
--- a/src/transport/socket.h
+++ b/src/transport/socket.h
@@ -37,7 +37,7 @@
 // Accepts the next connection of the queue. ECONNABORTED and EPROTO mean that this one was closed while
 // queued; those behind it may still be accepted.
 SocketResult acceptFrom(int listener);
-// Starts a connection; it is established, or fails, later.
+// Starts a connection. Returns an error if it fails at once; otherwise it is established, or fails, later.
 SocketResult startConnect(const SocketAddress& socketAddress);
 int pendingError(int fd);
 // Returns the address that a socket is bound to; nothing if the system call fails.
--- a/src/transport/stream.cpp
+++ b/src/transport/stream.cpp
@@ -125,8 +125,9 @@
     if (moved.kind == Transfer::Kind::Failed) ended = StreamEnd::Failed;
   }
   if (got > 0) owner_.onInput();
-  // A peer that has closed behind a full input that nobody consumes would otherwise never be noticed. If the
-  // owner has made room, the rest is still read, and with it whether the stream ends orderly or by a reset.
+  // If the peer has closed and the owner leaves the input full, the stream is ended here: the end behind the
+  // unread bytes would never be read. If the owner has made room, the rest is still read, which also tells
+  // whether the peer closed orderly or by a reset.
   if (stalled_ && hungUp_ && !closed() && input_.prepare().size == 0) over = true;
   if (over) end(ended);
 }
--- a/src/transport/stream.h
+++ b/src/transport/stream.h
@@ -1,4 +1,5 @@
-// A connection: its descriptor and its buffers. Each event is handled until the socket would block.
+// A connection: its descriptor and its buffers. Each event is handled until the socket would block or the
+// input has no room, over several turns if there is much to read.
 #pragma once
 
 #include <cstddef>
@@ -54,7 +55,8 @@
   void shutdownWrite() {
     if (open()) transport::shutdownWrite(fd_.get());
   }
-  // Returns whether there was more to read than fits the input's limit or the memory budget.
+  // Returns whether the last read stopped because the input's limit or the memory budget left no room. The
+  // socket may then hold more bytes.
   bool stalled() const { return stalled_; }
   // Returns whether the peer has closed its side or the connection broke, so that nothing more will arrive
   // than has arrived by now.
@@ -68,8 +70,8 @@
   // discarded and not reported. The stream ends when the peer closes, after 'timeout', or when too many bytes
   // have been discarded.
   void linger(Micros timeout);
-  // Closes at once. While lingering, received bytes are discarded first, so that no reset overtakes the sent
-  // data.
+  // Closes at once. While lingering, received bytes are discarded first, up to the limit of a turn, so that
+  // no reset overtakes the sent data.
   void close();
 
  private:
@@ -92,7 +94,7 @@
   bool lingering_ = false;
   std::size_t discarded_ = 0;
   std::optional<StreamEnd> discardEnd_;  // how the discarded input ended
-  bool stalled_ = false;                 // the input had no room when there was more to read
+  bool stalled_ = false;                 // the last read stopped because the input had no room
   bool hungUp_ = false;                  // the peer has closed or the connection broke
 };
 
--- a/src/wirehost/codec.h
+++ b/src/wirehost/codec.h
@@ -1,4 +1,5 @@
-// The simulator's wire format: frames of little-endian, unpadded records that have no length fields.
+// The simulator's wire format: frames of little-endian, unpadded records. A record does not state its length,
+// so one with an unknown code can't be skipped.
 #pragma once
 
 #include <cstdint>
@@ -100,7 +101,8 @@
   std::uint32_t records = 0;
 };
 
-// Reads a header. Throws FrameError if it is incomplete or its length is smaller than a header.
+// Reads a header. Throws FrameError if the header is incomplete, or the frame's length in it is smaller than
+// a header.
 BatchHeader decodeHeader(std::string_view bytes);
 
 // Reads the records after a header, one at a time. Views point into the given bytes.
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -14,7 +14,8 @@
 constexpr std::uint8_t kScopeFull = 1;
 constexpr std::uint8_t kScopeCached = 2;
 
-// Later clock readings are rejected, so that their sums with durations stay in range.
+// A later clock reading of a batch is rejected, and later times in its records are replaced by this one, so
+// that sums of times and durations stay in range.
 constexpr std::uint64_t kLatestTime = std::numeric_limits<Micros>::max() / 4;
 
 Micros timeOf(std::uint64_t reading) { return static_cast<Micros>(std::min(reading, kLatestTime)); }
--- a/src/xml/document.cpp
+++ b/src/xml/document.cpp
@@ -10,7 +10,7 @@
 namespace heathflow::xml {
 namespace {
 
-// Rejects files that can't be settings, which are a few kilobytes.
+// In bytes. A settings file has a few kilobytes, so a file above this limit is rejected.
 constexpr std::size_t kMaxFileSize = 4 * 1024 * 1024;
 constexpr std::size_t kMaxProblems = 100;
 
@@ -32,8 +32,9 @@
   std::string namespacePrefix;  // the namespace in braces, as the library writes it
 };
 
-// Removes the namespace from a message of the library, and the element's name at its start: messages about
-// the schema start with "Element 'NAME': ", and the problem names the element already.
+// Removes the namespace from a message of the library, and the element's name at the start of the message:
+// validation errors start with "Element 'NAME': " or "Element 'NAME', attribute ", and the problem names the
+// element already.
 std::string simplify(std::string_view message, const std::string& namespacePrefix) {
   std::string text(message);
   while (!text.empty() && (text.back() == '\n' || text.back() == ' ')) text.pop_back();
--- a/src/xml/document.h
+++ b/src/xml/document.h
@@ -20,8 +20,8 @@
 // An error in a file.
 struct Problem {
   std::string file;
-  int line = 0;         // 0: the problem is of the file as a whole
-  std::string element;  // empty: of no element
+  int line = 0;         // 0: the problem concerns the file as a whole
+  std::string element;  // empty: the problem concerns no single element
   std::string text;     // what was found, and what was expected
 };
 // Returns "FILE:LINE: element 'NAME': TEXT", without the parts that are not known.
@@ -69,8 +69,8 @@
 // @param name  if not empty, only elements of this name.
 std::vector<const Node*> children(const Node* node, std::string_view name = {});
 
-// Returns the number that a text holds, or 'fallback' if the text is empty. The schema ensures that any other
-// text is a number.
+// Returns the number that a text holds, or 'fallback' if the text is empty. In a valid document the schema
+// ensures that any other text is a number.
 template <typename T>
 T numberOf(const std::string& text, T fallback) {
   T value = fallback;
