--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -96,7 +96,9 @@
   // Writes an endpoint's answer or a part of it. The caller ensures room for the answer's size plus
   // kHeadroom.
   virtual void writeAnswer(const Answer& answer, std::string_view bytes, std::int64_t nowMs, Buffer& out) = 0;
-  // Write the final reply; each of these ends the request.
+  // Each of these ends the request: after its complete answer, after a rejection (it had no effect), after a
+  // failure (it may have had an effect), or as invalid. Each writes what the protocol then still owes the
+  // client.
   virtual void served(Buffer& out) = 0;
   virtual void rejected(std::int64_t retryAfterMs, Buffer& out) = 0;
   virtual void failed(Buffer& out) = 0;
