--- a/src/emulator/child_process.cpp
+++ b/src/emulator/child_process.cpp
@@ -25,8 +25,9 @@
 
 Environment withFaults(const std::string& library, const std::string& plan) {
   // The address sanitizer wants to come first in the list of libraries, and works behind the shim as well.
-  return {
-      {"LD_PRELOAD", library}, {faultshim::kVariable, plan}, {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
+  return {{"LD_PRELOAD", library},
+          {faultshim::kPlanVariable, plan},
+          {"ASAN_OPTIONS", "verify_asan_link_order=0"}};
 }
 
 ChildProcess::ChildProcess(std::string program, const std::string& config, std::vector<std::string> arguments,
--- a/src/emulator/deployment.cpp
+++ b/src/emulator/deployment.cpp
@@ -24,8 +24,8 @@
   JudgeLimits out;
   if (scenario.faults.empty()) return out;
   out.slack = kSlackWithFaults;
-  out.afterDisconnect += faultshim::kLongestHoldUp;
-  out.timeoutSlack += faultshim::kLongestHoldUp;
+  out.afterDisconnect += faultshim::kMaxHoldUp;
+  out.timeoutSlack += faultshim::kMaxHoldUp;
   return out;
 }
 
--- a/src/emulator/random_scenario.cpp
+++ b/src/emulator/random_scenario.cpp
@@ -13,7 +13,7 @@
 
 using faultshim::ClockStep;
 using faultshim::FaultPlan;
-using faultshim::FaultShare;
+using faultshim::FaultRule;
 using Shim = faultshim::Fault;
 using Is = FaultEvent::Kind;
 
@@ -140,11 +140,11 @@
     FaultPlan plan;
     const auto share = [&](double wanted, Shim fault, double least, double most, Micros until = 0) {
       if (!chance(wanted)) return;
-      FaultShare one;
+      FaultRule one;
       one.fault = fault;
-      one.share = between(least, most);
+      one.probability = between(least, most);
       one.until = until;
-      plan.shares.push_back(one);
+      plan.rules.push_back(one);
     };
     share(0.5, Shim::ShortRead, 0.002, 0.1);
     share(0.4, Shim::ShortWrite, 0.002, 0.1);
--- a/src/faultshim/fault_plan.h
+++ b/src/faultshim/fault_plan.h
@@ -1,5 +1,5 @@
-// Which system calls of a process fail, and how its wall clock is stepped: a plan as text, and the draw of
-// each call's fate by a seed. Decisions only; shim.cpp carries them out.
+// A plan of which system calls of a process fail and how its wall clock is stepped, with its text form, and
+// the sampler that decides per call with a seeded generator. The calls are replaced in shim.cpp.
 #pragma once
 
 #include <array>
@@ -14,83 +14,87 @@
 
 using Micros = std::int64_t;
 
-// What can go wrong with a call. The names in a plan's text are those of nameOf().
+// The kinds of injected faults. A plan's text uses the names that nameOf() returns. Where several errors are
+// listed, successive failures return them in turn.
 enum class Fault {
-  ShortRead,    // recv and read return a part of what is there
-  ShortWrite,   // send and write take a part
-  Interrupt,    // EINTR from waits for events
-  InterruptIo,  // EINTR from reads, writes and accepts
-  Socket,       // socket: ENFILE, ENOBUFS, ENOMEM in turn
-  Accept,       // accept: ECONNABORTED, ENFILE, ENOBUFS, EPROTO, ENOMEM in turn
-  Connect,      // connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN in turn
-  Create,       // epoll_create1, signalfd: EMFILE, ENFILE, ENOMEM in turn
-  Watch,        // epoll_ctl, adding: ENOMEM, ENOSPC in turn
-  Break,        // an outgoing connection ends with ETIMEDOUT, EHOSTUNREACH, ECONNRESET in turn
-  Listen,       // bind and listen: EADDRINUSE
-  FileOpen,     // opening a file: ENFILE, EIO, ENOMEM in turn
-  FileRead,     // EIO
-  FileWrite,    // ENOSPC, EIO in turn, half of the time behind a half written piece
-  FileSync,     // fsync, fdatasync: EIO, ENOSPC in turn
-  FileRename,   // ENOSPC, EIO in turn
-  HoldUp        // the process stands still for up to kLongestHoldUp ahead of a send
+  ShortRead,    // recv, and read from a file, return fewer bytes than asked for
+  ShortWrite,   // send, and write to a file, take a part of the bytes
+  Interrupt,    // epoll_wait, epoll_pwait2: EINTR
+  InterruptIo,  // recv, send, read, accept4: EINTR
+  Socket,       // socket: ENFILE, ENOBUFS, ENOMEM
+  Accept,       // accept4: ECONNABORTED, ENFILE, ENOBUFS, EPROTO, ENOMEM
+  Connect,      // connect: EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN
+  Create,       // epoll_create1, signalfd: EMFILE, ENFILE, ENOMEM
+  Watch,        // epoll_ctl with EPOLL_CTL_ADD: ENOMEM, ENOSPC
+  Break,        // recv, send: an outgoing connection ends with ETIMEDOUT, EHOSTUNREACH, ECONNRESET
+  Listen,       // bind: EADDRINUSE
+  FileOpen,     // fopen, and open without O_DIRECTORY: ENFILE, EIO, ENOMEM
+  FileRead,     // read from a file: EIO
+  FileWrite,    // write, writev to a file: ENOSPC, EIO; half of these failures first write a part
+  FileSync,     // fsync, fdatasync: EIO, ENOSPC
+  FileRename,   // rename: ENOSPC, EIO
+  HoldUp        // the process is paused for up to kMaxHoldUp before a send
 };
-inline constexpr std::size_t kFaults = 17;
+inline constexpr std::size_t kFaultCount = 17;
 const char* nameOf(Fault fault);
 
-// STANDING: a gateway may be held up so long between reading its clock and writing.
-inline constexpr Micros kLongestHoldUp = 150'000;
+// A gateway that is paused this long between reading its clock and writing must still keep its rules.
+inline constexpr Micros kMaxHoldUp = 150'000;
 
-// So many of the calls fail, from a time of the process to another.
-struct FaultShare {
+// A fault that each of the process's calls of its kind has with a fixed probability during an interval. Times
+// count from the start of the plan.
+struct FaultRule {
   Fault fault = Fault::ShortRead;
-  double share = 0;
+  double probability = 0;
   Micros from = 0;
-  Micros until = 0;        // 0: to the end
-  std::uint64_t most = 0;  // calls that fail; 0: any number
+  Micros until = 0;            // 0: no end
+  std::uint64_t maxCount = 0;  // calls that fail; 0: no limit
 };
 
-// The wall clock is ahead by so much more (behind, where it is negative) from that time of the process on.
+// Moves the wall clock at a time after the start of the plan: forward, or back if 'by' is negative. Steps add
+// up.
 struct ClockStep {
   Micros at = 0;
   Micros by = 0;
 };
 
-// As text: items with ';' between them. 'seed=7', 'short-read=0.05', 'socket=1@0-2000#3' (from the start to
-// 2,000 ms, three calls at the most), 'step=+3600000@5000' (ms, at ms).
+// The text form separates items with ';': 'seed=7', 'short-read=0.05' (a probability),
+// 'socket=1@0-2000#3' (from the start to 2000 ms, at most three calls), 'step=+3600000@5000' (by ms, at ms).
 struct FaultPlan {
   std::uint64_t seed = 1;
-  std::vector<FaultShare> shares;
+  std::vector<FaultRule> rules;
   std::vector<ClockStep> steps;
 
   std::string text() const;
 };
 
-// Nothing where the text can't be read; then 'problem' names the item.
+// Returns nullopt if the text is invalid; then 'problem' names the invalid item.
 std::optional<FaultPlan> parsePlan(std::string_view text, std::string& problem);
 
-// The fate of each call. Equal plans and questions give equal answers.
-class FaultDraw {
+// Decides for each call whether it fails. The same plan and the same sequence of calls give the same
+// decisions.
+class FaultSampler {
  public:
-  FaultDraw() = default;
-  explicit FaultDraw(FaultPlan plan);
+  FaultSampler() = default;
+  explicit FaultSampler(FaultPlan plan);
 
-  // Whether a call fails at a time of the process.
-  bool strikes(Fault fault, Micros now);
-  // The next of so many errors that a fault shows in turn.
-  std::size_t turn(Fault fault, std::size_t count);
-  // From 1 to 'most'.
-  std::size_t upTo(std::size_t most);
-  // How far the wall clock is ahead of the true one at a time of the process.
-  Micros wallAhead(Micros now) const;
-  // How many calls have failed so.
-  std::uint64_t struck(Fault fault) const { return struck_[static_cast<std::size_t>(fault)]; }
+  // Decides whether a call has this fault at a time after the start of the plan, and counts it if so.
+  bool shouldFail(Fault fault, Micros now);
+  // Returns the index of the next error of a fault that has 'count' errors in turn.
+  std::size_t nextErrorIndex(Fault fault, std::size_t count);
+  // Returns a random number from 1 to 'max'.
+  std::size_t randomUpTo(std::size_t max);
+  // Returns the sum of the clock steps up to a time after the start of the plan.
+  Micros wallClockOffset(Micros now) const;
+  // Returns how many calls have had this fault.
+  std::uint64_t injectedCount(Fault fault) const { return injected_[static_cast<std::size_t>(fault)]; }
 
  private:
   FaultPlan plan_;
   std::mt19937_64 random_;
-  std::vector<std::uint64_t> used_;  // by the plan's shares
-  std::array<std::uint64_t, kFaults> struck_{};
-  std::array<std::size_t, kFaults> turns_{};
+  std::vector<std::uint64_t> countByRule_;  // in the order of the plan's rules
+  std::array<std::uint64_t, kFaultCount> injected_{};
+  std::array<std::size_t, kFaultCount> errorsReturned_{};
 };
 
 }  // namespace heathflow::faultshim
--- a/src/faultshim/shim.cpp
+++ b/src/faultshim/shim.cpp
@@ -26,51 +26,51 @@
 
 constexpr Micros kMicrosPerSecond = 1'000'000;
 constexpr Micros kNanosPerMicro = 1000;
-constexpr std::size_t kDescriptorsMost = 65'536;
+constexpr std::size_t kMaxDescriptors = 65'536;
 
-// The monotonic clock of the kernel, past all that is replaced here.
-Micros monotonic() {
+// Reads the kernel's monotonic clock directly, without the clock_gettime that is replaced below.
+Micros monotonicNow() {
   timespec at{};
   ::syscall(SYS_clock_gettime, CLOCK_MONOTONIC, &at);
   return at.tv_sec * kMicrosPerSecond + at.tv_nsec / kNanosPerMicro;
 }
 
-// What holds for this process. It has one thread that calls.
+// The state of the shim in this process. It is not synchronized: only one thread may make calls.
 struct State {
-  FaultDraw draw;
-  Micros startedAt = monotonic();
-  std::bitset<kDescriptorsMost> outgoing;  // sockets that were connected from here
+  FaultSampler sampler;
+  Micros startedAt = monotonicNow();
+  std::bitset<kMaxDescriptors> outgoing;  // sockets on which connect() was called
 
   State() {
-    const char* text = std::getenv(kVariable);
+    const char* text = std::getenv(kPlanVariable);
     if (text == nullptr) return;
     std::string problem;
     const auto plan = parsePlan(text, problem);
     if (!plan) {
-      std::fprintf(stderr, "%s: %s\n", kVariable, problem.c_str());
+      std::fprintf(stderr, "%s: %s\n", kPlanVariable, problem.c_str());
       ::_exit(2);
     }
-    draw = FaultDraw(*plan);
+    sampler = FaultSampler(*plan);
   }
-  Micros now() const { return monotonic() - startedAt; }
+  Micros now() const { return monotonicNow() - startedAt; }
 };
 
 State& state() {
-  static State* const only = new State;  // outlives what still calls at the end
-  return *only;
+  static State* const instance = new State;  // never destroyed: destructors at exit still make calls
+  return *instance;
 }
 
-bool strikes(Fault fault) { return state().draw.strikes(fault, state().now()); }
+bool shouldFail(Fault fault) { return state().sampler.shouldFail(fault, state().now()); }
 
-// Fails a call with one of the fault's errors, in turn.
+// Sets errno to the next of the fault's errors and returns -1.
 template <std::size_t kCount>
 int failWith(Fault fault, const std::array<int, kCount>& errors) {
-  errno = errors[state().draw.turn(fault, kCount)];
+  errno = errors[state().sampler.nextErrorIndex(fault, kCount)];
   return -1;
 }
 
 template <typename Function>
-Function next(const char* name) {
+Function realCall(const char* name) {
   return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -80,63 +80,64 @@
 }
 
 bool isOutgoing(int fd) {
-  return fd >= 0 && static_cast<std::size_t>(fd) < kDescriptorsMost &&
+  return fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors &&
          state().outgoing[static_cast<std::size_t>(fd)];
 }
 
 void setOutgoing(int fd, bool value) {
-  if (fd >= 0 && static_cast<std::size_t>(fd) < kDescriptorsMost)
+  if (fd >= 0 && static_cast<std::size_t>(fd) < kMaxDescriptors)
     state().outgoing[static_cast<std::size_t>(fd)] = value;
 }
 
-// Whether a transfer fails as a whole; sets the error.
+// Decides whether recv or send fails as a whole; sets errno if so. A broken connection is also shut down.
 bool transferFails(int fd) {
-  if (strikes(Fault::InterruptIo)) {
+  if (shouldFail(Fault::InterruptIo)) {
     errno = EINTR;
     return true;
   }
-  if (!isOutgoing(fd) || !strikes(Fault::Break)) return false;
+  if (!isOutgoing(fd) || !shouldFail(Fault::Break)) return false;
   ::shutdown(fd, SHUT_RDWR);
   setOutgoing(fd, false);
   failWith<3>(Fault::Break, {ETIMEDOUT, EHOSTUNREACH, ECONNRESET});
   return true;
 }
 
-std::size_t partOf(Fault fault, std::size_t size) {
-  return size > 1 && strikes(fault) ? state().draw.upTo(size - 1) : size;
+std::size_t maybeShorten(Fault fault, std::size_t size) {
+  return size > 1 && shouldFail(fault) ? state().sampler.randomUpTo(size - 1) : size;
 }
 
-void holdUp() {
-  if (!strikes(Fault::HoldUp)) return;
-  const auto nanos = static_cast<long>(state().draw.upTo(kLongestHoldUp)) * kNanosPerMicro;
+void maybePause() {
+  if (!shouldFail(Fault::HoldUp)) return;
+  const auto nanos = static_cast<long>(state().sampler.randomUpTo(kMaxHoldUp)) * kNanosPerMicro;
   timespec span{0, nanos};
   ::syscall(SYS_nanosleep, &span, nullptr);
 }
 
-// Writes a half or nothing to a file and fails.
+// Decides whether a write to a file fails; sets errno if so. In half of these cases a part of the bytes is
+// written first.
 bool fileWriteFails(int fd, const void* from, std::size_t size) {
-  if (!isFile(fd) || !strikes(Fault::FileWrite)) return false;
-  if (size > 1 && state().draw.upTo(2) == 1)
-    (void)!::syscall(SYS_write, fd, from, state().draw.upTo(size - 1));
+  if (!isFile(fd) || !shouldFail(Fault::FileWrite)) return false;
+  if (size > 1 && state().sampler.randomUpTo(2) == 1)
+    (void)!::syscall(SYS_write, fd, from, state().sampler.randomUpTo(size - 1));
   failWith<2>(Fault::FileWrite, {ENOSPC, EIO});
   return true;
 }
 
 bool fileOpenFails(const char* mode) {
-  // Only what the program opens by a path for bytes of its own; libraries are loaded by other calls.
-  if (mode == nullptr || !strikes(Fault::FileOpen)) return false;
+  // Only files that the program opens by path get here; shared libraries are loaded by other calls.
+  if (mode == nullptr || !shouldFail(Fault::FileOpen)) return false;
   failWith<3>(Fault::FileOpen, {ENFILE, EIO, ENOMEM});
   return true;
 }
 
 }  // namespace
 
-void use(const FaultPlan& plan) {
-  state().draw = FaultDraw(plan);
-  state().startedAt = monotonic();
+void setPlan(const FaultPlan& plan) {
+  state().sampler = FaultSampler(plan);
+  state().startedAt = monotonicNow();
 }
 
-std::uint64_t struck(Fault fault) { return state().draw.struck(fault); }
+std::uint64_t injectedCount(Fault fault) { return state().sampler.injectedCount(fault); }
 
 }  // namespace heathflow::faultshim
 
@@ -146,112 +147,114 @@
 extern "C" {
 
 ssize_t recv(int fd, void* into, size_t size, int flags) {
-  static const auto real = shim::next<ssize_t (*)(int, void*, size_t, int)>("recv");
+  static const auto real = shim::realCall<ssize_t (*)(int, void*, size_t, int)>("recv");
   if (shim::transferFails(fd)) return -1;
-  // A part of what is there, not of what was asked for: what is short is short of the socket's content.
+  // Callers may ask for far more than the socket holds, so a cut relative to 'size' would change nothing: at
+  // most 4096 bytes are read. With nothing to read, the call goes through unchanged.
   char byte = 0;
-  const bool cut = size > 1 && shim::strikes(Fault::ShortRead);
+  const bool cut = size > 1 && shim::shouldFail(Fault::ShortRead);
   if (!cut || (flags & (MSG_PEEK | MSG_TRUNC)) != 0) return real(fd, into, size, flags);
   const ssize_t there = real(fd, &byte, 1, MSG_PEEK | MSG_TRUNC | MSG_DONTWAIT);
   if (there <= 0) return real(fd, into, size, flags);
-  return real(fd, into, std::min(size, shim::state().draw.upTo(std::min<size_t>(size, 4096))), flags);
+  return real(fd, into, std::min(size, shim::state().sampler.randomUpTo(std::min<size_t>(size, 4096))),
+              flags);
 }
 
 ssize_t send(int fd, const void* from, size_t size, int flags) {
-  static const auto real = shim::next<ssize_t (*)(int, const void*, size_t, int)>("send");
-  shim::holdUp();
+  static const auto real = shim::realCall<ssize_t (*)(int, const void*, size_t, int)>("send");
+  shim::maybePause();
   if (shim::transferFails(fd)) return -1;
-  return real(fd, from, shim::partOf(Fault::ShortWrite, size), flags);
+  return real(fd, from, shim::maybeShorten(Fault::ShortWrite, size), flags);
 }
 
 ssize_t read(int fd, void* into, size_t size) {
-  static const auto real = shim::next<ssize_t (*)(int, void*, size_t)>("read");
-  if (shim::strikes(Fault::InterruptIo)) {
+  static const auto real = shim::realCall<ssize_t (*)(int, void*, size_t)>("read");
+  if (shim::shouldFail(Fault::InterruptIo)) {
     errno = EINTR;
     return -1;
   }
   if (shim::isFile(fd)) {
-    if (shim::strikes(Fault::FileRead)) {
+    if (shim::shouldFail(Fault::FileRead)) {
       errno = EIO;
       return -1;
     }
-    size = shim::partOf(Fault::ShortRead, size);
+    size = shim::maybeShorten(Fault::ShortRead, size);
   }
   return real(fd, into, size);
 }
 
 ssize_t write(int fd, const void* from, size_t size) {
-  static const auto real = shim::next<ssize_t (*)(int, const void*, size_t)>("write");
+  static const auto real = shim::realCall<ssize_t (*)(int, const void*, size_t)>("write");
   if (!shim::isFile(fd)) return real(fd, from, size);
   if (shim::fileWriteFails(fd, from, size)) return -1;
-  return real(fd, from, shim::partOf(Fault::ShortWrite, size));
+  return real(fd, from, shim::maybeShorten(Fault::ShortWrite, size));
 }
 
 ssize_t writev(int fd, const iovec* pieces, int count) {
-  static const auto real = shim::next<ssize_t (*)(int, const iovec*, int)>("writev");
+  static const auto real = shim::realCall<ssize_t (*)(int, const iovec*, int)>("writev");
   if (count > 0 && shim::fileWriteFails(fd, pieces[0].iov_base, pieces[0].iov_len)) return -1;
   return real(fd, pieces, count);
 }
 
 int close(int fd) {
-  static const auto real = shim::next<int (*)(int)>("close");
+  static const auto real = shim::realCall<int (*)(int)>("close");
   shim::setOutgoing(fd, false);
   return real(fd);
 }
 
 int socket(int domain, int type, int protocol) {
-  static const auto real = shim::next<int (*)(int, int, int)>("socket");
-  if (shim::strikes(Fault::Socket)) return shim::failWith<3>(Fault::Socket, {ENFILE, ENOBUFS, ENOMEM});
+  static const auto real = shim::realCall<int (*)(int, int, int)>("socket");
+  if (shim::shouldFail(Fault::Socket)) return shim::failWith<3>(Fault::Socket, {ENFILE, ENOBUFS, ENOMEM});
   return real(domain, type, protocol);
 }
 
 int bind(int fd, const sockaddr* address, socklen_t size) {
-  static const auto real = shim::next<int (*)(int, const sockaddr*, socklen_t)>("bind");
-  if (shim::strikes(Fault::Listen)) return shim::failWith<1>(Fault::Listen, {EADDRINUSE});
+  static const auto real = shim::realCall<int (*)(int, const sockaddr*, socklen_t)>("bind");
+  if (shim::shouldFail(Fault::Listen)) return shim::failWith<1>(Fault::Listen, {EADDRINUSE});
   return real(fd, address, size);
 }
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-  static const auto real = shim::next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
-  if (shim::strikes(Fault::InterruptIo)) {
+  static const auto real = shim::realCall<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  if (shim::shouldFail(Fault::InterruptIo)) {
     errno = EINTR;
     return -1;
   }
-  if (shim::strikes(Fault::Accept))
+  if (shim::shouldFail(Fault::Accept))
     return shim::failWith<5>(Fault::Accept, {ECONNABORTED, ENFILE, ENOBUFS, EPROTO, ENOMEM});
   return real(fd, address, size, flags);
 }
 
 int connect(int fd, const sockaddr* address, socklen_t size) {
-  static const auto real = shim::next<int (*)(int, const sockaddr*, socklen_t)>("connect");
-  if (shim::strikes(Fault::Connect))
+  static const auto real = shim::realCall<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  if (shim::shouldFail(Fault::Connect))
     return shim::failWith<4>(Fault::Connect, {EADDRNOTAVAIL, ENETUNREACH, ENOBUFS, EAGAIN});
   shim::setOutgoing(fd, true);
   return real(fd, address, size);
 }
 
 int epoll_create1(int flags) {
-  static const auto real = shim::next<int (*)(int)>("epoll_create1");
-  if (shim::strikes(Fault::Create)) return shim::failWith<3>(Fault::Create, {EMFILE, ENFILE, ENOMEM});
+  static const auto real = shim::realCall<int (*)(int)>("epoll_create1");
+  if (shim::shouldFail(Fault::Create)) return shim::failWith<3>(Fault::Create, {EMFILE, ENFILE, ENOMEM});
   return real(flags);
 }
 
 int signalfd(int fd, const sigset_t* mask, int flags) {
-  static const auto real = shim::next<int (*)(int, const sigset_t*, int)>("signalfd");
-  if (shim::strikes(Fault::Create)) return shim::failWith<3>(Fault::Create, {EMFILE, ENFILE, ENOMEM});
+  static const auto real = shim::realCall<int (*)(int, const sigset_t*, int)>("signalfd");
+  if (shim::shouldFail(Fault::Create)) return shim::failWith<3>(Fault::Create, {EMFILE, ENFILE, ENOMEM});
   return real(fd, mask, flags);
 }
 
 int epoll_ctl(int epoll, int operation, int fd, epoll_event* event) {
-  static const auto real = shim::next<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
-  if (operation == EPOLL_CTL_ADD && shim::strikes(Fault::Watch))
+  static const auto real = shim::realCall<int (*)(int, int, int, epoll_event*)>("epoll_ctl");
+  if (operation == EPOLL_CTL_ADD && shim::shouldFail(Fault::Watch))
     return shim::failWith<2>(Fault::Watch, {ENOMEM, ENOSPC});
   return real(epoll, operation, fd, event);
 }
 
 int epoll_wait(int epoll, epoll_event* events, int most, int millis) {
-  static const auto real = shim::next<int (*)(int, epoll_event*, int, int)>("epoll_wait");
-  if (shim::strikes(Fault::Interrupt)) {
+  static const auto real = shim::realCall<int (*)(int, epoll_event*, int, int)>("epoll_wait");
+  if (shim::shouldFail(Fault::Interrupt)) {
     errno = EINTR;
     return -1;
   }
@@ -260,8 +263,8 @@
 
 int epoll_pwait2(int epoll, epoll_event* events, int most, const timespec* limit, const sigset_t* mask) {
   static const auto real =
-      shim::next<int (*)(int, epoll_event*, int, const timespec*, const sigset_t*)>("epoll_pwait2");
-  if (shim::strikes(Fault::Interrupt)) {
+      shim::realCall<int (*)(int, epoll_event*, int, const timespec*, const sigset_t*)>("epoll_pwait2");
+  if (shim::shouldFail(Fault::Interrupt)) {
     errno = EINTR;
     return -1;
   }
@@ -269,10 +272,10 @@
 }
 
 int clock_gettime(clockid_t clock, timespec* at) {
-  static const auto real = shim::next<int (*)(clockid_t, timespec*)>("clock_gettime");
+  static const auto real = shim::realCall<int (*)(clockid_t, timespec*)>("clock_gettime");
   const int result = real(clock, at);
   if (result != 0 || (clock != CLOCK_REALTIME && clock != CLOCK_REALTIME_COARSE)) return result;
-  const shim::Micros ahead = shim::state().draw.wallAhead(shim::state().now());
+  const shim::Micros ahead = shim::state().sampler.wallClockOffset(shim::state().now());
   const shim::Micros stepped =
       at->tv_sec * shim::kMicrosPerSecond + at->tv_nsec / shim::kNanosPerMicro + ahead;
   at->tv_sec = stepped / shim::kMicrosPerSecond;
@@ -281,35 +284,35 @@
 }
 
 FILE* fopen(const char* path, const char* mode) {
-  static const auto real = shim::next<FILE* (*)(const char*, const char*)>("fopen");
+  static const auto real = shim::realCall<FILE* (*)(const char*, const char*)>("fopen");
   return shim::fileOpenFails(mode) ? nullptr : real(path, mode);
 }
 
 FILE* fopen64(const char* path, const char* mode) {
-  static const auto real = shim::next<FILE* (*)(const char*, const char*)>("fopen64");
+  static const auto real = shim::realCall<FILE* (*)(const char*, const char*)>("fopen64");
   return shim::fileOpenFails(mode) ? nullptr : real(path, mode);
 }
 
 int fsync(int fd) {
-  static const auto real = shim::next<int (*)(int)>("fsync");
-  if (shim::strikes(Fault::FileSync)) return shim::failWith<2>(Fault::FileSync, {EIO, ENOSPC});
+  static const auto real = shim::realCall<int (*)(int)>("fsync");
+  if (shim::shouldFail(Fault::FileSync)) return shim::failWith<2>(Fault::FileSync, {EIO, ENOSPC});
   return real(fd);
 }
 
 int fdatasync(int fd) {
-  static const auto real = shim::next<int (*)(int)>("fdatasync");
-  if (shim::strikes(Fault::FileSync)) return shim::failWith<2>(Fault::FileSync, {EIO, ENOSPC});
+  static const auto real = shim::realCall<int (*)(int)>("fdatasync");
+  if (shim::shouldFail(Fault::FileSync)) return shim::failWith<2>(Fault::FileSync, {EIO, ENOSPC});
   return real(fd);
 }
 
 int rename(const char* from, const char* to) {
-  static const auto real = shim::next<int (*)(const char*, const char*)>("rename");
-  if (shim::strikes(Fault::FileRename)) return shim::failWith<2>(Fault::FileRename, {ENOSPC, EIO});
+  static const auto real = shim::realCall<int (*)(const char*, const char*)>("rename");
+  if (shim::shouldFail(Fault::FileRename)) return shim::failWith<2>(Fault::FileRename, {ENOSPC, EIO});
   return real(from, to);
 }
 
 int open(const char* path, int flags, ...) {
-  static const auto real = shim::next<int (*)(const char*, int, ...)>("open");
+  static const auto real = shim::realCall<int (*)(const char*, int, ...)>("open");
   mode_t mode = 0;
   if ((flags & (O_CREAT | O_TMPFILE)) != 0) {
     va_list rest;
@@ -317,7 +320,7 @@
     mode = va_arg(rest, mode_t);
     va_end(rest);
   }
-  // Folders are opened to be synced.
+  // A folder is opened only for fsync; that has its own fault.
   if ((flags & O_DIRECTORY) == 0 && shim::fileOpenFails("")) return -1;
   return real(path, flags, mode);
 }
--- a/src/faultshim/shim.h
+++ b/src/faultshim/shim.h
@@ -1,26 +1,27 @@
-// System calls of this process that fail by a plan: shim.cpp defines them in place of the C library's. It is
-// linked into a test, or preloaded into a gateway that a rig starts, and touches no other process.
+// Injects faults into the system calls of this process by a plan: shim.cpp defines the calls in place of the
+// C library's. It is linked into a test, or preloaded (LD_PRELOAD) into a gateway process, and affects no
+// other process.
 #pragma once
 
 #include "faultshim/fault_plan.h"
 
 namespace heathflow::faultshim {
 
-// The variable that holds a plan's text for a process into which the shim is preloaded.
-inline constexpr const char* kVariable = "HEATHFLOW_FAULTS";
+// The environment variable with the plan's text for a process into which the shim is preloaded.
+inline constexpr const char* kPlanVariable = "HEATHFLOW_FAULTS";
 
-// From now on calls fail by this plan; its times count from now. An empty one ends all faults.
-void use(const FaultPlan& plan);
-// How many calls have failed so since then.
-std::uint64_t struck(Fault fault);
+// Replaces the plan in use; the times of the new plan count from now. An empty plan ends all faults.
+void setPlan(const FaultPlan& plan);
+// Returns how many calls have had this fault since the plan was set.
+std::uint64_t injectedCount(Fault fault);
 
-// Calls fail by a plan for as long as it lives.
-class InForce {
+// Applies a plan during its lifetime.
+class ScopedFaultPlan {
  public:
-  explicit InForce(const FaultPlan& plan) { use(plan); }
-  ~InForce() { use({}); }
-  InForce(const InForce&) = delete;
-  InForce& operator=(const InForce&) = delete;
+  explicit ScopedFaultPlan(const FaultPlan& plan) { setPlan(plan); }
+  ~ScopedFaultPlan() { setPlan({}); }
+  ScopedFaultPlan(const ScopedFaultPlan&) = delete;
+  ScopedFaultPlan& operator=(const ScopedFaultPlan&) = delete;
 };
 
 }  // namespace heathflow::faultshim
--- a/tests/faults.h
+++ b/tests/faults.h
@@ -1,4 +1,4 @@
-// What tests with failing system calls share.
+// Helpers for tests that inject faults into system calls.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,9 +11,10 @@
 
 using faultshim::Fault;
 using faultshim::FaultPlan;
-using faultshim::InForce;
+using faultshim::ScopedFaultPlan;
 
-// A plan from its text (faultshim/fault_plan.h); one that can't be read fails the test.
+// Parses a plan (its text form is described in faultshim/fault_plan.h). An invalid text fails the test and
+// gives an empty plan.
 inline FaultPlan planOf(const std::string& text) {
   std::string problem;
   const auto plan = faultshim::parsePlan(text, problem);
--- a/tests/resource_shortage_test.cpp
+++ b/tests/resource_shortage_test.cpp
@@ -32,18 +32,18 @@
 
 TEST(ResourceShortage, OfSocketsRejectsNoRequest) {
   WarmGateway site;
-  const InForce faults(planOf("socket=1#2"));
+  const ScopedFaultPlan faults(planOf("socket=1#2"));
   site.client.ask(request("status", "a"));
   ASSERT_TRUE(site.client.answered());
   EXPECT_EQ(site.client.code(), "");
-  EXPECT_EQ(faultshim::struck(Fault::Socket), 2U);
+  EXPECT_EQ(faultshim::injectedCount(Fault::Socket), 2U);
 }
 
 TEST(ResourceShortage, OfPortsOrWatchesIsNoFailureOfTheEndpoint) {
   for (const char* plan : {"connect=1#1", "connect=1#3", "watch=1#1", "watch=1#2"}) {
     WarmGateway site;
     const auto before = site.rig.outcomes(AttemptOutcome::ConnectFailed);
-    const InForce faults(planOf(plan));
+    const ScopedFaultPlan faults(planOf(plan));
     site.client.ask(request("status", "a"));
     ASSERT_TRUE(site.client.answered()) << plan;
     EXPECT_EQ(site.client.code(), "") << plan;
@@ -54,7 +54,7 @@
 // Failure: a request stays without an answer while the shortage lasts.
 TEST(ResourceShortage, ThatLastsIsARejection) {
   WarmGateway site;
-  const InForce faults(planOf("socket=1"));
+  const ScopedFaultPlan faults(planOf("socket=1"));
   site.client.ask(request("status", "a"));
   ASSERT_TRUE(site.client.answered());
   EXPECT_EQ(site.client.code(), "53300");
@@ -69,16 +69,16 @@
   Line client(rig.loop, nullptr);
   int error = 0;
   ASSERT_TRUE(client.stream.connect(rig.socketAddress.socketAddress, error));  // it waits to be accepted
-  const InForce faults(planOf("watch=1#4"));
+  const ScopedFaultPlan faults(planOf("watch=1#4"));
   client.say(pg::startup() + pg::query(request("any", "a")));
   ASSERT_TRUE(rig.until([&] { return client.ended || client.got.find("from ") != std::string::npos; }));
   EXPECT_FALSE(client.ended);
-  EXPECT_EQ(faultshim::struck(Fault::Watch), 4U);
+  EXPECT_EQ(faultshim::injectedCount(Fault::Watch), 4U);
 }
 
 TEST(ResourceShortage, InAcceptLeavesNoClientWaiting) {
   GatewayRig rig;
-  const InForce faults(planOf("accept=1#40;interrupt-io=0.2"));
+  const ScopedFaultPlan faults(planOf("accept=1#40;interrupt-io=0.2"));
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "a"));
   EXPECT_TRUE(client.answered());
@@ -98,7 +98,7 @@
   std::string problem;
   ASSERT_TRUE(snapshot::save(path, aSnapshot(), files::Durable::Yes, problem)) << problem;
   {
-    const InForce faults(planOf("file-read=1"));
+    const ScopedFaultPlan faults(planOf("file-read=1"));
     EXPECT_FALSE(snapshot::load(path, "n0", problem));
     EXPECT_NE(problem, "");
   }
@@ -117,7 +117,7 @@
     snapshot::Snapshot newer = aSnapshot();
     newer.callCost = 99;
     {
-      const InForce faults(planOf(std::string("seed=4;") + plan));
+      const ScopedFaultPlan faults(planOf(std::string("seed=4;") + plan));
       EXPECT_FALSE(snapshot::save(path, newer, files::Durable::Yes, problem)) << plan;
     }
     problem.clear();
--- a/tests/short_transfer_test.cpp
+++ b/tests/short_transfer_test.cpp
@@ -17,17 +17,17 @@
 // Failure: the rest of a short read is never read, since the loop is edge-triggered.
 TEST_P(ShortTransfer, AnswersEveryRequestWhereEveryTransferIsShort) {
   GatewayRig rig(speaking());
-  const InForce faults(planOf("seed=3;short-read=1;short-write=1;interrupt=0.2;interrupt-io=0.2"));
+  const ScopedFaultPlan faults(planOf("seed=3;short-read=1;short-write=1;interrupt=0.2;interrupt-io=0.2"));
   ClientStandIn client(rig.loop, rig.socketAddress);
   for (int i = 0; i < 20; ++i) client.ask(request("any", "id" + std::to_string(i)));
   EXPECT_TRUE(client.answered(20));
   EXPECT_EQ(rig.counters().requestsServed, 20U);
-  EXPECT_GT(faultshim::struck(Fault::ShortRead), 0U);
+  EXPECT_GT(faultshim::injectedCount(Fault::ShortRead), 0U);
 }
 
 TEST_P(ShortTransfer, AnswersEveryRequestWhereFewReadsAreShort) {
   GatewayRig rig(speaking());
-  const InForce faults(planOf("seed=11;short-read=0.1"));
+  const ScopedFaultPlan faults(planOf("seed=11;short-read=0.1"));
   std::vector<std::unique_ptr<ClientStandIn>> clients;
   for (int i = 0; i < 8; ++i) clients.push_back(std::make_unique<ClientStandIn>(rig.loop, rig.socketAddress));
   for (int round = 0; round < 10; ++round) {
@@ -43,7 +43,7 @@
   GatewayRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const auto before = rig.counters().listUpdatesApplied;
-  const InForce faults(planOf("seed=2;short-read=1"));
+  const ScopedFaultPlan faults(planOf("seed=2;short-read=1"));
   rig.discovery.tell("[" + rig.entryOf(1, "Terminating") + "]");
   EXPECT_TRUE(rig.until([&] { return rig.counters().listUpdatesApplied > before; }));
 }
@@ -53,7 +53,7 @@
   transport::EventLoop loop;
   std::vector<int> got;
   program::Signals signals(loop, [&](int number) { got.push_back(number); });
-  const InForce faults(planOf("interrupt-io=1#3"));
+  const ScopedFaultPlan faults(planOf("interrupt-io=1#3"));
   ::kill(::getpid(), SIGUSR1);
   EXPECT_TRUE(until(loop, [&] { return !got.empty(); }));
   EXPECT_EQ(got, std::vector<int>{SIGUSR1});
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -30,7 +30,7 @@
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("any", "a", "", 30 * 60'000));
   ASSERT_TRUE(rig.until([&] { return !unanswered.empty(); }));
-  const InForce faults(stepped());
+  const ScopedFaultPlan faults(stepped());
   for (int i = 0; i < 20; ++i) rig.loop.turn(1000);
   EXPECT_EQ(client.types().find('E'), std::string::npos);
   ASSERT_EQ(unanswered.size(), 1U) << "there is no retry either";
@@ -45,7 +45,7 @@
   transport::Timer timer(loop, [&] { fired = true; });
   timer.arm(loop.now() + 30 * 60 * kSecond);
   const transport::Micros before = loop.now();
-  const InForce faults(stepped());
+  const ScopedFaultPlan faults(stepped());
   loop.turn(1000);
   loop.turn(1000);
   EXPECT_FALSE(fired);
