--- a/src/emulator/emulated_endpoint.cpp
+++ b/src/emulator/emulated_endpoint.cpp
@@ -27,7 +27,7 @@
       server_(loop),
       delayedActions_(loop) {
   server_.keepsStatements = false;
-  server_.door = [this](test::Line& line) { onConnect(line); };
+  server_.onStartup = [this](test::Line& line) { onConnect(line); };
   server_.answer = [this](test::Line& line, const std::string& statement) { onStatement(line, statement); };
   server_.healthCheck = [this](test::Line& line, const std::string&) { onHealthCheck(line); };
 }
@@ -75,7 +75,8 @@
     case EndpointModel::RequestOutcome::Kind::Full:
       return line.say(test::pg::error("53300") + test::pg::ready());
     case EndpointModel::RequestOutcome::Kind::NotPrimary:
-      return line.say(test::pg::error("25006") + test::EndpointStandIn::news(false) + test::pg::ready());
+      return line.say(test::pg::error("25006") + test::EndpointStandIn::statusParameters(false) +
+                      test::pg::ready());
     case EndpointModel::RequestOutcome::Kind::Served:
       break;
   }
@@ -84,7 +85,8 @@
   judge_.attemptReceived(id, name_, now, verdict.position, forwardedTimeout);
   sendAt(verdict.at, line, [this, id, position = verdict.position] {
     judge_.requestExecuted(id, name_, loop_.now());
-    return test::pg::row(id) + test::EndpointStandIn::news(model_.primary(), position / kMicrosPerMilli) +
+    return test::pg::row(id) +
+           test::EndpointStandIn::statusParameters(model_.primary(), position / kMicrosPerMilli) +
            test::pg::ready();
   });
 }
--- a/src/standins/bolt_bytes.cpp
+++ b/src/standins/bolt_bytes.cpp
@@ -20,14 +20,14 @@
   return big(marker + 2, 1) + big(size, 4);
 }
 
-// Reads values one by one; only what the stand-ins need to look at.
+// Decodes PackStream values one by one. Throws std::runtime_error on invalid or truncated input.
 class Decoder {
  public:
   explicit Decoder(std::string_view bytes) : bytes_(bytes) {}
   bool done() const { return at_ == bytes_.size(); }
 
   Value value(int depth = 0) {
-    if (depth > 64) throw std::runtime_error("too deep");
+    if (depth > 64) throw std::runtime_error("PackStream: a value is nested more than 64 levels deep");
     Value out;
     const unsigned marker = static_cast<unsigned>(number(1));
     const unsigned low = marker & 15;
@@ -79,13 +79,13 @@
       case 0xDA:
         return parts(Value::Kind::Map, 2 * number(1U << (marker - 0xD8)), depth);
       default:
-        throw std::runtime_error("no marker of PackStream");
+        throw std::runtime_error("PackStream: unknown marker " + std::to_string(marker));
     }
   }
 
  private:
   std::uint64_t number(unsigned size) {
-    if (bytes_.size() - at_ < size) throw std::runtime_error("a value is cut short");
+    if (bytes_.size() - at_ < size) throw std::runtime_error("PackStream: a value is truncated");
     std::uint64_t out = 0;
     for (unsigned i = 0; i < size; ++i) out = out << 8 | static_cast<unsigned char>(bytes_[at_++]);
     return out;
@@ -97,7 +97,8 @@
     return out;
   }
   Value words(Value::Kind kind, std::uint64_t size) {
-    if (bytes_.size() - at_ < size) throw std::runtime_error("a text is cut short");
+    if (bytes_.size() - at_ < size)
+      throw std::runtime_error("PackStream: a string or byte array is truncated");
     Value out;
     out.kind = kind;
     out.text = bytes_.substr(at_, size);
@@ -235,7 +236,7 @@
     Decoder decoder(payload);
     Value read = decoder.value();
     if (read.kind != Value::Kind::Structure || !decoder.done())
-      throw std::runtime_error("no message of Bolt");
+      throw std::runtime_error("Bolt: the payload is not exactly one structure");
     out.push_back({read.tag, std::move(read.parts), payload});
   }
 }
--- a/src/standins/gateway_rig.h
+++ b/src/standins/gateway_rig.h
@@ -1,4 +1,4 @@
-// A whole gateway on a loop of its own, between stand-ins.
+// A complete gateway on its own event loop, with stand-ins as its endpoints and list service.
 #pragma once
 
 #include <algorithm>
@@ -12,27 +12,27 @@
 namespace heathflow::test {
 
 struct GatewayOptions {
-  long aimMs = 20'000;  // far beyond what a test takes, so that no verdict hangs on the machine's speed
+  long aimMs = 20'000;  // latency objective; far longer than a test, so results don't depend on machine speed
   long requestTimeoutMs = 60'000;
   long connectTimeoutMs = 20'000;
   long idleMs = 600'000;
   long maxAgeMs = 3'000'000;
   std::size_t sockets = 256;
   std::size_t memoryMb = 192;
-  Speaks speaks = Speaks::Postgres;  // clients and endpoints
-  bool both = false;                 // endpoints speak Bolt as well, and so does a second listener
+  Speaks speaks = Speaks::Postgres;  // the protocol of clients and endpoints
+  bool both = false;                 // endpoints speak Bolt too, and a second listener of the gateway
   const char* sessionTokens = "remembered";
-  std::string viewConsistency = "bounded";  // of the class "view"
+  std::string viewConsistency = "bounded";  // consistency of the class "view"
   std::string name = "n0";
   std::string seed = "8c1f30d27a5be964";
-  unsigned gateways = 1;  // that share the endpoints
+  unsigned gateways = 1;  // how many gateways share the endpoints
   long warmUpMs = 10'000;
   long maxRetryAfterMs = 500;
   long maxPollIntervalMs = 10'000;
   long knownRevision = 1;
   const char* discovery = "ask";
-  const char* statusEffect = "retryable";  // of the class "status"
-  bool byHand = false;                     // time passes only while nothing is under way, and then at once
+  const char* statusEffect = "retryable";  // effect of the class "status"
+  bool manualClock = false;  // time advances only while no event is pending, and then without waiting
 };
 
 inline std::string settingsText(const GatewayOptions& options) {
@@ -75,6 +75,7 @@
          "\"Report\":{\"Fields\":[\"x0\",\"x1\"],\"How\":\"pull\"},\"Tick\":5000}";
 }
 
+// Returns an entry of the endpoint list; 'more' holds further keys, with a comma first.
 inline std::string entry(const std::string& id, const std::string& address, bool primary,
                          const std::string& phase = "Ready", long upSinceMs = 0,
                          const std::string& more = "") {
@@ -94,6 +95,8 @@
          ",\"complete\":true,\"members\":" + known + "},\"settings\":" + settingsText(options) + "}";
 }
 
+// Returns the statement of a request with its comment; 'more' holds further items of the comment, with a
+// comma first.
 inline std::string request(const std::string& className, const std::string& id, const std::string& more = "",
                            long timeoutMs = 50'000) {
   const std::string statement =
@@ -103,7 +106,7 @@
          more + " */";
 }
 
-class Notes final : public stats::Observer {
+class LogRecorder final : public stats::Observer {
  public:
   using Observer::log;
   void log(stats::Topic, const std::string& text, const stats::LogContext&) override {
@@ -112,7 +115,7 @@
   std::vector<std::string> lines;
 };
 
-// One group: the first endpoint leads it.
+// A gateway and one group of endpoints; the first endpoint is the primary.
 class GatewayRig {
  public:
   explicit GatewayRig(GatewayOptions options = {}, std::size_t size = 3)
@@ -125,8 +128,8 @@
       endpoints.push_back(std::make_unique<EndpointStandIn>(loop, address, options.speaks));
       endpoints.back()->primary = i == 0;
       if (!options.both) continue;
-      graph.push_back(std::make_unique<EndpointStandIn>(loop, address, Speaks::Bolt));
-      graph.back()->primary = i == 0;
+      boltEndpoints.push_back(std::make_unique<EndpointStandIn>(loop, address, Speaks::Bolt));
+      boltEndpoints.back()->primary = i == 0;
     }
     discovery.endpoints = list();
     config = program::parseConfig(configText(options, discovery.address(), list()));
@@ -134,7 +137,7 @@
   }
   static transport::Clock clockOf(const GatewayOptions& options) {
     transport::Clock real;
-    return options.byHand ? transport::Clock::manual(real.now()) : real;
+    return options.manualClock ? transport::Clock::manual(real.now()) : real;
   }
   std::string list() const {
     std::string out = "[";
@@ -143,13 +146,16 @@
     }
     return out + "]";
   }
-  // An endpoint's entry in the list.
+  // Returns an endpoint's entry in the list.
   std::string entryOf(std::size_t i, const std::string& phase = "Ready") const {
     const std::string ports =
-        graph.empty() ? "" : ",\"ports\":{\"bolt\":" + std::to_string(graph[i]->socketAddress().port) + "}";
+        boltEndpoints.empty()
+            ? ""
+            : ",\"ports\":{\"bolt\":" + std::to_string(boltEndpoints[i]->socketAddress().port) + "}";
     return entry("m" + std::to_string(i), endpoints[i]->address(), i == 0, phase, 0, ports);
   }
-  // One family. Where Bolt is spoken a listener for it stands beside the platform's.
+  // Returns an installation with one family of endpoints. If Bolt is spoken, it has a Bolt listener in
+  // addition to the one of the configuration.
   static installation::Installation installationOf(const GatewayOptions& options) {
     installation::Installation out;
     if (options.speaks == Speaks::Postgres && !options.both) return out;
@@ -172,8 +178,8 @@
     gateway = std::make_unique<program::Gateway>(loop, config, notes, installation);
     if (const auto error = gateway->listen()) throw std::runtime_error(error->text);
     gateway->start();
-    if (!installation.listeners.empty()) graphEndpoint = Place(*gateway->boundTo(1), Speaks::Bolt);
-    socketAddress = speaks == Speaks::Bolt ? graphEndpoint : Place(*gateway->boundTo());
+    if (!installation.listeners.empty()) boltAddress = ProtocolAddress(*gateway->boundTo(1), Speaks::Bolt);
+    socketAddress = speaks == Speaks::Bolt ? boltAddress : ProtocolAddress(*gateway->boundTo());
   }
   template <typename Condition>
   bool until(Condition&& condition) {
@@ -183,29 +189,30 @@
   std::uint64_t outcomes(AttemptOutcome outcome) const {
     return counters().attemptsEnded[static_cast<std::size_t>(outcome)];
   }
-  // The statements that endpoints have had, all together.
+  // Returns the statements that all of 'endpoints' have received.
   std::vector<std::string> statements() const {
     std::vector<std::string> out;
     for (const auto& endpoint : endpoints)
       out.insert(out.end(), endpoint->statements.begin(), endpoint->statements.end());
     return out;
   }
-  // The same behaviour for all endpoints.
+  // Sets the same handler for all of 'endpoints'.
   void answerAll(const EndpointStandIn::Answer& answer) {
     for (auto& endpoint : endpoints) endpoint->answer = answer;
   }
 
   Speaks speaks;
   transport::EventLoop loop;
-  Notes notes;
+  LogRecorder notes;
   DiscoveryStandIn discovery;
   std::vector<std::unique_ptr<EndpointStandIn>> endpoints;
-  std::vector<std::unique_ptr<EndpointStandIn>> graph;  // the same endpoints over Bolt, where they speak both
+  // The same endpoints over Bolt, if they speak both protocols.
+  std::vector<std::unique_ptr<EndpointStandIn>> boltEndpoints;
   program::Config config;
   installation::Installation installation;
   std::unique_ptr<program::Gateway> gateway;
-  Place socketAddress;
-  Place graphEndpoint;
+  ProtocolAddress socketAddress;  // of the listener for 'speaks'
+  ProtocolAddress boltAddress;    // of the Bolt listener, if there is one
 };
 
 }  // namespace heathflow::test
--- a/src/standins/loopback.h
+++ b/src/standins/loopback.h
@@ -1,4 +1,4 @@
-// Runs a loop until something has come about, for a bounded time.
+// Runs an event loop until a condition holds, for a bounded time.
 #pragma once
 
 #include <chrono>
@@ -8,12 +8,13 @@
 
 namespace heathflow::test {
 
-// The longest that a test waits for an event. Nothing is concluded from how long it took.
-constexpr std::chrono::seconds kLongestWait{30};
+// Only bounds a test that would hang; no test checks how long an event took by it.
+constexpr std::chrono::seconds kWaitTimeout{30};
 
+// Returns whether the condition held within kWaitTimeout.
 template <typename Condition>
 bool until(transport::EventLoop& loop, Condition&& condition) {
-  const auto end = std::chrono::steady_clock::now() + kLongestWait;
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > end) return false;
     loop.turn(20'000);
--- a/src/standins/pg_bytes.h
+++ b/src/standins/pg_bytes.h
@@ -1,4 +1,4 @@
-// Messages of PostgreSQL's protocol as bytes, written independently of the code under test.
+// Encoder and parser for PostgreSQL protocol messages in tests, written independently of the code under test.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
   return type + u32(static_cast<std::uint32_t>(body.size() + 4)) + body;
 }
 
-// From a client.
+// Messages from a client.
 inline std::string startup(std::uint32_t version = 196608) {
   const std::string body =
       u32(version) + text("user") + text("api") + text("database") + text("ledger") + '\0';
@@ -28,7 +28,7 @@
 inline std::string special(std::uint32_t code) { return u32(8) + u32(code); }
 inline std::string query(std::string_view statement) { return message('Q', text(statement)); }
 
-// From an endpoint.
+// Messages from an endpoint.
 inline std::string parameter(std::string_view name, std::string_view value) {
   return message('S', text(name) + text(value));
 }
@@ -55,7 +55,7 @@
   char type;
   std::string body;
 };
-// Cuts whole messages off the front.
+// Removes complete messages from the front of 'bytes' and returns them.
 inline std::vector<Message> cut(std::string& bytes) {
   std::vector<Message> out;
   while (bytes.size() >= 5) {
@@ -69,7 +69,7 @@
   }
   return out;
 }
-// The field of an error's body.
+// Returns a field of an error message's body by its type byte; empty if there is none.
 inline std::string field(const std::string& body, char type) {
   std::size_t at = 0;
   while (at < body.size() && body[at] != '\0') {
--- a/src/standins/process_status.h
+++ b/src/standins/process_status.h
@@ -1,4 +1,4 @@
-// What the kernel tells of a process that a test has started.
+// Reads memory and descriptor use of a process that a test has started, and limits its descriptors.
 #pragma once
 
 #include <sys/resource.h>
@@ -12,7 +12,7 @@
 
 namespace heathflow::test {
 
-// A number from /proc/PID/status by its key, such as "VmRSS" (kB) or "Threads"; 0 where there is none.
+// Returns a number from /proc/PID/status by its key, such as "VmRSS" (kB) or "Threads"; 0 if it is missing.
 inline std::size_t statusOf(pid_t process, const std::string& key) {
   std::ifstream status("/proc/" + std::to_string(process) + "/status");
   for (std::string line; std::getline(status, line);) {
@@ -21,17 +21,18 @@
   return 0;
 }
 
-// Whether resident memory is the program's own: the address sanitizer holds several times as much beside it.
+// Whether resident memory tells what the program itself uses: the address sanitizer adds several times as
+// much.
 #ifdef __SANITIZE_ADDRESS__
-inline constexpr bool kResidentIsOwn = false;
+inline constexpr bool kResidentMemoryIsReliable = false;
 #else
-inline constexpr bool kResidentIsOwn = true;
+inline constexpr bool kResidentMemoryIsReliable = true;
 #endif
 
-// Bytes of memory that it holds at present.
+// Returns the resident memory in bytes.
 inline std::size_t residentOf(pid_t process) { return statusOf(process, "VmRSS") * 1024; }
 
-// How many descriptors it holds at present.
+// Returns the number of open descriptors.
 inline std::size_t descriptorsOf(pid_t process) {
   std::size_t count = 0;
   for ([[maybe_unused]] const auto& entry :
@@ -41,10 +42,12 @@
   return count;
 }
 
-// From now on the kernel gives it no more descriptors than that.
+// Sets the process's limit of open descriptors. Throws std::runtime_error if the system refuses.
 inline void limitDescriptors(pid_t process, std::size_t most) {
   const rlimit limit{most, most};
-  if (::prlimit(process, RLIMIT_NOFILE, &limit, nullptr) != 0) throw std::runtime_error("no limit was set");
+  if (::prlimit(process, RLIMIT_NOFILE, &limit, nullptr) != 0)
+    throw std::runtime_error("prlimit: the descriptor limit of process " + std::to_string(process) +
+                             " can't be set");
 }
 
 }  // namespace heathflow::test
--- a/src/standins/standins.cpp
+++ b/src/standins/standins.cpp
@@ -24,15 +24,15 @@
 }  // namespace
 
 std::string boltCodeOf(const std::string& sqlstate) {
-  for (const auto& [mine, other] : kCodes) {
-    if (sqlstate == mine) return other;
+  for (const auto& [state, code] : kCodes) {
+    if (sqlstate == state) return code;
   }
-  throw std::runtime_error("no such code: " + sqlstate);
+  throw std::runtime_error("there is no Bolt code for SQLSTATE " + sqlstate);
 }
 
 std::string sqlstateOf(const std::string& boltCode) {
-  for (const auto& [mine, other] : kCodes) {
-    if (boltCode == other) return mine;
+  for (const auto& [state, code] : kCodes) {
+    if (boltCode == code) return state;
   }
   return boltCode;
 }
@@ -81,7 +81,7 @@
 
 std::string EndpointStandIn::value(std::string_view text, std::int64_t positionMs) const {
   if (speaks == Speaks::Bolt) return half(text) + bolt::success(summary(positionMs));
-  return pg::row(text) + news(primary, positionMs) + pg::ready();
+  return pg::row(text) + statusParameters(primary, positionMs) + pg::ready();
 }
 
 std::string EndpointStandIn::report(const std::string& text) const {
@@ -90,7 +90,7 @@
 
 std::string EndpointStandIn::error(const std::string& sqlstate) const {
   if (speaks == Speaks::Bolt) return bolt::failure(boltCodeOf(sqlstate)) + bolt::ignored();
-  return pg::error(sqlstate) + news(primary) + pg::ready();
+  return pg::error(sqlstate) + statusParameters(primary) + pg::ready();
 }
 
 std::string EndpointStandIn::half(std::string_view text) const {
@@ -116,11 +116,11 @@
       pg::rowDescription() + pg::message('D', pg::u16(1) + pg::u32(0x7FFFFFFF) + "v"),
       pg::rowDescription() + "D" + pg::u32(3'000'000'010U) + pg::u16(1) + "vvv",
       pg::rowDescription() + pg::message('q', pg::u16(1) + pg::u32(1) + "v"), "noise\r\n\r\n"};
-  for (std::string& bytes : out) bytes.insert(0, news(false));
+  for (std::string& bytes : out) bytes.insert(0, statusParameters(false));
   return out;
 }
 
-void EndpointStandIn::asked(Line& line, const std::string& statement) {
+void EndpointStandIn::onStatement(Line& line, const std::string& statement) {
   ++line.queries;
   if (statement == "SHOW stats" || statement == kHealthCheck) {
     ++healthChecks;
@@ -167,7 +167,7 @@
       if (line.transaction) {
         line.say(bolt::record({bolt::text("from " + address())}) + bolt::success());
       } else {
-        asked(line, std::exchange(line.statement, ""));
+        onStatement(line, std::exchange(line.statement, ""));
       }
       return;
     case bolt::kBegin:
@@ -189,18 +189,18 @@
   }
 }
 
-ClientStandIn::ClientStandIn(transport::EventLoop& loop, const Place& gateway, bool startup)
+ClientStandIn::ClientStandIn(transport::EventLoop& loop, const ProtocolAddress& gateway, bool startup)
     : loop_(loop), speaks_(gateway.speaks), line_(loop, nullptr) {
-  if (speaks_ == Speaks::Bolt) awaits_ = {Awaits::Version, Awaits::Login, Awaits::Login};
+  if (speaks_ == Speaks::Bolt) outstanding_ = {ReplyTo::Version, ReplyTo::Login, ReplyTo::Login};
   int error = 0;
   if (!line_.stream.connect(gateway.socketAddress, error))
-    throw std::runtime_error("the gateway can't be reached");
+    throw std::runtime_error("can't connect to the gateway at " + toText(gateway.socketAddress));
   if (!until(loop_, [&] { return line_.stream.open() || line_.ended; }) || line_.ended) {
-    throw std::runtime_error("the gateway does not take the connection");
+    throw std::runtime_error("the gateway did not accept the connection");
   }
   if (startup) say(opening());
   if (startup && !until(loop_, [&] { return messages().size() > before_ && last().type == 'Z'; })) {
-    throw std::runtime_error("the gateway does not welcome");
+    throw std::runtime_error("the gateway did not complete the login");
   }
   forget();
 }
@@ -217,8 +217,8 @@
 
 void ClientStandIn::ask(std::string_view statement) {
   if (speaks_ == Speaks::Bolt) {
-    awaits_.push_back(Awaits::Run);
-    awaits_.push_back(Awaits::Pull);
+    outstanding_.push_back(ReplyTo::Run);
+    outstanding_.push_back(ReplyTo::Pull);
   }
   say(asking(statement));
 }
@@ -228,25 +228,25 @@
     for (auto& message : pg::cut(line_.got)) messages_.push_back(std::move(message));
     return messages_;
   }
-  if (!awaits_.empty() && awaits_.front() == Awaits::Version) {
+  if (!outstanding_.empty() && outstanding_.front() == ReplyTo::Version) {
     if (line_.got.size() < bolt::version().size()) return messages_;
     line_.got.erase(0, bolt::version().size());
-    awaits_.pop_front();
+    outstanding_.pop_front();
   }
   for (const auto& message : bolt::cut(line_.got)) translate(message);
   return messages_;
 }
 
-// A reply in PostgreSQL's words. Behind a failure the client resets, and is ready again when that is
-// confirmed.
+// Translates a Bolt reply into PostgreSQL messages. After a failure the client sends RESET; ReadyForQuery is
+// added when that is confirmed.
 void ClientStandIn::translate(const bolt::Message& message) {
   if (message.tag == bolt::kRecord) {
     const bolt::Value& row = message.fields.at(0);
     messages_.push_back({'D', std::string(6, '\0') + row.parts.at(0).text});
     return;
   }
-  const Awaits to = awaits_.empty() ? Awaits::Pull : awaits_.front();
-  if (!awaits_.empty()) awaits_.pop_front();
+  const ReplyTo to = outstanding_.empty() ? ReplyTo::Pull : outstanding_.front();
+  if (!outstanding_.empty()) outstanding_.pop_front();
   if (message.tag == bolt::kFailure) {
     const bolt::Value& about = message.fields.at(0);
     std::string body = "C" + pg::text(sqlstateOf(about.at("code").text));
@@ -254,28 +254,28 @@
       body += "D" + pg::text(std::to_string(about.at("retry_after_ms").integer));
     }
     messages_.push_back({'E', body + '\0'});
-    awaits_.push_back(Awaits::Reset);
+    outstanding_.push_back(ReplyTo::Reset);
     say(bolt::plain(bolt::kReset));
     return;
   }
   if (message.tag == bolt::kIgnored) return;
   const bolt::Value& about = message.fields.at(0);
   switch (to) {
-    case Awaits::Run:
+    case ReplyTo::Run:
       messages_.push_back({'T', ""});
       return;
-    case Awaits::Pull:
+    case ReplyTo::Pull:
       if (about.has("bookmark")) bookmark_ = about.at("bookmark").text;
       messages_.push_back({'C', ""});
       messages_.push_back({'Z', "I"});
       return;
-    case Awaits::Login:
-      if (awaits_.empty() || awaits_.front() != Awaits::Login) messages_.push_back({'Z', "I"});
+    case ReplyTo::Login:
+      if (outstanding_.empty() || outstanding_.front() != ReplyTo::Login) messages_.push_back({'Z', "I"});
       return;
-    case Awaits::Reset:
+    case ReplyTo::Reset:
       messages_.push_back({'Z', "I"});
       return;
-    case Awaits::Version:
+    case ReplyTo::Version:
       return;
   }
 }
@@ -284,19 +284,20 @@
                                      unsigned minor, bool login)
     : loop_(loop), line_(loop, nullptr) {
   int error = 0;
-  if (!line_.stream.connect(gateway, error)) throw std::runtime_error("the gateway can't be reached");
+  if (!line_.stream.connect(gateway, error))
+    throw std::runtime_error("can't connect to the gateway at " + toText(gateway));
   if (!until(loop_, [&] { return line_.stream.open() || line_.ended; }) || line_.ended) {
-    throw std::runtime_error("the gateway does not take the connection");
+    throw std::runtime_error("the gateway did not accept the connection");
   }
   if (!login) return;
   say(bolt::handshake(minor, 0) + bolt::hello(minor) + (minor >= 1 ? bolt::logon() : ""));
   const std::string version = bolt::version(minor);
   if (!until(loop_, [&] { return line_.got.size() >= version.size(); }) ||
       line_.got.substr(0, version.size()) != version) {
-    throw std::runtime_error("the gateway speaks another version");
+    throw std::runtime_error("the gateway did not accept Bolt version 5." + std::to_string(minor));
   }
   line_.got.erase(0, version.size());
-  if (!replied(minor >= 1 ? 2 : 1)) throw std::runtime_error("the gateway does not welcome");
+  if (!replied(minor >= 1 ? 2 : 1)) throw std::runtime_error("the gateway did not complete the login");
   forget();
 }
 
@@ -329,7 +330,7 @@
   for (const auto& message : messages()) {
     if (message.tag != bolt::kRecord && number-- == 0) return message;
   }
-  throw std::runtime_error("there is no such reply");
+  throw std::runtime_error("the client has not received that many replies");
 }
 
 std::string BoltClientStandIn::code() {
@@ -347,7 +348,7 @@
 
 transport::UniqueFd listenAt(transport::SocketAddress& place) {
   transport::SocketResult opened = transport::listenOn(place, 128);
-  if (!opened.fd) throw std::runtime_error("a stand-in can't listen");
+  if (!opened.fd) throw std::runtime_error("a stand-in can't listen at " + toText(place));
   place = *transport::localAddress(opened.fd.get());
   return std::move(opened.fd);
 }
--- a/src/standins/standins.h
+++ b/src/standins/standins.h
@@ -1,6 +1,6 @@
-// Small stand-ins for endpoints, discovery and clients, as PROTOCOL and Bolt's specification describe them,
-// on loopback and one loop. What a test says of a request and its answer is the same in both protocols:
-// statements with their comment, and replies in PostgreSQL's words.
+// Scripted endpoints, list service and clients for tests, on loopback and on the test's own event loop. Tests
+// describe requests and answers in the same way for both protocols: a request is a statement with its
+// comment, and replies are PostgreSQL messages, into which those of Bolt are translated.
 #pragma once
 
 #include <functional>
@@ -23,36 +23,39 @@
 
 enum class Speaks { Postgres, Bolt };
 
-// Where something is reached, and what is spoken there.
-struct Place {
-  Place() = default;
-  Place(const transport::SocketAddress& at, Speaks how = Speaks::Postgres) : socketAddress(at), speaks(how) {}
+// An address and the protocol that is spoken there.
+struct ProtocolAddress {
+  ProtocolAddress() = default;
+  ProtocolAddress(const transport::SocketAddress& at, Speaks how = Speaks::Postgres)
+      : socketAddress(at), speaks(how) {}
   operator const transport::SocketAddress&() const { return socketAddress; }
   transport::SocketAddress socketAddress;
   Speaks speaks = Speaks::Postgres;
 };
 
-// The status codes of Bolt that say the same as a SQLSTATE, and back.
+// Convert between SQLSTATEs and the status codes of Bolt with the same meaning. boltCodeOf() throws
+// std::runtime_error for an unknown SQLSTATE; sqlstateOf() returns an unknown code as it is.
 std::string boltCodeOf(const std::string& sqlstate);
 std::string sqlstateOf(const std::string& boltCode);
-// A statement with its comment as RUN's fields: the statement alone, and the map at the end.
+// Converts a statement with its comment into RUN's fields: the statement alone, and the map of extra fields.
 std::pair<std::string, bolt::Entries> boltRequest(const std::string& statement);
-// What a client of that protocol sends first, and what it asks by.
+// Return the bytes by which a client logs in, and the bytes of a request.
 std::string openingOf(Speaks speaks);
 std::string askingOf(Speaks speaks, std::string_view statement);
-// And back, from what an endpoint got.
+// Reverses boltRequest(): rebuilds the statement with its comment from the fields that an endpoint received.
 std::string statementOf(const std::string& query, const bolt::Value& extra);
 
-// Listens there, at a port of the system's choice where none is named; says which.
+// Listens at an address; port 0 lets the system choose one, which is stored in 'place'. Throws
+// std::runtime_error if that fails.
 transport::UniqueFd listenAt(transport::SocketAddress& place);
-// Keeps an address for one that will listen there again: until then connections are rejected, and no other
-// socket of the machine gets its port.
+// Binds a socket to an address without listening, for a stand-in that will listen there again: meanwhile
+// connections are refused, and no other socket gets the port.
 transport::UniqueFd reserve(const transport::SocketAddress& place);
 
-// Whatever the peer has yet to read, closing the socket resets its connection.
+// Makes close() reset the connection, even if the peer has not read all data.
 void resetAtClose(int fd);
 
-// One accepted or opened connection that gathers what comes in.
+// An accepted or opened connection that collects the received bytes.
 class Line : public transport::StreamOwner {
  public:
   using OnInput = std::function<void(Line&)>;
@@ -64,8 +67,8 @@
     stream.flush();
   }
   void hangUp() { stream.close(); }
-  // One that was deaf takes what has come meanwhile.
-  void readOn() {
+  // Handles the input that came while 'inputPaused' was set; the caller clears the flag first.
+  void resumeInput() {
     onInput();
     stream.resume();
   }
@@ -77,11 +80,11 @@
 
   std::string got;
   bool ended = false;
-  bool reset = false;  // and not in order
+  bool reset = false;  // ended by an error of the open connection, not by a close of the peer
 
  private:
   void onInput() override {
-    if (deaf) return;
+    if (inputPaused) return;
     got += stream.input().view();
     stream.input().consume(stream.input().size());
     if (onInput_) onInput_(*this);
@@ -94,18 +97,17 @@
   OnInput onInput_;
 
  public:
-  std::function<void()> onGone;
-  bool deaf = false;
-  bool started = false;
-  // Of Bolt: the statement that waits for its PULL, and whether a transaction is open.
-  std::string statement;
-  bool greeted = false;
-  bool transaction = false;
+  std::function<void()> onGone;  // called when the connection ends, except by hangUp()
+  bool inputPaused = false;      // leaves input unread
+  bool started = false;          // the startup packet or the handshake was read
+  std::string statement;         // Bolt: the statement of the last RUN, until its PULL
+  bool greeted = false;          // Bolt: LOGON was received last, not HELLO
+  bool transaction = false;      // Bolt: between BEGIN and COMMIT, ROLLBACK or RESET
   std::size_t queries = 0;
   transport::Stream stream;
 };
 
-// Listens on an ephemeral port and hands on what its connections say.
+// A server on an ephemeral port that passes the input of its connections to the derived class.
 class Listening : private transport::IoHandler {
  public:
   explicit Listening(transport::EventLoop& loop, std::uint32_t address = kLoopback) : loop_(loop) {
@@ -115,7 +117,7 @@
 
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   std::string address() const { return toText(socketAddress_); }
-  // The process is gone: connections reset, new ones rejected.
+  // Acts like a server whose process has ended: closes the connections, and new ones are refused.
   void shut() {
     if (!listener_) return;
     loop_.unwatch(listener_.get(), *this);
@@ -131,7 +133,7 @@
   }
 
   std::list<std::unique_ptr<Line>> lines;
-  bool resets = false;  // connections taken in from now on are reset where they are hung up
+  bool resets = false;  // connections accepted from now on are reset when they are closed
 
  protected:
   virtual void onLineInput(Line& line) = 0;
@@ -156,12 +158,12 @@
   }
 
   transport::UniqueFd listener_;
-  transport::UniqueFd reserved_;  // its address, while it does not listen
+  transport::UniqueFd reserved_;  // holds the port after shut()
   transport::SocketAddress socketAddress_;
 };
 
-// An endpoint. Unless told otherwise it welcomes at once, answers health checks, and gives each statement a
-// value.
+// An endpoint. By default it accepts each login at once, answers health checks, and answers each statement
+// with one value.
 class EndpointStandIn final : public Listening {
  public:
   using Listening::Listening;
@@ -170,22 +172,24 @@
   EndpointStandIn(transport::EventLoop& loop, std::uint32_t address, Speaks how)
       : Listening(loop, address), speaks(how) {}
 
-  static std::string news(bool primary, std::int64_t positionMs = 0) {
+  // Returns the ParameterStatus messages with the role and, unless it is 0, the log position.
+  static std::string statusParameters(bool primary, std::int64_t positionMs = 0) {
     std::string out = pg::parameter("mode", primary ? "read-write" : "read-only");
     if (positionMs != 0) out += pg::parameter("wal_time", std::to_string(positionMs));
     return out;
   }
-  // Whole answers: a value, an error by its SQLSTATE.
+  // Return complete answers: one value, or an error by its SQLSTATE.
   std::string value(std::string_view text, std::int64_t positionMs = 0) const;
   std::string error(const std::string& sqlstate) const;
-  // A value without its end, what is no answer at all, and answers that are malformed in several ways.
+  // Return a value without the end of the answer, bytes that are no valid message, and answers that are each
+  // malformed in another way.
   std::string half(std::string_view text) const;
   std::string nonsense() const;
   std::vector<std::string> malformed() const;
-  // Bolt's summary of what is over.
+  // Returns the metadata of Bolt's SUCCESS message at the end of an answer.
   bolt::Entries summary(std::int64_t positionMs = 0) const;
 
-  // Welcomes those that it has let wait.
+  // Answers the logins that came while 'welcomes' was false, and all later ones.
   void welcomeNow() {
     welcomes = true;
     for (auto& line : lines) onLineInput(*line);
@@ -193,10 +197,10 @@
 
   Speaks speaks = Speaks::Postgres;
   bool primary = false;
-  bool welcomes = true;
-  std::int64_t lagMs = 0;
-  // Takes a new connection in place of the usual welcome, where it is set.
-  std::function<void(Line& line)> door;
+  bool welcomes = true;    // false: input is collected, but nothing is handled or answered
+  std::int64_t lagMs = 0;  // how far the log position in load reports is behind the wall clock
+  // If set, answers a PostgreSQL startup packet in place of the default.
+  std::function<void(Line& line)> onStartup;
   Answer answer = [this](Line& line, const std::string&) { line.say(value("from " + address())); };
   Answer healthCheck = [this](Line& line, const std::string&) {
     const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -206,18 +210,19 @@
     const std::string millis = std::to_string(1000 + now % 1000).substr(1);
     line.say(report("x0=" + std::to_string(now / 1000) + "." + millis + ",x1=" + (primary ? "1" : "0")));
   };
-  // Of Bolt: sees every message first; true where it has dealt with it.
+  // Bolt: sees each message after the login first, except those of health checks; returns true if it has
+  // handled the message.
   std::function<bool(Line& line, const bolt::Message& message)> script;
-  std::vector<std::string> statements;  // without health checks
+  std::vector<std::string> statements;  // received, without health checks
   bool keepsStatements = true;
-  std::vector<unsigned char> tags;  // of all messages of Bolt behind the login
+  std::vector<unsigned char> tags;  // of all Bolt messages after the login
   std::size_t healthChecks = 0;
 
  private:
   std::string report(const std::string& text) const;
   void onBolt(Line& line);
   void onBoltMessage(Line& line, const bolt::Message& message);
-  void asked(Line& line, const std::string& statement);
+  void onStatement(Line& line, const std::string& statement);
 
   void onLineInput(Line& line) override {
     if (!welcomes) return;
@@ -226,33 +231,34 @@
       if (line.got.size() < pg::startup().size()) return;
       line.got.erase(0, pg::startup().size());
       line.started = true;
-      if (door) {
-        door(line);
+      if (onStartup) {
+        onStartup(line);
       } else {
         line.say(pg::welcome());
       }
     }
     for (const auto& message : pg::cut(line.got)) {
       if (message.type != 'Q') continue;
-      asked(line, message.body.substr(0, message.body.size() - 1));
+      onStatement(line, message.body.substr(0, message.body.size() - 1));
     }
   }
 };
 
-// Discovery. Answers the whole list, holds watches until something is told.
+// The list service over HTTP. Answers a call without a revision with the complete list, and holds watches
+// until tell() is called.
 class DiscoveryStandIn final : public Listening {
  public:
   using Listening::Listening;
 
   std::string endpoints = "[]";
-  std::string news = "[]";  // what a call that does not wait is told
+  std::string changes = "[]";  // the entries in the answer to a call that does not wait
   std::int64_t revision = 1;
   std::vector<std::string> calls;
-  std::vector<transport::Micros> calledAt;  // the loop's time of each
-  bool silent = false;                      // nothing is answered
-  bool fails = false;                       // every call ends with 503
-  bool holds = true;                        // a watch waits
-  Line* waiting = nullptr;
+  std::vector<transport::Micros> calledAt;  // the loop's time of each call
+  bool silent = false;                      // no call is answered
+  bool fails = false;                       // every call is answered with status 503
+  bool holds = true;                        // watches wait for tell(); false: they are answered at once
+  Line* waiting = nullptr;                  // the connection of the last held watch; null after tell()
 
   static std::string response(const std::string& body, int status = 200) {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\nContent-Length: " + std::to_string(body.size()) +
@@ -262,7 +268,7 @@
     return "{\"revision\":" + std::to_string(revision) + ",\"complete\":" + (complete ? "true" : "false") +
            ",\"members\":" + entries + "}";
   }
-  // Tells the watch that waits.
+  // Increments the revision and answers the waiting watch with these entries; there must be one.
   void tell(const std::string& entries) {
     ++revision;
     Line* line = std::exchange(waiting, nullptr);
@@ -285,7 +291,7 @@
       } else if (call.find("since=") == std::string::npos) {
         line.say(response(document(true, endpoints)));
       } else if (call.find("timeout_ms=1 ") != std::string::npos || !holds) {
-        line.say(response(document(false, news)));
+        line.say(response(document(false, changes)));
       } else {
         waiting = &line;
       }
@@ -293,13 +299,14 @@
   }
 };
 
-// A client's connection.
+// A client of either protocol. The constructor connects and, with 'startup', logs in; it throws
+// std::runtime_error if that fails.
 class ClientStandIn {
  public:
-  ClientStandIn(transport::EventLoop& loop, const Place& gateway, bool startup = true);
+  ClientStandIn(transport::EventLoop& loop, const ProtocolAddress& gateway, bool startup = true);
 
   void say(std::string_view bytes) { line_.say(bytes); }
-  // What the client sends first, and a request, as bytes.
+  // Return the bytes by which this client logs in, and the bytes of a request.
   std::string opening() const { return openingOf(speaks_); }
   std::string asking(std::string_view statement) const { return askingOf(speaks_, statement); }
   void ask(std::string_view statement);
@@ -309,7 +316,7 @@
     messages();
     messages_.clear();
   }
-  // Waits for so many whole answers.
+  // Waits for that many complete answers in all since the last forget().
   bool answered(std::size_t count = 1) {
     return until(loop_, [&] {
       std::size_t ready = 0;
@@ -326,27 +333,28 @@
     for (const auto& message : messages()) out += message.type;
     return out;
   }
-  // Of the first error.
+  // Returns the SQLSTATE of the first error; empty if there is none.
   std::string code() {
     for (const auto& message : messages()) {
       if (message.type == 'E') return pg::field(message.body, 'C');
     }
     return "";
   }
+  // Returns the value of a row by its position; empty if there is no such row.
   std::string value(std::size_t number = 0) {
     for (const auto& message : messages()) {
       if (message.type == 'D' && number-- == 0) return message.body.substr(6);
     }
     return "";
   }
-  // The time to come back in the first error, as text.
-  std::string advice() {
+  // Returns the retry delay that the first error contains, as text; empty if there is none.
+  std::string retryAfterMs() {
     for (const auto& message : messages()) {
       if (message.type == 'E') return pg::field(message.body, 'D');
     }
     return "";
   }
-  // Of Bolt: the newest bookmark.
+  // Bolt: the last bookmark received.
   const std::string& bookmark() const { return bookmark_; }
   void hangUp() { line_.hangUp(); }
   Line& line() { return line_; }
@@ -359,25 +367,27 @@
   Line line_;
   std::size_t before_ = 0;
   std::vector<pg::Message> messages_;
-  // Of Bolt: what each reply that is to come is a reply to.
-  enum class Awaits { Version, Login, Run, Pull, Reset };
-  std::list<Awaits> awaits_;
+  // Bolt: which message each outstanding reply will answer.
+  enum class ReplyTo { Version, Login, Run, Pull, Reset };
+  std::list<ReplyTo> outstanding_;
   std::string bookmark_;
 };
 
-// A client of Bolt that says what it is told to, message by message.
+// A Bolt client that sends exactly the messages that the test gives it. The constructor connects and, with
+// 'login', logs in; it throws std::runtime_error if that fails.
 class BoltClientStandIn {
  public:
   BoltClientStandIn(transport::EventLoop& loop, const transport::SocketAddress& gateway, unsigned minor = 4,
                     bool login = true);
 
   void say(std::string_view bytes) { line_.say(bytes); }
-  // Waits for so many replies in all; records do not count.
+  // Waits for that many replies in all since the last forget(); records do not count.
   bool replied(std::size_t count);
-  // All that has come behind the login.
+  // Returns all messages after the login, or since the last forget().
   const std::vector<bolt::Message>& messages();
-  // Their tags, a letter each: S, F, I for replies and R for a record.
+  // Returns a letter per message: S (success), F (failure), I (ignored), R (record), ? (any other).
   std::string tags();
+  // Returns a reply by its position, without records; throws std::runtime_error if it has not come.
   const bolt::Message& reply(std::size_t number);
   std::string code();  // of the first failure
   std::size_t records();
@@ -397,8 +407,8 @@
   std::vector<bolt::Message> messages_;
 };
 
-// A peer without manners: a socket and nothing around it, so that it goes on whatever it is told, reads only
-// when asked to, and acts between two turns of the loop.
+// A peer that breaks protocol rules: a bare socket that sends whatever it is given, reads only when the test
+// asks for it, and acts between two turns of the event loop.
 class PlainSocket {
  public:
   PlainSocket(transport::EventLoop& loop, const transport::SocketAddress& gateway)
@@ -406,7 +416,7 @@
   PlainSocket(transport::EventLoop& loop, transport::SocketResult opened)
       : loop_(loop), opened_(std::move(opened)) {}
 
-  // False where the peer has reset the connection.
+  // Waits until all bytes are sent. Returns false if the connection failed or the time was up.
   bool send(std::string_view bytes) {
     bool failed = !opened_.fd;
     const bool over = until(loop_, [&] {
@@ -421,13 +431,13 @@
     return over && !failed;
   }
   void endSending() { transport::shutdownWrite(opened_.fd.get()); }
-  // Closes with a reset, whatever the peer has yet to read.
+  // Closes with a reset, even if the peer has not read all data.
   void resetNow() {
     resetAtClose(opened_.fd.get());
     hangUp();
   }
   void hangUp() { opened_.fd.reset(); }
-  // What has come so far; 'ended' and 'reset' say how it ended, if it has.
+  // Returns everything received so far. Sets 'ended' if the connection has ended, and 'reset' if by an error.
   const std::string& read() {
     char bytes[4096];
     for (;;) {
@@ -446,7 +456,7 @@
     return until(loop_, [&] { return read().find(text) != std::string::npos || ended; }) &&
            got_.find(text) != std::string::npos;
   }
-  // The code of the last message, where that is an error.
+  // Returns the SQLSTATE of the last message if that is an error, otherwise an empty string.
   std::string lastCode() {
     std::string bytes = read();
     const auto messages = pg::cut(bytes);
@@ -462,14 +472,14 @@
   std::string got_;
 };
 
-// Listens and takes in connections one at a time, when asked to: what they say and how they end is the
-// test's.
+// Accepts connections one at a time, when the test asks for one; the test decides what is sent on them and
+// how they end.
 class PlainListener {
  public:
   explicit PlainListener(transport::EventLoop& loop, std::uint32_t address = kLoopback);
   const transport::SocketAddress& socketAddress() const { return socketAddress_; }
   std::string address() const { return toText(socketAddress_); }
-  // Waits for the next connection; null where none comes.
+  // Waits for the next connection; returns null if none comes in time.
   std::unique_ptr<PlainSocket> next();
 
  private:
--- a/src/standins/temporary_file.h
+++ b/src/standins/temporary_file.h
@@ -1,4 +1,4 @@
-// Files and folders for a test or a tool.
+// Temporary files and folders for tests and tools.
 #pragma once
 
 #include <unistd.h>
@@ -13,13 +13,13 @@
 
 namespace heathflow::test {
 
-// A file with this text, for as long as it lives.
+// A temporary file with the given text, removed by the destructor.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text)
       : path_((std::filesystem::temp_directory_path() / "heathflow-file-XXXXXX").string()) {
     const transport::UniqueFd fd(::mkstemp(path_.data()));
-    if (!fd) throw std::runtime_error("no temporary file");
+    if (!fd) throw std::runtime_error("a temporary file can't be created at " + path_);
     std::ofstream(path_) << text;
   }
   ~TemporaryFile() { ::unlink(path_.c_str()); }
@@ -31,11 +31,12 @@
   std::string path_;
 };
 
-// An empty folder, for as long as it lives; it ends with all that is in it.
+// A temporary folder, empty at first, removed by the destructor with all its content.
 class TemporaryFolder {
  public:
   TemporaryFolder() : path_((std::filesystem::temp_directory_path() / "heathflow-XXXXXX").string()) {
-    if (::mkdtemp(path_.data()) == nullptr) throw std::runtime_error("no temporary folder");
+    if (::mkdtemp(path_.data()) == nullptr)
+      throw std::runtime_error("a temporary folder can't be created at " + path_);
   }
   ~TemporaryFolder() {
     std::error_code ignored;
--- a/tests/attempt_timeout_test.cpp
+++ b/tests/attempt_timeout_test.cpp
@@ -57,7 +57,7 @@
   static GatewayOptions options() {
     GatewayOptions out;
     out.speaks = GetParam();
-    out.byHand = true;
+    out.manualClock = true;
     return out;
   }
   static std::string requestBytes(const std::string& id, const std::string& className = "save") {
--- a/tests/bolt_gateway_test.cpp
+++ b/tests/bolt_gateway_test.cpp
@@ -520,7 +520,7 @@
   constexpr std::size_t kSize = 10'000;
   streams(kRecords, kSize, true);
   BoltClientStandIn slow(rig.loop, rig.socketAddress);
-  slow.line().deaf = true;
+  slow.line().inputPaused = true;
   slow.say(bolt::run("MATCH", read("a")) + bolt::pull());
   ASSERT_TRUE(rig.until([&] { return rig.statements().size() == 1; }));
   Line* endpoint = nullptr;
@@ -547,8 +547,8 @@
     quick.say(bolt::run("MATCH", read("q" + std::to_string(i))) + bolt::pull());
     ASSERT_TRUE(quick.replied(2 * i + 2));
   }
-  slow.line().deaf = false;
-  slow.line().readOn();
+  slow.line().inputPaused = false;
+  slow.line().resumeInput();
   ASSERT_TRUE(slow.replied(2));
   EXPECT_EQ(slow.records(), kRecords) << "every record once";
   EXPECT_EQ(slow.tags().front(), 'S');
@@ -710,7 +710,7 @@
     return out;
   }
   std::size_t asked(std::size_t endpoint) const {
-    return rig.endpoints[endpoint]->statements.size() + rig.graph[endpoint]->statements.size();
+    return rig.endpoints[endpoint]->statements.size() + rig.boltEndpoints[endpoint]->statements.size();
   }
   GatewayRig rig{options()};
 };
@@ -719,10 +719,10 @@
   std::vector<Line*> held;
   const auto hold = [&](Line& line, const std::string&) { held.push_back(&line); };
   for (auto& endpoint : rig.endpoints) endpoint->answer = hold;
-  for (auto& endpoint : rig.graph) endpoint->answer = hold;
+  for (auto& endpoint : rig.boltEndpoints) endpoint->answer = hold;
   std::vector<std::unique_ptr<ClientStandIn>> clients;
   for (std::size_t i = 0; i < 8; ++i) {
-    const Place& door = i % 2 == 0 ? rig.socketAddress : rig.graphEndpoint;
+    const ProtocolAddress& door = i % 2 == 0 ? rig.socketAddress : rig.boltAddress;
     clients.push_back(std::make_unique<ClientStandIn>(rig.loop, door));
     clients.back()->ask(request("any", std::to_string(i)));
     ASSERT_TRUE(rig.until([&] { return held.size() == i + 1; }));
@@ -755,11 +755,11 @@
   std::size_t held = 0;
   const auto hold = [&](Line&, const std::string&) { ++held; };
   for (auto& endpoint : rig.endpoints) endpoint->answer = hold;
-  for (auto& endpoint : rig.graph) endpoint->answer = hold;
+  for (auto& endpoint : rig.boltEndpoints) endpoint->answer = hold;
   std::vector<std::unique_ptr<ClientStandIn>> clients;
   for (std::size_t i = 0; i < 24; ++i) {
     clients.push_back(
-        std::make_unique<ClientStandIn>(rig.loop, i % 2 == 0 ? rig.socketAddress : rig.graphEndpoint));
+        std::make_unique<ClientStandIn>(rig.loop, i % 2 == 0 ? rig.socketAddress : rig.boltAddress));
     clients.back()->ask(request("any", std::to_string(i)));
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == 34 && held >= 8; }));
@@ -768,7 +768,7 @@
   EXPECT_LE(asked(2) - before, 3U);
   EXPECT_GE(asked(1), 5U);
   EXPECT_GT(rig.endpoints[1]->statements.size(), 0U);
-  EXPECT_GT(rig.graph[1]->statements.size(), 0U);
+  EXPECT_GT(rig.boltEndpoints[1]->statements.size(), 0U);
 }
 
 // A session may continue at another gateway, so a commit position ahead of the gateway's clock is passed on
@@ -778,16 +778,18 @@
                          std::chrono::system_clock::now().time_since_epoch())
                          .count() +
                      3'600'000;
-  rig.graph[0]->answer = [&](Line& line, const std::string&) {
-    line.say(rig.graph[0]->value("written", ahead));
+  rig.boltEndpoints[0]->answer = [&](Line& line, const std::string&) {
+    line.say(rig.boltEndpoints[0]->value("written", ahead));
   };
-  ClientStandIn client(rig.loop, rig.graphEndpoint);
+  ClientStandIn client(rig.loop, rig.boltAddress);
   client.ask(request("save", "w"));
   ASSERT_TRUE(client.answered());
   const std::string mark = "hf1:0:" + std::to_string(ahead) + ":own";
   EXPECT_EQ(client.bookmark(), mark);
   // A read does not reduce it either.
-  rig.graph[0]->answer = [&](Line& line, const std::string&) { line.say(rig.graph[0]->value("read")); };
+  rig.boltEndpoints[0]->answer = [&](Line& line, const std::string&) {
+    line.say(rig.boltEndpoints[0]->value("read"));
+  };
   client.ask(request("view", "r", ",bookmark=" + mark));
   ASSERT_TRUE(client.answered(2));
   EXPECT_EQ(client.bookmark(), mark);
@@ -796,12 +798,14 @@
 // No stale reads across protocols: a commit over Bolt binds a reader over PostgreSQL that carries its
 // position, and one over PostgreSQL binds a reader over Bolt.
 TEST_F(BothProtocols, ABookmarkBindsReadersOfEitherProtocol) {
-  for (std::size_t i = 1; i < 3; ++i) rig.endpoints[i]->lagMs = rig.graph[i]->lagMs = 60'000;
+  for (std::size_t i = 1; i < 3; ++i) rig.endpoints[i]->lagMs = rig.boltEndpoints[i]->lagMs = 60'000;
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
                        .count();
-  rig.graph[0]->answer = [&](Line& line, const std::string&) { line.say(rig.graph[0]->value("w", now)); };
-  ClientStandIn graphClient(rig.loop, rig.graphEndpoint);
+  rig.boltEndpoints[0]->answer = [&](Line& line, const std::string&) {
+    line.say(rig.boltEndpoints[0]->value("w", now));
+  };
+  ClientStandIn graphClient(rig.loop, rig.boltAddress);
   graphClient.ask(request("save", "1"));
   ASSERT_TRUE(graphClient.answered());
   const std::string mark = graphClient.bookmark();
@@ -821,7 +825,7 @@
   const std::string old = "hf1:0:" + std::to_string(now - 600'000) + ":";
   graphClient.ask(request("view", "old", ",bookmark=" + old));
   ASSERT_TRUE(rig.until([&] { return asked(1) + asked(2) == 1; }));
-  ClientStandIn foreign(rig.loop, rig.graphEndpoint);
+  ClientStandIn foreign(rig.loop, rig.boltAddress);
   foreign.ask(request("any", "foreign", ",bookmark=FB:1234"));
   ASSERT_TRUE(foreign.answered());
   EXPECT_EQ(foreign.value(), "w") << "the primary";
@@ -829,7 +833,7 @@
 
 TEST_F(BothProtocols, AFamilyThatDoesNotSpeakAProtocolIsNotServedInIt) {
   GatewayRig only(boltOnly());
-  ClientStandIn rows(only.loop, Place(*only.gateway->boundTo(0)));
+  ClientStandIn rows(only.loop, ProtocolAddress(*only.gateway->boundTo(0)));
   rows.ask(request("any", "1"));
   ASSERT_TRUE(rows.answered());
   EXPECT_EQ(rows.code(), "22023");
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -89,11 +89,11 @@
   ASSERT_TRUE(until([&] { return process.says("speaks bolt at ") || process.over(); }));
   ASSERT_FALSE(process.over()) << process.log();
   EXPECT_EQ(process.log().substr(0, 9), "{\"time\":\"");
-  ClientStandIn client(loop, Place(addressAfter("speaks bolt at "), Speaks::Bolt));
+  ClientStandIn client(loop, ProtocolAddress(addressAfter("speaks bolt at "), Speaks::Bolt));
   client.ask(request("save", "1"));
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.value(), "from " + graph.address());
-  ClientStandIn other(loop, Place(addressAfter("serves at ")));
+  ClientStandIn other(loop, ProtocolAddress(addressAfter("serves at ")));
   other.ask(request("save", "2"));
   ASSERT_TRUE(other.answered());
   EXPECT_EQ(other.value(), "from " + rows.address());
--- a/tests/connect_race_test.cpp
+++ b/tests/connect_race_test.cpp
@@ -78,7 +78,7 @@
 // A request whose deadline passes in the turn in which its connection becomes ready is not written any more.
 TEST_P(ConnectRace, NothingIsSentInTheTurnOfItsDeadline) {
   GatewayOptions options = speaking();
-  options.byHand = true;
+  options.manualClock = true;
   options.connectTimeoutMs = 60'000;
   GatewayRig rig(options, 1);
   rig.endpoints[0]->welcomes = false;
--- a/tests/disconnected_client_test.cpp
+++ b/tests/disconnected_client_test.cpp
@@ -54,7 +54,7 @@
   static GatewayOptions options() {
     GatewayOptions out;
     out.speaks = GetParam();
-    out.byHand = true;
+    out.manualClock = true;
     return out;
   }
   static std::string asking(const std::string& id) { return askingOf(GetParam(), request("save", id)); }
@@ -172,7 +172,7 @@
   static GatewayOptions options() {
     GatewayOptions out;
     out.speaks = Speaks::Bolt;
-    out.byHand = true;
+    out.manualClock = true;
     return out;
   }
   static std::string asking(const std::string& id) { return askingOf(Speaks::Bolt, request("save", id)); }
--- a/tests/endpoint_connection_test.cpp
+++ b/tests/endpoint_connection_test.cpp
@@ -58,7 +58,7 @@
 // A response that arrives in the turn of the request's deadline is forwarded.
 TEST_P(EndpointRace, AnAnswerInTheTurnOfItsDeadlineIsServed) {
   GatewayOptions options = speaking();
-  options.byHand = true;
+  options.manualClock = true;
   GatewayRig rig(options, 1);
   Line* pending = nullptr;
   rig.answerAll([&](Line& line, const std::string&) { pending = &line; });
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -325,7 +325,7 @@
   SlowReaderRig() : slow(loop, socketAddress) {
     answerAll(
         [this](Line& line, const std::string&) { line.say(endpoints[0]->value(std::string(60'000, 'v'))); });
-    slow.line().deaf = true;
+    slow.line().inputPaused = true;
   }
   ClientStandIn slow;
 };
--- a/tests/idle_clients_test.cpp
+++ b/tests/idle_clients_test.cpp
@@ -98,7 +98,7 @@
   for (int round = 0; round < 5; ++round) {
     EXPECT_EQ(site.served(active), kActiveClients) << "round " << round;
     EXPECT_LE(descriptorsOf(site.process->pid()), kSockets);
-    if (kResidentIsOwn) {
+    if (kResidentMemoryIsReliable) {
       EXPECT_LT(residentOf(site.process->pid()), kMemoryMb * 1'000'000);
     }
   }
@@ -106,7 +106,7 @@
   // Discovery is back, with another primary: the list is received, and the new endpoint connected to.
   site.first.primary = false;
   site.second.primary = true;
-  site.discovery.endpoints = site.discovery.news = Site::listOf({&site.first, &site.second});
+  site.discovery.endpoints = site.discovery.changes = Site::listOf({&site.first, &site.second});
   ++site.discovery.revision;
   site.first.answer = [&](Line& line, const std::string&) { line.say(site.first.error("25006")); };
   site.discovery.reopen();
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -102,7 +102,7 @@
     site.discovery.tell(indented(site.entries(primary.address(), 0)));
     ASSERT_TRUE(site.until([&] { return site.discovery.waiting != nullptr; })) << process.log();
     ASSERT_NO_FATAL_FAILURE(expectServedBy(client, primary, "by-changes" + std::to_string(i)));
-    if (kResidentIsOwn) {
+    if (kResidentMemoryIsReliable) {
       EXPECT_LT(residentOf(process.pid()), kMemoryMb * 1'000'000);
     }
   }
@@ -141,7 +141,7 @@
 
   site.discovery.silent = false;
   site.discovery.revision = 2;
-  site.discovery.endpoints = site.discovery.news = indented(site.entries(site.second.address(), 0));
+  site.discovery.endpoints = site.discovery.changes = indented(site.entries(site.second.address(), 0));
   ASSERT_TRUE(site.until([&] { return site.discovery.waiting != nullptr; })) << process.log();
   ASSERT_NO_FATAL_FAILURE(expectServedBy(client, site.second, "by-a-list"));
 
@@ -154,7 +154,7 @@
     EXPECT_EQ(client.types(), "TDCZ");
   }
   EXPECT_GT(statusOf(process.pid(), "VmHWM"), 0U);
-  if (kResidentIsOwn) {
+  if (kResidentMemoryIsReliable) {
     EXPECT_LT(statusOf(process.pid(), "VmHWM") * 1024, kMemoryMb * 1'000'000) << "at its highest";
   }
   EXPECT_EQ(statusOf(process.pid(), "Threads"), 1U);
--- a/tests/list_watch_test.cpp
+++ b/tests/list_watch_test.cpp
@@ -93,7 +93,7 @@
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const transport::Micros silentFrom = rig.discovery.calledAt.back();
   Line* silent = std::exchange(rig.discovery.waiting, nullptr);
-  rig.discovery.news = "[" + rig.entryOf(1, "Terminating") + "]";
+  rig.discovery.changes = "[" + rig.entryOf(1, "Terminating") + "]";
   const std::size_t calls = rig.discovery.calls.size();
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() > calls; }));
   EXPECT_NE(rig.discovery.calls.back().find("timeout_ms=1 "), std::string::npos);
--- a/tests/pipelining_test.cpp
+++ b/tests/pipelining_test.cpp
@@ -30,7 +30,7 @@
   static GatewayOptions options() {
     GatewayOptions out;
     out.speaks = GetParam();
-    out.byHand = true;
+    out.manualClock = true;
     return out;
   }
   std::string requestBytes(const std::string& id, long timeoutMs) const {
--- a/tests/race_test.h
+++ b/tests/race_test.h
@@ -32,7 +32,7 @@
 // @param maxPollIntervalMs  the longest time between two calls to discovery.
 inline GatewayOptions byHand(long maxPollIntervalMs) {
   GatewayOptions out;
-  out.byHand = true;
+  out.manualClock = true;
   out.maxPollIntervalMs = maxPollIntervalMs;
   return out;
 }
--- a/tests/request_rules_test.cpp
+++ b/tests/request_rules_test.cpp
@@ -87,7 +87,7 @@
   ASSERT_TRUE(client.answered());
   EXPECT_EQ(client.types(), "EZ");
   EXPECT_EQ(client.code(), "53300");
-  EXPECT_EQ(client.advice(), "500");
+  EXPECT_EQ(client.retryAfterMs(), "500");
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->error("XX000")); });
   ClientStandIn other(rig.loop, rig.socketAddress);
   ASSERT_TRUE(rig.until([&] {
--- a/tests/shutdown_test.cpp
+++ b/tests/shutdown_test.cpp
@@ -18,7 +18,7 @@
   constexpr std::size_t kQueued = 200;
   GatewayOptions options;
   options.sockets = 1024;
-  options.byHand = true;
+  options.manualClock = true;
   GatewayRig rig(options);
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->value("served")); });
   bool done = false;
@@ -74,9 +74,9 @@
   int done = 0;
   rig.gateway->beginShutdown([&] { ++done; });
   // The other listener has closed by now.
-  ASSERT_TRUE(rig.until([&] { return PlainSocket(rig.loop, rig.graphEndpoint).gone(); }));
+  ASSERT_TRUE(rig.until([&] { return PlainSocket(rig.loop, rig.boltAddress).gone(); }));
   ASSERT_TRUE(rig.until([&] {
-    transport::SocketResult opened = transport::startConnect(rig.graphEndpoint);
+    transport::SocketResult opened = transport::startConnect(rig.boltAddress);
     rig.loop.turn(1'000);
     return !opened.fd || transport::pendingError(opened.fd.get()) != 0;
   }));
@@ -92,7 +92,7 @@
 // flight at an endpoint that hangs or queued without a primary.
 TEST_P(ConnectionRace, RequestsInFlightOrQueuedAreAnsweredBeforeTheKill) {
   GatewayOptions options = speaking();
-  options.byHand = true;
+  options.manualClock = true;
   options.aimMs = 200;
   options.requestTimeoutMs = 400;
   for (const bool queued : {false, true}) {
@@ -120,7 +120,7 @@
 // once.
 TEST_P(ConnectionRace, RequestsAfterTheLastAnswersAreRejectedAtOnce) {
   GatewayOptions options = speaking();
-  options.byHand = true;
+  options.manualClock = true;
   options.requestTimeoutMs = 400;
   options.aimMs = 200;
   GatewayRig rig(options, 1);
--- a/tests/snapshot_source_test.cpp
+++ b/tests/snapshot_source_test.cpp
@@ -44,7 +44,7 @@
   DiscoveryStandIn discovery;
   EndpointStandIn endpoint;
   TemporaryFolder folder;
-  Notes notes;
+  LogRecorder notes;
   program::Config config;
   installation::Installation installation;
   std::unique_ptr<program::Gateway> gateway;
