--- a/src/emulator/random_scenario.cpp
+++ b/src/emulator/random_scenario.cpp
@@ -13,7 +13,7 @@
 
 using faultshim::ClockStep;
 using faultshim::FaultPlan;
-using faultshim::FaultShare;
+using faultshim::FaultRule;
 using CallFault = faultshim::Fault;
 using FaultKind = FaultEvent::Kind;
 
@@ -144,11 +144,11 @@
     FaultPlan plan;
     const auto share = [&](double wanted, CallFault fault, double least, double most, Micros until = 0) {
       if (!chance(wanted)) return;
-      FaultShare one;
+      FaultRule one;
       one.fault = fault;
-      one.share = between(least, most);
+      one.probability = between(least, most);
       one.until = until;
-      plan.shares.push_back(one);
+      plan.rules.push_back(one);
     };
     share(0.5, CallFault::ShortRead, 0.002, 0.1);
     share(0.4, CallFault::ShortWrite, 0.002, 0.1);
--- a/tests/idle_clients_test.cpp
+++ b/tests/idle_clients_test.cpp
@@ -97,7 +97,7 @@
   for (int round = 0; round < 5; ++round) {
     EXPECT_EQ(rig.served(active), kActiveClients) << "round " << round;
     EXPECT_LE(descriptorsOf(rig.process->pid()), kSockets);
-    if (kResidentIsOwn) {
+    if (kResidentMemoryIsReliable) {
       EXPECT_LT(residentOf(rig.process->pid()), kMemoryMb * 1'000'000);
     }
   }
@@ -105,7 +105,7 @@
   // Discovery is back, with another primary: the gateway receives the list and connects to the new primary.
   rig.first.primary = false;
   rig.second.primary = true;
-  rig.discovery.endpoints = rig.discovery.news = IdleClientsRig::listOf({&rig.first, &rig.second});
+  rig.discovery.endpoints = rig.discovery.changes = IdleClientsRig::listOf({&rig.first, &rig.second});
   ++rig.discovery.revision;
   rig.first.answer = [&](Line& line, const std::string&) { line.say(rig.first.error("25006")); };
   rig.discovery.reopen();
