--- a/tests/announced_drain_test.cpp
+++ b/tests/announced_drain_test.cpp
@@ -278,7 +278,7 @@
 
 // A gateway has at most three connections to a service that never answers, and makes each next call in time
 // for an answer.
-TEST(OverdueCalls, AreThreeAtMostWithTheNewest) {
+TEST(OverdueCalls, AreAtMostThreeIncludingTheNewest) {
   GatewayRig rig(byHand(kMaxPollIntervalMs), 2);
   rig.discovery.silent = true;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.calls.size() >= 8; }));
--- a/tests/bolt_gateway_test.cpp
+++ b/tests/bolt_gateway_test.cpp
@@ -83,7 +83,7 @@
   EXPECT_EQ(other.read(), "") << "no bytes that it could take for an answer";
 }
 
-TEST(BoltSessions, AskForRoutesAndTelemetryAndLogOffAndOn) {
+TEST(BoltSessions, SupportRouteTelemetryLogoffAndLogon) {
   BoltRig rig;
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::message(bolt::kTelemetry, {bolt::integer(1)}) +
@@ -102,7 +102,7 @@
   EXPECT_TRUE(client.gone());
 }
 
-TEST(BoltRequests, ThatAreNotPlainlyReadsAreWritesOfTheDefaultClass) {
+TEST(BoltRequests, WithoutReadModeAreWritesOfTheDefaultClass) {
   BoltRig rig;
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   for (int i = 0; i < 6; ++i) client.say(bolt::run("RETURN 1") + bolt::pull());
@@ -119,7 +119,7 @@
   EXPECT_EQ(rig.statements().size(), 12U);
 }
 
-TEST(BoltRequests, GoOnWithTheTimeThatIsLeftAndTheirOwnBookmarks) {
+TEST(BoltRequests, AreForwardedWithTheRemainingTimeAndTheEndpointsOwnBookmark) {
   BoltRig rig(1);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("CREATE", write("w1")) + bolt::pull());
@@ -268,7 +268,7 @@
   EXPECT_EQ(client.value(1), "from " + rig.endpoints[1]->address());
 }
 
-TEST(BoltFailover, AnOpenTransactionEndsAndIsNotMoved) {
+TEST(BoltFailover, AnOpenTransactionFailsAndIsNotMoved) {
   BoltRig rig;
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("t1")) + bolt::run("first") + bolt::pull());
@@ -290,8 +290,8 @@
   EXPECT_EQ(rig.counters().requestsServed + rig.counters().requestsRejected, 2U) << "one final answer each";
 }
 
-// The primary goes down after reading a certain message, without a reply to it.
-class BoltDies : public testing::Test {
+// The primary closes its connection when it reads a certain message, without a reply to it.
+class BoltConnectionLoss : public testing::Test {
  protected:
   void dieOn(unsigned char tag) {
     rig.endpoints[0]->script = [this, tag](Line& line, const bolt::Message& message) {
@@ -302,7 +302,7 @@
   BoltRig rig;
 };
 
-TEST_F(BoltDies, BetweenRunAndItsReplyAWriteMayHaveRun) {
+TEST_F(BoltConnectionLoss, BetweenRunAndItsReplyAWriteMayHaveRun) {
   dieOn(bolt::kRun);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("CREATE", write("a")));
@@ -315,7 +315,7 @@
   EXPECT_EQ(rig.counters().requestsFailed, 1U);
 }
 
-TEST_F(BoltDies, BetweenRunAndItsReplyATransactionHadNoEffect) {
+TEST_F(BoltConnectionLoss, BetweenRunAndItsReplyATransactionHadNoEffect) {
   dieOn(bolt::kRun);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")));
@@ -327,7 +327,7 @@
   EXPECT_EQ(rig.tagsInAll(bolt::kBegin), 1U);
 }
 
-TEST_F(BoltDies, BetweenPullAndTheSummaryAWriteMayHaveRun) {
+TEST_F(BoltConnectionLoss, BetweenPullAndTheSummaryAWriteMayHaveRun) {
   rig.endpoints[0]->script = [&](Line& line, const bolt::Message& message) {
     if (message.tag == bolt::kRun && message.fields[0].text == "CREATE") {
       line.say(bolt::success({{"fields", bolt::list({bolt::text("n")})}}));
@@ -350,7 +350,7 @@
 
 // Once a part of a read's result was passed on, no other endpoint can continue it, but the client may safely
 // retry.
-TEST_F(BoltDies, BetweenPullAndTheSummaryAReadMayBeAskedAgain) {
+TEST_F(BoltConnectionLoss, BetweenPullAndTheSummaryTheClientMayRetryARead) {
   for (auto& endpoint : rig.endpoints) {
     endpoint->script = [&](Line& line, const bolt::Message& message) {
       if (message.tag == bolt::kRun && message.fields[0].text == "MATCH") {
@@ -372,7 +372,7 @@
   EXPECT_EQ(rig.counters().attemptsWritten, 1U);
 }
 
-TEST_F(BoltDies, AfterCommitWasWrittenTheEffectMayHaveHappened) {
+TEST_F(BoltConnectionLoss, AfterCommitWasWrittenTheTransactionMayHaveHadItsEffect) {
   dieOn(bolt::kCommit);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull());
@@ -385,7 +385,7 @@
   EXPECT_EQ(rig.tagsInAll(bolt::kBegin), 1U);
 }
 
-TEST_F(BoltDies, AllAtOnceWithTheCommitTheEffectMayHaveHappenedToo) {
+TEST_F(BoltConnectionLoss, APipelinedTransactionWithItsCommitMayHaveHadItsEffect) {
   dieOn(bolt::kCommit);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a")) + bolt::run("CREATE") + bolt::pull() + bolt::plain(bolt::kCommit));
@@ -394,7 +394,7 @@
   EXPECT_EQ(rig.tagsInAll(bolt::kCommit), 1U);
 }
 
-TEST(BoltTransactions, ATimeOutBehindTheCommitMayHaveHadItsEffect) {
+TEST(BoltTransactions, ACommitThatTimesOutMayHaveHadItsEffect) {
   BoltRig rig(1);
   rig.endpoints[0]->script = [](Line&, const bolt::Message& message) { return message.tag == bolt::kCommit; };
   BoltClientStandIn client(rig.loop, rig.socketAddress);
@@ -406,9 +406,9 @@
   EXPECT_EQ(rig.outcomes(AttemptOutcome::TimedOut), 1U);
 }
 
-// A client that is idle beyond its timeout gets the error with its next message, and the endpoint is not
-// blamed.
-TEST(BoltTransactions, WhoseClientLetsItsTimeGoByEndWithItsNextMessage) {
+// A client that is idle beyond its timeout gets the error with its next message, and no timeout is
+// counted against the endpoint.
+TEST(BoltTransactions, TheTimeoutOfAnIdleClientIsReportedWithItsNextMessage) {
   BoltRig rig(1);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::begin(write("a", 300)));
@@ -449,7 +449,7 @@
   EXPECT_EQ(rig.tagsAt(0, bolt::kCommit), 1U);
 }
 
-TEST(BoltDrains, ATransactionWhoseDrainingEndpointShutsDownHasOneAnswer) {
+TEST(BoltDrains, ATransactionWhoseDrainingEndpointShutsDownGetsOneFinalAnswer) {
   BoltRig rig;
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   BoltClientStandIn client(rig.loop, rig.socketAddress);
@@ -495,7 +495,7 @@
   BoltRig rig;
 };
 
-TEST_F(BoltStreams, AResetOvertakesAStreamingResult) {
+TEST_F(BoltStreams, AResetCancelsAStreamingResult) {
   streams(100, 10'000, false);
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   client.say(bolt::run("MATCH", read("a")) + bolt::pull());
@@ -590,7 +590,7 @@
   BoltRig rig;
 };
 
-TEST_F(BoltBadClients, AreToldAndLetGo) {
+TEST_F(BoltBadClients, GetAFailureAndAreDisconnected) {
   std::string endless;
   while (endless.size() < 200'000) endless += std::string("\x10\x00", 2) + std::string(4096, 'x');
   fatal("chunks that never end", endless);
@@ -633,7 +633,7 @@
   }));
 }
 
-TEST_F(BoltBadClients, WhoseRequestCanNotBeReadKeepTheirConnection) {
+TEST_F(BoltBadClients, KeepTheirConnectionAfterInvalidRequestMetadata) {
   BoltClientStandIn client(rig.loop, rig.socketAddress);
   const auto metadata = [](const bolt::Entries& entries) {
     return bolt::Entries{{"mode", bolt::text("r")}, {"tx_metadata", bolt::map(entries)}};
@@ -666,7 +666,7 @@
   EXPECT_EQ(rig.counters().requestsMalformed, bad.size());
 }
 
-TEST_F(BoltBadClients, ThatFallSilentHalfwayAreToldOrClosed) {
+TEST_F(BoltBadClients, ThatSendNoCompleteMessageInTimeAreDisconnected) {
   PlainSocket begun(rig.loop, rig.socketAddress);
   ASSERT_TRUE(begun.send(bolt::handshake().substr(0, 11)));
   PlainSocket silent(rig.loop, rig.socketAddress);
@@ -689,7 +689,7 @@
 }
 
 // A client that has logged on may stay idle, as connection pools do.
-TEST(BoltSessions, ThatHaveLoggedOnMayRest) {
+TEST(BoltSessions, MayBeIdleAfterLogon) {
   BoltRig rig;
   BoltClientStandIn pooled(rig.loop, rig.socketAddress);
   PlainSocket silent(rig.loop, rig.socketAddress);
@@ -715,7 +715,7 @@
   GatewayRig rig{options()};
 };
 
-TEST_F(BothProtocols, CountWhatIsInFlightAsOne) {
+TEST_F(BothProtocols, ShareOneCountOfRequestsInFlight) {
   std::vector<Line*> held;
   const auto hold = [&](Line& line, const std::string&) { held.push_back(&line); };
   for (auto& endpoint : rig.endpoints) endpoint->answer = hold;
@@ -734,8 +734,8 @@
   EXPECT_GE(rig.endpoints[1]->statements.size() + rig.endpoints[2]->statements.size(), 4U);
 }
 
-// A cold endpoint has one request budget, shared by all protocols.
-TEST_F(BothProtocols, ShareOneBudgetForAColdEndpoint) {
+// An endpoint in slow start has one request budget, shared by all protocols.
+TEST_F(BothProtocols, ShareOneBudgetForAnEndpointInSlowStart) {
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
   const auto now = std::chrono::duration_cast<std::chrono::milliseconds>(
                        std::chrono::system_clock::now().time_since_epoch())
@@ -745,7 +745,7 @@
   cold.replace(cold.find(launched), launched.size() + 1, launched + std::to_string(now));
   rig.discovery.tell("[" + cold + "]");
   ASSERT_TRUE(rig.until([&] { return rig.discovery.waiting != nullptr; }));
-  // The budget is a share of what warm endpoints answer.
+  // The budget is a share of what endpoints at full capacity answer.
   ClientStandIn first(rig.loop, rig.socketAddress);
   for (std::size_t i = 0; i < 10; ++i) {
     first.ask(request("save", "w" + std::to_string(i)));
@@ -763,8 +763,8 @@
     clients.back()->ask(request("any", std::to_string(i)));
   }
   ASSERT_TRUE(rig.until([&] { return rig.counters().requestsAccepted == 34 && held >= 8; }));
-  // A warm endpoint would get as many as the other; a cold one gets a fifth of what warm ones answer, counted
-  // over both protocols.
+  // At full capacity it would get as many requests as the other replica; in slow start it gets a fifth of
+  // what endpoints at full capacity answer, counted over both protocols.
   EXPECT_LE(asked(2) - before, 3U);
   EXPECT_GE(asked(1), 5U);
   EXPECT_GT(rig.endpoints[1]->statements.size(), 0U);
@@ -773,7 +773,7 @@
 
 // A session may continue at another gateway, so a commit position ahead of the gateway's clock is passed on
 // as the endpoint reported it.
-TEST_F(BothProtocols, ABookmarkKeepsACommitAheadOfTheGatewaysClock) {
+TEST_F(BothProtocols, ABookmarkKeepsAPositionAheadOfTheGatewaysClock) {
   const auto ahead = std::chrono::duration_cast<std::chrono::milliseconds>(
                          std::chrono::system_clock::now().time_since_epoch())
                          .count() +
@@ -827,7 +827,7 @@
   EXPECT_EQ(foreign.value(), "w") << "the primary";
 }
 
-TEST_F(BothProtocols, AFamilyThatDoesNotSpeakAProtocolIsNotServedInIt) {
+TEST_F(BothProtocols, AFamilyIsNotServedInAProtocolThatItDoesNotSupport) {
   GatewayRig only(boltOnly());
   ClientStandIn rows(only.loop, Place(*only.gateway->boundTo(0)));
   rows.ask(request("any", "1"));
--- a/tests/bolt_states_test.cpp
+++ b/tests/bolt_states_test.cpp
@@ -51,7 +51,7 @@
 
 const std::string kFields = peer::success({{"fields", peer::list({peer::text("n")})}});
 
-TEST(BoltEndpoint, LogsOnAsTheVersionWantsIt) {
+TEST(BoltEndpoint, TheLoginFollowsTheNegotiatedVersion) {
   for (unsigned minor = 0; minor <= 4; ++minor) {
     BoltLogin login;
     login.principal = "driver";
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(BoltEndpoint, ThatTurnsTheLoginDownOrSpeaksAnotherVersionIsNotUsed) {
+TEST(BoltEndpoint, RejectedLoginsAndUnsupportedVersionsAreDetected) {
   Endpoint endpoint;
   BoltClient rejected(endpoint.login);
   transport::Buffer out(4096);
@@ -91,7 +91,7 @@
   }
 }
 
-TEST(BoltEndpoint, AnAnswerIsWholeWithItsSummaryHoweverItIsSplit) {
+TEST(BoltEndpoint, AnAnswerIsCompleteWithItsSummaryHoweverItIsSplit) {
   const std::string whole = kFields + peer::noOp() + peer::record({peer::integer(1)}) +
                             peer::success({{"wal_time", peer::integer(1767225600123)},
                                            {"mode", peer::text("read-write")},
@@ -114,7 +114,7 @@
   }
 }
 
-TEST(BoltEndpoint, TellsFromWhichByteOnAnEffectMayStay) {
+TEST(BoltEndpoint, TheByteAfterWhichARequestMayRunOrPersistIsKnown) {
   Endpoint endpoint;
   ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
   EXPECT_EQ(endpoint.client.mayRunAfter(), peer::run("1").size());
@@ -127,7 +127,7 @@
   EXPECT_EQ(open.client.mayPersistAfter(), open.out.size()) << "with the last byte of COMMIT";
 }
 
-TEST(BoltEndpoint, OpenTransactionsAnswerInPartsAndEndWithTheirCommit) {
+TEST(BoltEndpoint, OpenTransactionsAreAnsweredInPartsAndEndWithTheirCommit) {
   Endpoint endpoint;
   ASSERT_TRUE(endpoint.client.writeRequest(peer::begin(), {}, 500, endpoint.out));
   EXPECT_EQ(endpoint.feed(peer::success()), Event::Part);
@@ -144,7 +144,7 @@
   EXPECT_TRUE(endpoint.client.usable());
 }
 
-TEST(BoltEndpoint, IsSetRightByAResetWhenARequestEndedBadly) {
+TEST(BoltEndpoint, IsUsableAgainAfterAFailureAndAReset) {
   Endpoint endpoint;
   ASSERT_TRUE(endpoint.client.writeRequest(peer::run("1") + peer::pull(), {}, 500, endpoint.out));
   EXPECT_EQ(endpoint.feed(peer::failure("Neo.ClientError.Statement.SyntaxError")), Event::NeedMore);
@@ -160,7 +160,7 @@
 }
 
 // Each status code of an endpoint maps to one kind of answer.
-TEST(BoltEndpoint, CodesSayWhatHasRun) {
+TEST(BoltEndpoint, StatusCodesDetermineTheAnswerAndWhetherItWasRolledBack) {
   struct Case {
     const char* code;
     Answer::Kind kind;
@@ -195,7 +195,7 @@
   }
 }
 
-TEST(BoltEndpoint, WhatMakesNoSenseBreaksTheConnection) {
+TEST(BoltEndpoint, InvalidMessagesBreakTheConnection) {
   const std::string value = peer::record({peer::integer(1)});
   for (const std::string& bytes :
        {value, kFields + value + peer::success() + peer::success(), kFields + peer::ignored(),
@@ -320,7 +320,7 @@
 
 // A client that pipelines without end must not fill the gateway's memory: the number of unanswered messages
 // of one request is limited.
-TEST(BoltServerStates, BoundWhatIsPipelinedIntoOneRequest) {
+TEST(BoltServerStates, LimitTheUnansweredMessagesOfOneRequest) {
   Client client;
   std::string bytes = peer::handshake() + peer::hello() + peer::logon() + peer::begin();
   for (int i = 0; i < 1000; ++i) bytes += peer::run("x") + peer::pull();
--- a/tests/disconnected_client_test.cpp
+++ b/tests/disconnected_client_test.cpp
@@ -84,7 +84,7 @@
 
 // The primary rejects the request, and the client disconnects before the retry. The same run with a client
 // that stays shows that there is a retry otherwise.
-TEST_P(DisconnectedClient, WhoseRequestWaitsForARetryGetsNone) {
+TEST_P(DisconnectedClient, WhoseRequestWaitsForARetryIsNotRetried) {
   for (const bool disconnects : {false, true}) {
     Rig rig(options(), 1);
     rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->error("53300")); });
@@ -194,7 +194,7 @@
   EXPECT_EQ(rig.sent("two"), 1U);
 }
 
-TEST_F(CancelledRequest, ThatWaitsForARetryGetsNone) {
+TEST_F(CancelledRequest, ThatWaitsForARetryIsNotRetried) {
   Rig rig(options(), 1);
   rig.answerAll([&](Line& line, const std::string&) { line.say(rig.endpoints[0]->error("53300")); });
   BoltClientStandIn client(rig.loop, rig.socketAddress);
--- a/tests/documents_test.cpp
+++ b/tests/documents_test.cpp
@@ -95,7 +95,7 @@
   EXPECT_FALSE(reportField("", "util"));
 }
 
-TEST(LoadReports, NumbersHaveAPrecision) {
+TEST(LoadReports, DecimalNumbersAreReadWithTheirPrecision) {
   const auto position = parseDecimal("1796140432.211");
   ASSERT_TRUE(position);
   EXPECT_EQ(position->micros, 1'796'140'432'211'000);
--- a/tests/endpoint_rules_test.cpp
+++ b/tests/endpoint_rules_test.cpp
@@ -101,7 +101,7 @@
 
 // Guards against sending a request on an idle connection that the endpoint has closed or sent unexpected
 // bytes on.
-TEST_P(EndpointsRule, ThatCloseAnIdleConnectionCostNoRequest) {
+TEST_P(EndpointsRule, ClosedIdleConnectionsAndUnsolicitedBytesCostNoRequest) {
   GatewayRig rig;
   ClientStandIn client(rig.loop, rig.socketAddress);
   client.ask(request("save", "1"));
--- a/tests/idle_clients_test.cpp
+++ b/tests/idle_clients_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kActiveClients = 8;
 constexpr std::size_t kMemoryMb = 32;
 
-// What a client sends before it is idle.
+// The bytes that a client sends before it becomes idle.
 enum class Idle { Silent, Introduced, SentOneRequest, IncompleteMessage };
 
 // The program with a group of one primary, and a second endpoint that is listed later.
--- a/tests/installation_test.cpp
+++ b/tests/installation_test.cpp
@@ -1,5 +1,5 @@
-// The settings of an installation: what is read, and what is rejected with file, line, element and the
-// expected value.
+// Reading the settings of an installation: the values, and the problems, each reported with file, line,
+// element and the expected value.
 #include "installation/installation.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   return out;
 }
 
-TEST(InstallationSettings, AreReadWhole) {
+TEST(InstallationSettings, AreReadInFull) {
   std::vector<Problem> problems;
   const auto read = parse("site.xml", file(R"(
     <node file="/run/node.json"/>
@@ -138,7 +138,7 @@
   }
 }
 
-TEST(InstallationSettings, TellAllThatIsWrongInOneGo) {
+TEST(InstallationSettings, ReportAllProblemsAtOnce) {
   const std::string found =
       problemsOf(file("<log form=\"xml\"/>\n<listeners>\n"
                       "<listener name=\"a\" address=\"nowhere\" protocol=\"bolt\"/>\n"
@@ -149,7 +149,7 @@
   }
 }
 
-TEST(InstallationSettings, ThatAreShippedAreGood) {
+TEST(InstallationSettings, TheShippedFileIsValidAndAMissingFileIsReported) {
   std::vector<Problem> problems;
   const auto read = load(HEATHFLOW_SOURCE "/deploy/heathflow.xml", problems);
   EXPECT_TRUE(read) << (problems.empty() ? "" : toText(problems[0]));
@@ -159,7 +159,7 @@
   EXPECT_NE(toText(problems[0]).find("can't be opened"), std::string::npos);
 }
 
-TEST(InstallationSettings, AreCheckedAgainstTheClassesThereAre) {
+TEST(InstallationSettings, ThatNameAnUnknownClassAreReported) {
   std::vector<Problem> problems;
   const auto read =
       parse("site.xml",
@@ -173,7 +173,7 @@
             "site.xml:2: element 'listener': there is no class 'store': one of view, save is expected");
 }
 
-TEST(InstallationSecrets, AreTheirOwnersAlone) {
+TEST(InstallationSecrets, MustNotBeAccessibleToOthers) {
   const std::string path =
       (std::filesystem::temp_directory_path() / ("heathflow-secret-" + std::to_string(::getpid()))).string();
   std::ofstream(path) << "hush\n";
--- a/tests/launch_times_test.cpp
+++ b/tests/launch_times_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_EQ(startAfterList(times, kStart + 30 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
 }
 
-// Guards against an endpoint that is treated as warm after a restart because its clock was set.
+// Guards against an endpoint that is not put into slow start after a restart because its clock was set.
 TEST(LaunchTimes, OfARestartedEndpointAreBoundedByObservation) {
   for (const Micros step : {-kHour, -10 * kSecond, kSecond, 10 * kSecond, kHour}) {
     LaunchTimes times;
@@ -55,7 +55,7 @@
 }
 
 // An endpoint that was missing from a list for a while has not restarted.
-TEST(LaunchTimes, StayWithinAnIncarnation) {
+TEST(LaunchTimes, StayTheSameWithinAnIncarnation) {
   LaunchTimes times;
   const Micros launched = startAfterList(times, kStart, kStart - 20 * kSecond);
   times.beginList(kStart + kSecond, true);  // without it
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -204,7 +204,7 @@
   EXPECT_EQ(one.state(), State::Alive);
 }
 
-TEST(StateUpdates, AnEndThatArrivesFirstKeepsItsIncarnationOut) {
+TEST(StateUpdates, AFailureIsNotOverriddenByALaterAliveUpdateOfItsIncarnation) {
   SingleDetector one;
   one.receive(State::Failed, 5);
   one.receive(State::Alive, 5, 3);
--- a/tests/notifications_test.cpp
+++ b/tests/notifications_test.cpp
@@ -31,19 +31,19 @@
 };
 constexpr Micros kAlways = 1000 * kS;
 
-TEST(Notified, OfNoChangeTheEndpointIsReady) {
+TEST(Notified, WithoutAChangeTheEndpointStaysReady) {
   NotificationTest test;
   test.expectNotReadyWithin(kAlways, kAlways);
 }
 
-TEST(Notified, ByAnAnswerThatIsWritten) {
+TEST(Notified, ByAnAnswerWrittenAfterTheChange) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Draining, 2 * kS);
   test.model.answerWritten("n0", 3 * kS);
   test.expectNotReadyWithin(3 * kS, kAlways);
 }
 
-TEST(Notified, ByNoAnswerThatWasWrittenBefore) {
+TEST(Notified, ByNoAnswerWrittenBeforeTheChange) {
   NotificationTest test;
   test.model.answerWritten("n0", 2 * kS);
   test.model.endpointChanged("m1", ListedState::Draining, 3 * kS);
@@ -51,7 +51,7 @@
 }
 
 // Whether calls fail, are rejected, are given up or were never made makes no difference.
-TEST(Notified, SixSecondsLaterAtTheLatestOfDrainsAndRemovalsAlike) {
+TEST(Notified, OfDrainsAndRemovalsSixSecondsLaterAtTheLatest) {
   for (const ListedState state : {ListedState::Draining, ListedState::Gone}) {
     NotificationTest test;
     test.model.endpointChanged("m1", state, 2 * kS);
@@ -97,7 +97,7 @@
   test.expectNotReadyWithin(22 * kS, kAlways);
 }
 
-TEST(Notified, ByAWatchOverACutPathAtOnceOfLaterChanges) {
+TEST(Notified, AtOnceOfAChangeLongAfterTheWatchWasCut) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Draining, 12 * kS);
   test.model.answerWrittenIntoCutPath("n0", 12 * kS, {3 * kS, kAlways, {}});
@@ -111,7 +111,7 @@
   test.expectNotReadyWithin(7 * kS, kAlways);
 }
 
-TEST(Notified, OfAChangeAfterAMoveByTheGeneralTerm) {
+TEST(Notified, OfAChangeAfterAMoveSixSecondsLater) {
   NotificationTest test;
   test.model.serviceMoved("n0", 2 * kS);
   test.model.endpointChanged("m1", ListedState::Draining, 3 * kS);
@@ -126,7 +126,7 @@
   test.expectNotReadyWithin(3 * kS, kAlways);
 }
 
-TEST(Notified, AtTheServicesReturnWhereListsArePushed) {
+TEST(Notified, WhenTheServiceIsBackWhereListsArePushed) {
   NotificationTest test;
   test.model = Notifications({.pushed = true});
   test.model.gatewayStarted("n0", 0);
@@ -147,8 +147,8 @@
   test.expectNotReadyWithin(3 * kS, 6 * kS);
 }
 
-// The endpoint is ready again, but no answer has told the gateway so.
-TEST(NotifiedOfAReturn, ByTheSameTermsAsOfTheRemoval) {
+// The endpoint is ready again, but no answer has reported that to the gateway.
+TEST(NotifiedOfAReturn, SixSecondsLaterAsOfTheRemoval) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Gone, 2 * kS);
   test.model.endpointChanged("m1", ListedState::Ready, 5 * kS);
@@ -192,14 +192,14 @@
   test.expectNotReadyWithin(2 * kS, 7 * kS);
 }
 
-TEST(Notified, ByAnAnswerOverACutPathNoEarlierThanTheTerm) {
+TEST(Notified, ByAnAnswerOverACutPathNoEarlierThanSixSecondsAfterTheCut) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Gone, 5 * kS);
   test.model.answerWrittenIntoCutPath("n0", 5 * kS, {4 * kS, 7 * kS, {}});
   test.expectNotReadyWithin(10 * kS, kAlways);
 }
 
-TEST(NotifiedOfAReturn, AndOfASecondDrainCountsAnew) {
+TEST(NotifiedOfAReturn, AndOfASecondDrainSixSecondsLater) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Draining, 2 * kS);
   test.model.answerWritten("n0", 2 * kS);
@@ -211,7 +211,7 @@
   EXPECT_EQ(test.at(17 * kS), 16 * kS);
 }
 
-TEST(NotifiedOfARemoval, AfterADrainCountsFromTheDrain) {
+TEST(NotifiedOfARemoval, AfterADrainByTheNextAnswer) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Draining, 2 * kS);
   test.model.endpointChanged("m1", ListedState::Gone, 4 * kS);
@@ -260,7 +260,7 @@
   EXPECT_FALSE(test.at(11 * kS));
 }
 
-TEST(NotifiedByMoves, TheEarlierOfTwoHolds) {
+TEST(NotifiedByMoves, TheEarlierOfTwoMovesCounts) {
   NotificationTest test;
   test.model.endpointChanged("m1", ListedState::Draining, 2 * kS);
   test.model.serviceMoved("n0", 2500 * kMs);
@@ -268,7 +268,7 @@
   test.expectNotReadyWithin(6500 * kMs, kAlways);
 }
 
-TEST(Notified, EachGatewayForItself) {
+TEST(Notified, EachGatewaySeparately) {
   NotificationTest test;
   test.model.gatewayStarted("n1", -100 * kS);
   test.model.endpointChanged("m1", ListedState::Draining, 2 * kS);
--- a/tests/packstream_test.cpp
+++ b/tests/packstream_test.cpp
@@ -37,7 +37,7 @@
   }
 }
 
-TEST(PackStreamValues, OfEveryMarkerArePassedBy) {
+TEST(PackStreamValues, OfEveryMarkerAreCheckedAndSkipped) {
   const std::vector<std::string> values = {
       peer::null(), peer::boolean(true), peer::boolean(false), peer::real(-1.5), peer::integer(70'000),
       peer::text(""), peer::text(std::string(15, 'a')), peer::text(std::string(16, 'a')),
@@ -68,7 +68,7 @@
   EXPECT_TRUE(reader.atEnd());
 }
 
-TEST(PackStreamFlaws, AreNamed) {
+TEST(PackStreamFlaws, AreReportedByKind) {
   const auto nested = [](unsigned depth) { return std::string(depth, '\x91') + "\x01"; };
   EXPECT_EQ(packstream::check(nested(packstream::kMaxDepth)), DecodeError::None);
   EXPECT_EQ(packstream::check(nested(packstream::kMaxDepth + 1)), DecodeError::TooDeep);
@@ -88,7 +88,7 @@
   }
 }
 
-TEST(PackStreamTexts, AreUtf8) {
+TEST(PackStreamTexts, MustBeValidUtf8) {
   for (const char* good : {"", "plain", "\xC2\x80", "\xDF\xBF", "\xE0\xA0\x80", "\xED\x9F\xBF",
                            "\xEF\xBF\xBF", "\xF0\x90\x80\x80", "\xF4\x8F\xBF\xBF", "twelve bytes\xC3\xA9"}) {
     EXPECT_TRUE(packstream::isUtf8(good)) << good;
@@ -100,7 +100,7 @@
   }
 }
 
-TEST(BoltChunks, AreCutTheSameHoweverTheyCome) {
+TEST(BoltChunks, FormTheSameMessageWhateverTheirSize) {
   const std::string payload =
       peer::structure(0x10, {peer::text(std::string(500, 's')), peer::map({}), peer::map({})});
   for (const std::size_t chunk : {1U, 7U, 100U, 65535U}) {
@@ -120,7 +120,7 @@
   }
 }
 
-TEST(BoltChunks, ThatAreTooLongAreJudgedByTheirHeads) {
+TEST(BoltChunks, ThatAreTooLongAreRejectedByTheirHeader) {
   bolt::ChunkScan scan;
   EXPECT_EQ(bolt::readFrame("\xFF\xFF", 1000, scan).kind, bolt::Frame::Kind::TooLong);
   bolt::ChunkScan fresh;
@@ -128,7 +128,7 @@
   EXPECT_EQ(bolt::readFrame(bytes, 1000, fresh).kind, bolt::Frame::Kind::TooLong);
 }
 
-TEST(BoltHandshakes, ChooseTheFirstProposalThatHasAVersion) {
+TEST(BoltHandshakes, ChooseTheFirstProposalWithASupportedVersion) {
   const auto proposals = [](std::vector<std::array<unsigned char, 4>> all) {
     std::string out;
     all.resize(4);
--- a/tests/pg_client_test.cpp
+++ b/tests/pg_client_test.cpp
@@ -55,7 +55,7 @@
   }
 }
 
-TEST(PgClientStart, TellsThatItWasTurnedDown) {
+TEST(PgClientStart, ReportsARejectedStartup) {
   Endpoint endpoint;
   EXPECT_EQ(endpoint.feed(pg::error("53300", "FATAL")), Event::Rejected);
   EXPECT_EQ(endpoint.of(endpoint.client.answer().code), "53300");
@@ -91,7 +91,7 @@
   }
 }
 
-TEST(PgClientAnswers, OneConnectionCarriesManyAndForgetsTheOneBefore) {
+TEST(PgClientAnswers, FieldsOfTheAnswerBeforeAreNotKept) {
   Endpoint endpoint;
   endpoint.ask();
   ASSERT_EQ(endpoint.feed(pg::row("one") + pg::parameter("mode", "read-only") +
@@ -107,7 +107,7 @@
   EXPECT_TRUE(endpoint.of(endpoint.client.answer().report).empty());
 }
 
-TEST(PgClientAnswers, AnErrorTellsItsCode) {
+TEST(PgClientAnswers, AnErrorIsReadWithItsCode) {
   Endpoint endpoint;
   endpoint.ask();
   EXPECT_EQ(endpoint.feed(pg::error("25006") + pg::parameter("mode", "read-only")), Event::NeedMore);
@@ -117,14 +117,14 @@
   EXPECT_EQ(endpoint.client.answer().primary, false);
 }
 
-TEST(PgClientAnswers, AFatalErrorIsWholeAtOnceAndEndsTheConnection) {
+TEST(PgClientAnswers, AFatalErrorIsCompleteAtOnceAndEndsTheConnection) {
   Endpoint endpoint;
   endpoint.ask();
   EXPECT_EQ(endpoint.feed(pg::error("XX000", "FATAL")), Event::Answered);
   EXPECT_FALSE(endpoint.client.usable());
 }
 
-TEST(PgClientAnswers, AreWholeAtTheEndOnceNothingCanChangeThem) {
+TEST(PgClientAnswers, AreCompleteAtACloseOnceTheCommandIsComplete) {
   Endpoint endpoint;
   endpoint.ask();
   EXPECT_FALSE(endpoint.client.completeAtClose());
@@ -145,7 +145,7 @@
   EXPECT_FALSE(endpoint.client.usable());
 }
 
-TEST(PgClientAnswers, WithoutAValueAreNoRow) {
+TEST(PgClientAnswers, WithoutARowAreEmpty) {
   Endpoint endpoint;
   endpoint.ask();
   EXPECT_EQ(endpoint.feed(pg::complete("SELECT 0") + pg::ready()), Event::Answered);
@@ -153,14 +153,14 @@
 }
 
 // Unsolicited bytes must not be taken for the answer to the next request.
-TEST(PgClientAnswers, BytesThatNobodyAskedForBreakTheConnection) {
+TEST(PgClientAnswers, UnsolicitedBytesBreakTheConnection) {
   Endpoint endpoint;
   EXPECT_EQ(endpoint.feed(pg::welcome()), Event::Ready);
   endpoint.consume();
   EXPECT_EQ(endpoint.feed(pg::row("stray")), Event::Broken);
 }
 
-TEST(PgClientAnswers, OutOfOrderOrOfTheWrongShapeBreakTheConnection) {
+TEST(PgClientAnswers, OutOfOrderOrMalformedBreakTheConnection) {
   const std::string twoColumns = pg::message('T', pg::u16(2));
   const std::string wrongCount = pg::message('D', pg::u16(2) + pg::u32(0) + pg::u32(0));
   const std::string wrongSize = pg::message('D', pg::u16(1) + pg::u32(9) + "short");
@@ -176,7 +176,7 @@
   }
 }
 
-TEST(PgClientAnswers, PositionsThatAreNoNumbersAreSkipped) {
+TEST(PgClientAnswers, InvalidPositionsAreIgnored) {
   for (const char* value : {"", "soon", "12x", "-5", "99999999999999999999"}) {
     Endpoint endpoint;
     endpoint.ask();
--- a/tests/pg_server_test.cpp
+++ b/tests/pg_server_test.cpp
@@ -57,7 +57,7 @@
   }
 };
 
-TEST(PgServerStartup, WelcomesAnyUserAtOnce) {
+TEST(PgServerStartup, AcceptsAnyUserAtOnce) {
   Client client;
   client.feed(pg::startup());
   EXPECT_EQ(client.types().front(), 'R');
@@ -65,13 +65,13 @@
   EXPECT_TRUE(client.server.started());
 }
 
-TEST(PgServerStartup, TakesAQueryRightBehindIt) {
+TEST(PgServerStartup, AcceptsAQueryPipelinedBehindIt) {
   Client client;
   client.feed(pg::startup() + pg::query("SELECT 1"));
   EXPECT_EQ(client.statements, std::vector<std::string>{"SELECT 1"});
 }
 
-TEST(PgServerStartup, DeclinesEncryptionAndGoesOn) {
+TEST(PgServerStartup, DeclinesEncryptionAndContinues) {
   Client client;
   client.feed(pg::special(80877103) + pg::special(80877104));
   EXPECT_EQ(client.written(), "NN");
@@ -88,7 +88,7 @@
   EXPECT_TRUE(client.written().empty());
 }
 
-TEST(PgServerStartup, TurnsDownOtherVersionsAndNegotiatesMinorOnes) {
+TEST(PgServerStartup, RejectsOtherMajorVersionsAndNegotiatesMinorOnes) {
   Client old;
   old.feed(pg::startup(2 << 16));
   EXPECT_EQ(old.last, Kind::Fatal);
@@ -100,7 +100,7 @@
 }
 
 // A length is checked before its bytes are waited for; otherwise a client could make the gateway buffer them.
-TEST(PgServerStartup, TurnsDownLengthsOutOfRange) {
+TEST(PgServerStartup, RejectsLengthsOutOfRange) {
   for (const std::uint32_t length : {0U, 7U, 10'001U, 0x7FFFFFFFU, 0xFFFFFFFFU}) {
     Client client;
     client.feed(pg::u32(length));
@@ -109,7 +109,7 @@
   }
 }
 
-TEST(PgServerQueries, AnswersEmptyOnesItself) {
+TEST(PgServerQueries, ThatAreEmptyAreAnsweredByTheGateway) {
   for (const char* statement : {"", ";", "  ;\n"}) {
     Client client;
     client.start();
@@ -163,7 +163,7 @@
   EXPECT_EQ(client.statements.size(), 1U);
 }
 
-TEST(PgServerQueries, EndWhereTheStreamCanNotBeFollowed) {
+TEST(PgServerQueries, ThatAreMalformedEndTheConnection) {
   const std::vector<std::string> bad = {
       pg::message('?', "what"), "Q" + pg::u32(3),           "Q" + pg::u32(0xFFFFFFFF),
       "Q" + pg::u32(1 << 20),   pg::message('Q', "no end"), pg::message('Q', std::string("two\0ends\0", 9)),
--- a/tests/pipelining_test.cpp
+++ b/tests/pipelining_test.cpp
@@ -18,7 +18,7 @@
 constexpr long kShortTimeoutMs = 2'000;
 constexpr Micros kShortTimeout = kShortTimeoutMs * kMicrosPerMilli;
 constexpr Micros kHeadStart = 200 * kMicrosPerMilli;
-// A timer may fire this much late, but never early.
+// The longest delay of a timer. A timer never fires early.
 constexpr Micros kMaxTimerDelay = kMicrosPerMilli;
 
 // One client and one endpoint, which answers a request when the test says so.
--- a/tests/policy/advisory_removal_test.cpp
+++ b/tests/policy/advisory_removal_test.cpp
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(AdvisoryRemoval, AnEndpointNeverListedAsRunningGetsNothing) {
+TEST(AdvisoryRemoval, AnEndpointNeverListedAsRunningGetsNoRequests) {
   PolicyHarness harness(settingsWithAdvisoryRemoval());
   harness.updateEndpoints(
       {makeEndpoint(1, true), makeEndpoint(2), makeEndpoint(3, false, EndpointStatus::Removed)});
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -95,7 +95,7 @@
   const auto rejected = harness.sendRequest(kEventualRead);
   const EndpointId endpoint = harness.sentTo(rejected).at(0);
   harness.endAttempt(rejected, 0, AttemptOutcome::ConnectFailed, {}, {}, kMs);
-  EXPECT_TRUE(harness.actionsOf<CloseIdleConnections>().empty());  // it may be down: a health check tells
+  EXPECT_TRUE(harness.actionsOf<CloseIdleConnections>().empty());  // it may be down: a health check decides
   harness.healthCheckOk(endpoint, Role::Replica, harness.now - 100 * kMs);
   harness.endAttempt(harness.sendRequest(kUnsafeWrite), 0, AttemptOutcome::Ok, Role::Primary, harness.now);
   ASSERT_EQ(harness.actionsOf<CloseIdleConnections>().size(), 1U);
--- a/tests/policy/primary_tracker_test.cpp
+++ b/tests/policy/primary_tracker_test.cpp
@@ -130,7 +130,7 @@
   EXPECT_EQ(harness.sentTo(harness.sendRequest(kStrongRead)), Endpoints{});
 }
 
-TEST(PrimaryTracker, WhereHealthChecksAreForbiddenTheLastClaimStands) {
+TEST(PrimaryTracker, WhereHealthChecksAreForbiddenTheLastClaimIsKept) {
   PolicySettings settings = makeSettings();
   settings.healthChecksAllowed = false;
   PolicyHarnessWithKnownGroup harness(settings);
@@ -259,7 +259,7 @@
   }
 }
 
-TEST(PrimaryTracker, AClientRetryWaitsForThatHealthCheckToo) {
+TEST(PrimaryTracker, AClientRetryWaitsForThePrimarysHealthCheckToo) {
   PolicyHarnessWithKnownGroup harness;
   harness.advance(3100 * kMs);
   Request request;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -44,7 +44,7 @@
   EXPECT_GT(warm, 300);
 }
 
-TEST(SlowStart, AttemptsThatItRejectsCountToo) {
+TEST(SlowStart, RejectedAttemptsCountTowardsTheLimit) {
   PolicyHarnessWithKnownGroup harness;
   attemptsAtEndpoint3(harness, AttemptOutcome::Ok, 400);
   harness.now += 8 * kS;  // it was down for a while
--- a/tests/resource_shortage_test.cpp
+++ b/tests/resource_shortage_test.cpp
@@ -53,7 +53,7 @@
 }
 
 // Guards against a request that gets no answer while the shortage lasts.
-TEST(ResourceShortage, ThatLastsIsARejection) {
+TEST(ResourceShortage, ThatLastsRejectsTheRequest) {
   WarmGateway gateway;
   const InForce faults(planOf("socket=1"));
   gateway.client.ask(request("status", "a"));
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -16,7 +16,7 @@
 
 using test::until;
 
-TEST(BufferQueue, KeepsWhatIsNotConsumedInOrder) {
+TEST(BufferQueue, KeepsUnconsumedBytesInOrder) {
   Buffer buffer(64 * 1024);
   std::string expected;
   std::size_t next = 0;
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(BufferQueue, TakesNothingBeyondItsLimit) {
+TEST(BufferQueue, AcceptsNoBytesBeyondItsLimit) {
   Buffer buffer(100);
   EXPECT_TRUE(buffer.append(std::string(60, 'x')));
   EXPECT_FALSE(buffer.append(std::string(41, 'y')));
@@ -44,7 +44,7 @@
 }
 
 // Many connections that have each carried one large message must not keep its memory.
-TEST(BufferQueue, GivesBackWhatALargeMessageNeeded) {
+TEST(BufferQueue, FreesTheMemoryOfALargeMessage) {
   Buffer buffer(256 * 1024);
   ASSERT_TRUE(buffer.append(std::string(200 * 1024, 'x')));
   EXPECT_GE(buffer.capacity(), 200U * 1024);
@@ -53,7 +53,7 @@
 }
 
 // The buffers of all connections share one memory limit.
-TEST(BufferQueue, TakesWhatIsLargeFromTheBudgetAndGivesItBack) {
+TEST(BufferQueue, ChargesLargeBuffersToTheMemoryBudgetUntilTheyAreFreed) {
   MemoryBudget budget(100'000);
   {
     Buffer first(80'000, &budget);
@@ -85,7 +85,7 @@
   EXPECT_EQ(clock.reading(6000, 5'005'000), 5'005'000);
 }
 
-TEST(LoopTimers, RunInOrderAndNotOnceDisarmed) {
+TEST(LoopTimers, RunInOrderOfTimeUnlessDisarmed) {
   EventLoop loop;
   std::string ran;
   Timer second(loop, [&] { ran += 'b'; });
@@ -99,7 +99,7 @@
   EXPECT_EQ(ran, "ab");
 }
 
-TEST(LoopTimers, MayBeArmedAgainByTheirOwnAction) {
+TEST(LoopTimers, MayBeRearmedByTheirCallback) {
   EventLoop loop;
   int left = 3;
   Timer* self = nullptr;
@@ -160,7 +160,7 @@
   Peer b;
 };
 
-TEST(Streams, CarryMoreThanTheKernelHoldsAtOnce) {
+TEST(Streams, SendMoreThanTheSocketBuffersHold) {
   EventLoop loop;
   Pair pair(loop);
   std::string sent;
@@ -174,7 +174,7 @@
 }
 
 // With edge-triggered events, bytes left in the socket because the input was full cause no further event.
-TEST(Streams, ReadOnAfterAFullInputWasEmptied) {
+TEST(Streams, ContinueToReadOnceAFullInputIsConsumed) {
   EventLoop loop;
   Pair pair(loop, {2000, 1 << 20});
   pair.b.keep = true;
@@ -192,7 +192,7 @@
   EXPECT_EQ(got, sent.size());
 }
 
-TEST(Streams, TellWhatCameBeforeTheEndAndThenTheEnd) {
+TEST(Streams, DeliverInputBeforeTheClose) {
   EventLoop loop;
   Pair pair(loop);
   ASSERT_TRUE(pair.a.stream.output().append("last words"));
@@ -205,7 +205,7 @@
 }
 
 // Data after a full input must not be lost if the peer has already closed, orderly or with a reset.
-TEST(Streams, ReadAllThatCameBeforeTheEndHoweverSmallTheirInput) {
+TEST(Streams, DeliverInputBeforeTheCloseHoweverSmallTheirBuffer) {
   for (const StreamEnd how : {StreamEnd::Closed, StreamEnd::Failed}) {
     EventLoop loop;
     Pair pair(loop, {2000, 1 << 20});
@@ -224,7 +224,7 @@
 }
 
 // A peer that keeps sending must still get all output, and its data must not be reported.
-TEST(Streams, ThatLingerSendWhatIsWrittenAndDropWhatComes) {
+TEST(Streams, ThatLingerSendTheirOutputAndDiscardInput) {
   EventLoop loop;
   Pair pair(loop, {8 << 20, 8 << 20}, Over::Tcp);
   const std::string words(7'000'000, 'w');
@@ -244,7 +244,7 @@
   EXPECT_EQ(pair.a.outputFlushed, 0);
 }
 
-TEST(Streams, ThatLingerEndAtTheirBoundInTimeAndInBytes) {
+TEST(Streams, ThatLingerEndAtTheirTimeoutOrByteLimit) {
   EventLoop loop;
   Pair silent(loop, {1 << 20, 1 << 20}, Over::Tcp);
   silent.a.stream.linger(1'000);
@@ -285,7 +285,7 @@
 }
 
 // An exception while handling one connection must not affect any other.
-TEST(Streams, EndWhenTheirOwnerThrows) {
+TEST(Streams, FailWhenTheirOwnerThrows) {
   EventLoop loop;
   Pair bad(loop);
   Pair good(loop);
@@ -300,7 +300,7 @@
 }
 
 // An idle connection must not be reused if its peer has closed it or sent something meanwhile.
-TEST(Streams, AreQuietOnlyWhileNothingHasComeIn) {
+TEST(Streams, AreIdleOnlyUntilInputOrACloseArrives) {
   EventLoop loop;
   Pair withInput(loop);
   Pair closed(loop);
