--- a/fuzz/bolt_fuzz.cpp
+++ b/fuzz/bolt_fuzz.cpp
@@ -55,7 +55,7 @@
       if (step.kind == Kind::Fatal || step.kind == Kind::Disconnect) return std::string(out.view());
       if (step.kind == Kind::NeedMore) {
         if (!open || !bytes.empty()) break;
-        server.failed(out);
+        server.writeFailure(out);
         open = false;
         input.erase(0, from);
         from = 0;
@@ -67,7 +67,7 @@
           open = true;
           from = step.consumed;
         } else {
-          server.rejected(problem, out);
+          server.writeInvalidRequest(problem, out);
           input.erase(0, step.consumed);
         }
       } else if (step.kind == Kind::RequestPart) {
--- a/src/discovery/call_spreading.h
+++ b/src/discovery/call_spreading.h
@@ -10,7 +10,7 @@
 using Micros = std::int64_t;  // a clock reading or a duration, in microseconds
 
 // The gateways that share a list service.
-struct GatewayFleet {
+struct GatewayPopulation {
   unsigned gatewayCount = 1;
   // The longest time between two polls; 0: unknown, and watches are as short as possible.
   Micros maxPollInterval = 0;
@@ -26,6 +26,6 @@
 double spreadPosition(const std::string& gatewayName);
 
 // Returns how long this gateway delays its call so that the calls of all gateways are spread evenly.
-Micros spreadDelay(const std::string& gatewayName, const GatewayFleet& fleet, double callCost);
+Micros spreadDelay(const std::string& gatewayName, const GatewayPopulation& population, double callCost);
 
 }  // namespace heathflow::discovery
--- a/src/discovery/discovery_backoff.cpp
+++ b/src/discovery/discovery_backoff.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 Micros DiscoveryBackoff::maxDelay() const {
-  const auto share = static_cast<Micros>(kMaxDelayShare * static_cast<double>(fleet_.recoveryTime()));
+  const auto share = static_cast<Micros>(kMaxDelayShare * static_cast<double>(population_.recoveryTime()));
   return std::max(2 * kMinDelay, share);
 }
 
@@ -36,12 +36,12 @@
 // in time would never empty its queue.
 Micros DiscoveryBackoff::delayAfterRejection(double callCost, Micros retryAfter) {
   const int doublings = std::max(0, rejections_++ - 1);
-  const Micros limit = std::min(fleet_.recoveryTime(), maxDelay() << std::min(doublings, kMaxDoublings));
+  const Micros limit = std::min(population_.recoveryTime(), maxDelay() << std::min(doublings, kMaxDoublings));
   // Retry-After is honored as far as the recovery time allows. The random part keeps gateways that were given
   // the same value from returning together.
   const Micros honored = std::clamp<Micros>(retryAfter, 0, limit - kMinDelay);
   const Micros window =
-      std::clamp(static_cast<Micros>(fleet_.serviceTime(callCost)), kMinDelay, limit - honored);
+      std::clamp(static_cast<Micros>(population_.serviceTime(callCost)), kMinDelay, limit - honored);
   const auto spread = static_cast<Micros>(random() * static_cast<double>(window));
   return std::max(kMinDelay, honored + spread);
 }
--- a/src/discovery/discovery_backoff.h
+++ b/src/discovery/discovery_backoff.h
@@ -24,8 +24,8 @@
 class DiscoveryBackoff {
  public:
   // @param dedicatedService whether no other gateway calls the service.
-  DiscoveryBackoff(const GatewayFleet& fleet, bool dedicatedService, std::uint64_t seed)
-      : fleet_(fleet), dedicatedService_(dedicatedService), random_(seed) {}
+  DiscoveryBackoff(const GatewayPopulation& population, bool dedicatedService, std::uint64_t seed)
+      : population_(population), dedicatedService_(dedicatedService), random_(seed) {}
 
   // Returns the delay before the next call, after a failed one.
   // @param callCost the time, in microseconds, that one call is assumed to take the service.
@@ -40,7 +40,7 @@
   Micros maxDelay() const;
   double random() { return uniformUnit(random_()); }
 
-  GatewayFleet fleet_;
+  GatewayPopulation population_;
   bool dedicatedService_;
   std::mt19937_64 random_;
   int failures_ = 0;    // in a row
--- a/src/discovery/discovery_schedule.cpp
+++ b/src/discovery/discovery_schedule.cpp
@@ -15,13 +15,13 @@
 
 DiscoverySchedule::DiscoverySchedule(const DiscoveryScheduleSettings& settings, Micros now)
     : settings_(settings),
-      fleet_{settings.gatewayCount, settings.maxPollInterval},
+      population_{settings.gatewayCount, settings.maxPollInterval},
       cost_(settings.callCost),
-      backoff_(fleet_, settings.dedicatedService, settings.seed),
+      backoff_(population_, settings.dedicatedService, settings.seed),
       firstCallAt_(now + std::max(settings.startDelay, spreadDelay())) {}
 
 Micros DiscoverySchedule::spreadDelay() const {
-  return discovery::spreadDelay(settings_.gatewayName, fleet_, cost_.assumed());
+  return discovery::spreadDelay(settings_.gatewayName, population_, cost_.assumed());
 }
 
 Micros DiscoverySchedule::nextCallAfterFailure(Micros now, CallFailure failure,
@@ -43,7 +43,7 @@
 void DiscoverySchedule::watchSucceeded() { backoff_.reset(); }
 
 Micros DiscoverySchedule::watchDuration() const {
-  return discovery::watchDuration(fleet_, cost_.observedOrAssumed());
+  return discovery::watchDuration(population_, cost_.observedOrAssumed());
 }
 
 }  // namespace heathflow::discovery
--- a/src/discovery/discovery_schedule.h
+++ b/src/discovery/discovery_schedule.h
@@ -49,7 +49,7 @@
   Micros spreadDelay() const;
 
   DiscoveryScheduleSettings settings_;
-  GatewayFleet fleet_;
+  GatewayPopulation population_;
   ServiceCallCost cost_;
   DiscoveryBackoff backoff_;
   Micros firstCallAt_;
--- a/src/discovery/discovery_watch.cpp
+++ b/src/discovery/discovery_watch.cpp
@@ -11,9 +11,9 @@
 // The pause before the next call if an unchanged list arrives before half of the watch duration is over. It
 // prevents a tight loop. The service treats calls at most 200 ms apart as one continuous watch.
 constexpr Micros kPauseAfterEarlyAnswer = 50'000;
-// The wait of calls that are not watches: the first call and those after a failure or a move. They are
-// answered without waiting for a change; without a revision they request the complete list.
-constexpr Micros kNoWait = kMicrosPerMilli;
+// The wait of polls, the calls that are not watches: the first call and those after a failure or a move. They
+// are answered without waiting for a change; without a revision they request the complete list.
+constexpr Micros kPollWait = kMicrosPerMilli;
 // The number of timed-out calls that stay open in addition to the newest one. Closing a call gives up its
 // position in the service's queue, while an open one may never be answered: the service may have restarted,
 // or the network path may be broken.
@@ -44,7 +44,7 @@
   subscribed_ = true;
   // A call in flight or scheduled will return the list.
   if (calling_ || nextCall_.armed()) return;
-  callAt(schedule_.firstCallAt(), kNoWait);
+  callAt(schedule_.firstCallAt(), kPollWait);
 }
 
 void DiscoveryWatch::callAt(Micros at, Micros wait) {
@@ -62,14 +62,14 @@
   revision_ = -1;
   lease_.serviceMoved(loop_.now());
   leaseChanged();
-  if (subscribed_) callAt(schedule_.nextCallAfterMove(loop_.now()), kNoWait);
+  if (subscribed_) callAt(schedule_.nextCallAfterMove(loop_.now()), kPollWait);
 }
 
 void DiscoveryWatch::call(Micros wait) {
   if (!newest_)
     newest_ = std::make_unique<DiscoveryCall>(loop_, socketAddress_, static_cast<DiscoveryCallOwner&>(*this));
   calling_ = true;
-  watching_ = wait > kNoWait;
+  watching_ = wait > kPollWait;
   if (watching_) {
     lease_.watchStarted(loop_.now(), wait);
     leaseChanged();
@@ -157,7 +157,7 @@
       "the endpoint list expired: until it is confirmed, only endpoints that answered a recent health check "
       "over a connection older than the list get requests (revision " +
           std::to_string(revision_) + ", " + std::to_string(failuresInRow_) + " failed calls in a row)");
-  onLeaseEnd_(lease_.connectedBefore());
+  onLeaseEnd_(lease_.latestConnectedSince());
 }
 
 // Keeps the call that timed out open while the next one is made.
@@ -178,7 +178,7 @@
   ++failuresInRow_;
   callTimeout_.disarm();
   updateLease(error.failure);
-  callAt(schedule_.nextCallAfterFailure(loop_.now(), error.failure, error.retryAfter), kNoWait);
+  callAt(schedule_.nextCallAfterFailure(loop_.now(), error.failure, error.retryAfter), kPollWait);
   ++observer_.counters.discoveryFailures;
   ++observer_.counters.discoveryFailuresByCause[static_cast<std::size_t>(error.failure)];
   logFailure(error, elapsed);
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -24,10 +24,10 @@
   using OnFailure = std::function<void()>;
   // Called when the lease on the list ends. From then on the list may lack a change of which the gateway
   // counts as notified.
-  // @param connectedBefore an endpoint with a connection that has been open since this time was in the newest
-  //        confirmed list and has not been removed since; std::nullopt: no list has been confirmed, so a
-  //        connection shows nothing.
-  using OnLeaseEnd = std::function<void(std::optional<Micros> connectedBefore)>;
+  // @param latestConnectedSince an endpoint with a connection that has been open since this time was in the
+  //        newest confirmed list and has not been removed since; std::nullopt: no list has been confirmed, so
+  //        a connection shows nothing.
+  using OnLeaseEnd = std::function<void(std::optional<Micros> latestConnectedSince)>;
 
   DiscoveryWatch(transport::EventLoop& loop, const transport::SocketAddress& socketAddress,
                  DiscoverySchedule& schedule, stats::Observer& observer, OnList onList, OnFailure onFailure,
@@ -71,7 +71,7 @@
   std::vector<std::unique_ptr<DiscoveryCall>> overdue_;
   ListLease lease_;
   transport::Timer leaseEnd_;
-  bool expired_ = false;  // the lease has ended, and the routing policy was told
+  bool expired_ = false;  // the lease has ended, and the routing policy was notified
   Micros expiredAt_ = 0;
   std::uint64_t failuresInRow_ = 0;
   transport::Timer callTimeout_;  // of the newest call
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -44,7 +44,7 @@
   std::erase_if(byName_, [this](const auto& entry) {
     if (!entry.second.removed) return false;
     names_.erase(entry.second.id);
-    launchTimes_.forget(entry.first);
+    startTimes_.forget(entry.first);
     pool_.remove(entry.second.id);
     return true;
   });
@@ -86,7 +86,7 @@
   out.status = statusOf(listed.phase);
   out.zone = static_cast<std::uint32_t>(hashOf(listed.locality));
   if (out.status != EndpointStatus::Removed)
-    out.startedAt = launchTimes_.launchedAt(listed.id, listed.upSinceMs * kMicrosPerMilli);
+    out.startedAt = startTimes_.startedAt(listed.id, listed.upSinceMs * kMicrosPerMilli);
   out.size = listed.size;
   out.listedPrimary = listed.primary;
   return out;
@@ -94,7 +94,7 @@
 
 EndpointsChanged EndpointDirectory::apply(const protocol::EndpointList& list, transport::Micros now,
                                           bool confirmed) {
-  launchTimes_.beginList(now, confirmed);
+  startTimes_.beginList(now, confirmed);
   ++observer_.counters.listUpdatesApplied;
   EndpointsChanged event;
   event.scope = list.complete ? EndpointsChanged::Scope::Full : EndpointsChanged::Scope::Delta;
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -12,7 +12,7 @@
 #include "protocol/endpoint_list.h"
 #include "stats/observer.h"
 #include "upstream/connection_pool.h"
-#include "wallclock/launch_times.h"
+#include "wallclock/start_times.h"
 
 namespace heathflow::discovery {
 
@@ -61,7 +61,7 @@
   stats::Observer& observer_;
   std::unordered_map<std::string, Entry> byName_;
   std::unordered_map<EndpointId, std::string> names_;
-  wallclock::LaunchTimes launchTimes_;
+  wallclock::StartTimes startTimes_;
 };
 
 }  // namespace heathflow::discovery
--- a/src/discovery/list_lease.h
+++ b/src/discovery/list_lease.h
@@ -25,7 +25,7 @@
 inline constexpr Micros kMaxServiceQueueTime = kNotificationTimeout / 2;
 
 // The longest time from when a removed endpoint runs again until the list of the list service contains it.
-inline constexpr Micros kMaxReturnRecordingDelay = 2'000'000;
+inline constexpr Micros kMaxRelistingDelay = 2'000'000;
 
 // The lease on the endpoint list. While it lasts, the list contains every change that the gateway counts as
 // notified of; afterwards it may lack one.
@@ -66,9 +66,9 @@
   Micros endsAt() const { return endsAt_; }
   // Returns a time such that an endpoint with a connection open since then was in the newest confirmed list
   // and has not been removed since; std::nullopt if this process has had no confirmed list.
-  std::optional<Micros> connectedBefore() const {
+  std::optional<Micros> latestConnectedSince() const {
     if (!wasRenewed_) return std::nullopt;
-    return renewedUntil_ - kNotificationTimeout - kMaxReturnRecordingDelay;
+    return renewedUntil_ - kNotificationTimeout - kMaxRelistingDelay;
   }
 
  private:
--- a/src/discovery/watch_interval.cpp
+++ b/src/discovery/watch_interval.cpp
@@ -15,11 +15,11 @@
 
 }  // namespace
 
-Micros watchDuration(const GatewayFleet& fleet, double callCost) {
+Micros watchDuration(const GatewayPopulation& population, double callCost) {
   const Micros minDuration =
-      std::clamp(fleet.maxPollInterval / kWatchesPerPollInterval, kMinDuration, kMaxDuration);
-  const Micros maxDuration = std::clamp(fleet.maxPollInterval, minDuration, kMaxDuration);
-  const double renewalTime = fleet.serviceTime(callCost) / kRenewalShare;
+      std::clamp(population.maxPollInterval / kWatchesPerPollInterval, kMinDuration, kMaxDuration);
+  const Micros maxDuration = std::clamp(population.maxPollInterval, minDuration, kMaxDuration);
+  const double renewalTime = population.serviceTime(callCost) / kRenewalShare;
   return std::clamp(static_cast<Micros>(std::min(renewalTime, static_cast<double>(maxDuration))), minDuration,
                     maxDuration);
 }
--- a/src/discovery/watch_interval.h
+++ b/src/discovery/watch_interval.h
@@ -7,6 +7,6 @@
 
 // Returns a duration that is long enough for the service to handle the watch renewals of all gateways, and at
 // most the poll interval.
-Micros watchDuration(const GatewayFleet& fleet, double callCost);
+Micros watchDuration(const GatewayPopulation& population, double callCost);
 
 }  // namespace heathflow::discovery
--- a/src/downstream/client_connection.cpp
+++ b/src/downstream/client_connection.cpp
@@ -68,7 +68,7 @@
   // A message that does not fit into the memory budget ends its connection, which frees memory for others.
   if (!stream_.stalled() || incompleteSince_ == 0 || busy_ || closed_ || lingering_) return;
   ++observer_.counters.memoryRejections;
-  note(Topic::Limits, "closing the connection: out of buffer memory for its request");
+  log(Topic::Limits, "closing the connection: out of buffer memory for its request");
   closeWithError(Reason::NoMemory, "no memory is left", CloseReason::NoMemory);
 }
 
@@ -138,7 +138,7 @@
   using Kind = protocol::ClientSide::Step::Kind;
   if (step.violation) {
     ++observer_.counters.clientProtocolErrors;
-    note(Topic::Downstream, "the client violated the protocol");
+    log(Topic::Downstream, "the client violated the protocol");
   }
   if (side_->loginComplete()) identified_ = true;
   switch (step.kind) {
@@ -204,7 +204,7 @@
   if (!context_.openRequestIds.emplace(parsed->id).second) {
     return failMalformed("the request has the id of one that is open");
   }
-  requestName_ = parsed->id;
+  clientRequestId_ = parsed->id;
   identified_ = true;
   ++requestCount_;
   messageTimeout_.disarm();
@@ -229,8 +229,8 @@
 // Answers a request that can't be submitted with an error, whose text is 'problem'.
 void ClientConnection::failMalformed(std::string_view problem) {
   ++observer_.counters.requestsMalformed;
-  note(Topic::Downstream, "malformed request rejected: " + std::string(problem));
-  side_->rejected(problem, stream_.output());
+  log(Topic::Downstream, "malformed request rejected: " + std::string(problem));
+  side_->writeInvalidRequest(problem, stream_.output());
   busy_ = true;
   onAnswered();
 }
@@ -244,8 +244,8 @@
 // Releases the open request after its answer or its cancellation.
 void ClientConnection::finishRequest() {
   consumeInput(std::exchange(requestSize_, 0));
-  context_.openRequestIds.erase(requestName_);
-  requestName_.clear();
+  context_.openRequestIds.erase(clientRequestId_);
+  clientRequestId_.clear();
   busy_ = responding_ = false;
   idleSince_ = loop_.now();
   owner_.onConnectionIdle(*this);
@@ -272,7 +272,7 @@
   transport::Buffer& out = stream_.output();
   if (out.reserve(out.size() + answer.size() + protocol::ClientSide::kHeadroom)) return true;
   ++observer_.counters.memoryRejections;
-  note(Topic::Limits, "response not forwarded: out of buffer memory");
+  log(Topic::Limits, "response not forwarded: out of buffer memory");
   return false;
 }
 
@@ -297,18 +297,18 @@
   // effect, but it may have had one.
   if (!reserveOutput(answer)) return onFailed();
   writeAnswer(answer, bytes);
-  side_->served(stream_.output());
+  side_->finishAnswer(stream_.output());
   onAnswered();
 }
 
 void ClientConnection::onRejected(Micros retryAfter) {
   const std::int64_t retryAfterMs = retryAfter > 0 ? (retryAfter + kMicrosPerMilli - 1) / kMicrosPerMilli : 0;
-  side_->rejected(retryAfterMs, stream_.output());
+  side_->writeRejection(retryAfterMs, stream_.output());
   onAnswered();
 }
 
 void ClientConnection::onFailed() {
-  side_->failed(stream_.output());
+  side_->writeFailure(stream_.output());
   onAnswered();
 }
 
@@ -344,7 +344,7 @@
   reactionTimeout_.disarm();
   messageTimeout_.disarm();
   nextTurn_.disarm();
-  context_.openRequestIds.erase(requestName_);
+  context_.openRequestIds.erase(clientRequestId_);
   if (busy_) router_.cancel(request_);
   busy_ = false;
   owner_.onConnectionClosed(*this);
@@ -367,7 +367,7 @@
   if (stream_.input().empty()) return linger(CloseReason::IncompleteRequest, kReactionTimeout);
   if (busy_) cancelRequest();
   ++observer_.counters.clientProtocolErrors;
-  note(Topic::Downstream, "closing the connection: a message was not complete in time");
+  log(Topic::Downstream, "closing the connection: a message was not complete in time");
   closeWithError(Reason::IncompleteRequest, "the message was not finished in time",
                  CloseReason::IncompleteRequest);
 }
@@ -400,8 +400,8 @@
 bool ClientConnection::canClose() const {
   if (busy_ || lingering_ || closed_ || !stream_.output().empty()) return false;
   // A message that is not completed in time delays neither an eviction nor the shutdown.
-  const bool stalled = incompleteSince_ != 0 && loop_.now() - incompleteSince_ > kReactionTimeout;
-  return stalled || stream_.isIdle();
+  const bool incompleteTooLong = incompleteSince_ != 0 && loop_.now() - incompleteSince_ > kReactionTimeout;
+  return incompleteTooLong || stream_.isIdle();
 }
 
 bool ClientConnection::closeIfIdle() {
@@ -415,13 +415,13 @@
 stats::LogContext ClientConnection::logContext() const {
   stats::LogContext context;
   context.connection = connectionNumber_;
-  context.request = requestName_;
+  context.request = clientRequestId_;
   context.protocol = protocolName_;
   context.family = group_;
   return context;
 }
 
-void ClientConnection::note(Topic topic, const std::string& text) const {
+void ClientConnection::log(Topic topic, const std::string& text) const {
   observer_.log(topic, text, logContext());
 }
 
--- a/src/downstream/client_connection.h
+++ b/src/downstream/client_connection.h
@@ -67,7 +67,7 @@
   Micros idleSince() const { return idleSince_; }
 
   std::string_view requestBytes() const override;
-  std::string_view clientRequestId() const override { return requestName_; }
+  std::string_view clientRequestId() const override { return clientRequestId_; }
   bool canTakeResponse(std::size_t size) const override;
   bool onResponsePart(const protocol::Answer& answer, std::string_view bytes) override;
   void onRequestWritable() override { process(); }
@@ -108,7 +108,7 @@
   void recordClose(stats::CloseReason why);
   // ---- Log ----
   stats::LogContext logContext() const;
-  void note(stats::Topic topic, const std::string& text) const;
+  void log(stats::Topic topic, const std::string& text) const;
 
   transport::EventLoop& loop_;
   ClientConnectionOwner& owner_;
@@ -129,7 +129,7 @@
   Micros incompleteSince_ = 0;  // since when the input ends with an incomplete message; 0: it does not
   RequestId request_ = 0;
   std::size_t requestSize_ = 0;  // the bytes of the open request at the front of the input
-  std::string requestName_;      // the client's id of the open request
+  std::string clientRequestId_;  // the client's id of the open request
   Micros idleSince_ = 0;
   Micros deadline_ = 0;             // of the open request
   bool busy_ = false;               // a request is open
--- a/src/emulator/client_load.h
+++ b/src/emulator/client_load.h
@@ -43,7 +43,7 @@
   void connectTo(std::optional<transport::SocketAddress> socketAddress);
   // Sends no new requests; requests in flight still wait for their answers.
   void pause() { paused_ = true; }
-  // The gateway was told to shut down, so it may close a connection while a request is on its way.
+  // The gateway was requested to shut down, so it may close a connection while a request is on its way.
   void expectClose() { closeExpected_ = true; }
   // Opens no new connections from now on; open ones are still used.
   void openNoConnections() { opensNoConnections_ = true; }
--- a/src/emulator/results_recorder.h
+++ b/src/emulator/results_recorder.h
@@ -32,7 +32,7 @@
   bool rowIsOver(Micros now) const;
   // Ends the current second. 'connections' and 'calls' are totals since the start.
   void closeRow(std::uint64_t connections, std::uint64_t calls, unsigned gatewaysUp);
-  // Sets the latency quantiles of the whole play and drops the second that has not ended.
+  // Sets the latency quantiles of the whole run and drops the second that has not ended.
   void finish();
 
   DeploymentResults& results() { return results_; }
--- a/src/installation/installation.cpp
+++ b/src/installation/installation.cpp
@@ -34,15 +34,15 @@
   if (level == "warning") out.level = LogLevel::Warning;
   if (level == "error") out.level = LogLevel::Error;
   out.linesPerSecond = numberOf(attribute(node, "lines-per-second"), out.linesPerSecond);
-  out.countersEvery = numberOf(attribute(node, "counters-every"), out.countersEvery);
+  out.countersIntervalSeconds = numberOf(attribute(node, "counters-every"), out.countersIntervalSeconds);
   return out;
 }
 
 SnapshotSettings readSnapshot(const Node* node) {
   SnapshotSettings out;
   out.file = attribute(node, "file");
-  out.every = numberOf(attribute(node, "every"), out.every);
-  out.listFor = numberOf(attribute(node, "list-for"), out.listFor);
+  out.writeIntervalSeconds = numberOf(attribute(node, "every"), out.writeIntervalSeconds);
+  out.maxListAgeSeconds = numberOf(attribute(node, "list-for"), out.maxListAgeSeconds);
   return out;
 }
 
--- a/src/installation/installation.h
+++ b/src/installation/installation.h
@@ -19,8 +19,8 @@
 struct LogSettings {
   LogForm form = LogForm::Text;
   LogLevel level = LogLevel::Info;
-  unsigned linesPerSecond = 5;  // per topic
-  unsigned countersEvery = 0;   // seconds; 0: only at SIGUSR1 and at shutdown
+  unsigned linesPerSecond = 5;           // per topic
+  unsigned countersIntervalSeconds = 0;  // 0: only at SIGUSR1 and at shutdown
 };
 
 struct Listener {
@@ -57,9 +57,9 @@
 
 // The snapshot on disk that the gateway reads after a restart.
 struct SnapshotSettings {
-  std::string file;        // empty: no snapshot is written
-  unsigned every = 10;     // seconds between writes, if there are changes
-  unsigned listFor = 600;  // seconds for which a restored list may be used until the list service answers
+  std::string file;                    // empty: no snapshot is written
+  unsigned writeIntervalSeconds = 10;  // between writes, if there are changes
+  unsigned maxListAgeSeconds = 600;    // how long a restored list may be used until the list service answers
 };
 
 struct Installation {
--- a/src/policy/endpoint_evidence.cpp
+++ b/src/policy/endpoint_evidence.cpp
@@ -26,12 +26,13 @@
 }
 
 bool EndpointEvidence::maySufficeAfterCheck(const EndpointListExpired& criteria) const {
-  const bool unbroken = criteria.connectedBefore && lastFailureAt_ <= *criteria.connectedBefore;
+  const bool unbroken = criteria.latestConnectedSince && lastFailureAt_ <= *criteria.latestConnectedSince;
   return unbroken && (!connectedSince_ || wasConnectedInTime(criteria));
 }
 
 bool EndpointEvidence::wasConnectedInTime(const EndpointListExpired& criteria) const {
-  return connectedSince_ && criteria.connectedBefore && *connectedSince_ <= *criteria.connectedBefore;
+  return connectedSince_ && criteria.latestConnectedSince &&
+         *connectedSince_ <= *criteria.latestConnectedSince;
 }
 
 }  // namespace heathflow::policy
--- a/src/policy/endpoint_selection.cpp
+++ b/src/policy/endpoint_selection.cpp
@@ -23,7 +23,7 @@
 constexpr double kScoreJitter = 0.05;
 // Factor on the score of an endpoint for each earlier attempt of the request there, and for an endpoint known
 // only from an advisory list.
-constexpr double kTriedPenalty = 4;
+constexpr double kPenaltyFactor = 4;
 constexpr double kSentWorkDecay = 0.999;
 
 }  // namespace
@@ -284,10 +284,10 @@
 bool EndpointSelection::takesLongReads(const EndpointState& endpoint) const {
   if (!endpoint.listing.usable || endpoint.listing.unconfirmed) return false;
   if (endpoint.outlier.isEjected(context_.now())) return false;
-  return endpoint.inFlight.longReads == 0 || context_.now() < endpoint.inFlight.longReadDue;
+  return endpoint.inFlight.longReads == 0 || context_.now() < endpoint.inFlight.nextLongReadEndDue;
 }
 
-Micros EndpointSelection::longReadDue(std::size_t classIndex) const {
+Micros EndpointSelection::nextLongReadEndDue(std::size_t classIndex) const {
   const double timeout = kLongReadTimeoutMultiple * latency_.latencyOf(classIndex);
   if (timeout <= 0) return context_.now() + context_.classAt(classIndex).latencyObjective;
   return context_.now() + static_cast<Micros>(timeout);
@@ -316,9 +316,9 @@
                               kPreferenceWeight * preferenceOf(endpoint);
   double score = expectedLoad * endpoint.relativeLatency.valueAt(context_.now()) *
                  (1 + kScoreJitter * context_.random());
-  if (endpoint.listing.unconfirmed) score *= kTriedPenalty;
+  if (endpoint.listing.unconfirmed) score *= kPenaltyFactor;
   for (const AttemptRecord& attempt : request.attempts)
-    score *= attempt.endpoint == endpoint.info.id ? kTriedPenalty : 1;
+    score *= attempt.endpoint == endpoint.info.id ? kPenaltyFactor : 1;
   return score;
 }
 
--- a/src/policy/endpoint_selection.h
+++ b/src/policy/endpoint_selection.h
@@ -35,7 +35,7 @@
   void observeArrival();
   void observeSent(double work, bool toPrimary);
   // Returns the time by which the next long read should end at an endpoint that gets or answers one now.
-  Micros longReadDue(std::size_t classIndex) const;
+  Micros nextLongReadEndDue(std::size_t classIndex) const;
 
  private:
   // The requirements of a read on a replica.
--- a/src/policy/endpoint_state.h
+++ b/src/policy/endpoint_state.h
@@ -44,7 +44,7 @@
   int requests = 0;
   double work = 0;  // in average requests
   int longReads = 0;
-  Micros longReadDue = kNever;  // by when one of the long reads should have ended
+  Micros nextLongReadEndDue = kNever;  // by when the next of the long reads should end
 };
 
 // Updated by HealthCheckScheduler and AttemptObserver.
--- a/src/policy/policy_context.h
+++ b/src/policy/policy_context.h
@@ -26,7 +26,7 @@
 // The purpose of a timer. The comments give the subject that its token carries.
 enum class TimerKind : std::uint64_t {
   RequestExpiry,  // request
-  QueueRetry,     // group
+  QueueDispatch,  // group
   DiscoveryPoll,  // number of the poll
   Shutdown        // none
 };
--- a/src/policy/request_dispatcher.cpp
+++ b/src/policy/request_dispatcher.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 // Interval at which a queue that is not empty is dispatched, in addition to the dispatches after events.
-constexpr Micros kQueueRetryInterval = 20 * kMillisecond;
+constexpr Micros kQueueDispatchInterval = 20 * kMillisecond;
 // The age in a session token may have been rounded up by as much as this in transit.
 constexpr Micros kTokenRounding = kMillisecond;
 
@@ -144,7 +144,8 @@
   ++request.attemptsInFlight;
 
   InFlightState& inFlight = endpoint.inFlight;
-  if (isLongRead && inFlight.longReads++ == 0) inFlight.longReadDue = selection_.longReadDue(classIndex);
+  if (isLongRead && inFlight.longReads++ == 0)
+    inFlight.nextLongReadEndDue = selection_.nextLongReadEndDue(classIndex);
   if (inFlight.requests++ == 0) endpoint.outlier.observeFirstInFlight(context_.now());
   inFlight.work += work;
   selection_.observeSent(work, isPrimary);
@@ -167,8 +168,8 @@
 void RequestDispatcher::setQueueTimer(GroupId id, EndpointGroup& group) {
   if (group.queueTimerSet || group.queue.empty()) return;
   group.queueTimerSet = true;
-  context_.setTimer(TimerKind::QueueRetry, id,
-                    std::max(kQueueRetryInterval, context_.settings().timerResolution));
+  context_.setTimer(TimerKind::QueueDispatch, id,
+                    std::max(kQueueDispatchInterval, context_.settings().timerResolution));
 }
 
 void RequestDispatcher::observeQueueTimer(GroupId id) {
@@ -264,7 +265,8 @@
   inFlight.requests = std::max(0, inFlight.requests - 1);
   inFlight.work = inFlight.requests == 0 ? 0 : std::max(0.0, inFlight.work - attempt.work);
   if (attempt.isLongRead) --inFlight.longReads;
-  if (attempt.isLongRead && ok) inFlight.longReadDue = selection_.longReadDue(request.request.classIndex);
+  if (attempt.isLongRead && ok)
+    inFlight.nextLongReadEndDue = selection_.nextLongReadEndDue(request.request.classIndex);
   observer_.observeEnd(endpoint, request, event);
   // While connections are scarce, other gateways need those that would stay idle here.
   if (ok && observer_.connectionsAreScarce()) context_.emit(CloseIdleConnections{attempt.endpoint});
--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -84,7 +84,7 @@
   switch (PolicyContext::timerKindOf(event.token)) {
     case TimerKind::RequestExpiry:
       return dispatcher_.observeExpiryTimer(static_cast<RequestId>(subject));
-    case TimerKind::QueueRetry:
+    case TimerKind::QueueDispatch:
       return dispatcher_.observeQueueTimer(static_cast<GroupId>(subject));
     case TimerKind::DiscoveryPoll:
       return discovery_.observeTimer(subject);
--- a/src/policy/routing_policy.h
+++ b/src/policy/routing_policy.h
@@ -142,7 +142,7 @@
 struct EndpointListExpired {
   Micros healthCheckMaxAge = 0;  // maximum age of an answered health check that counts as evidence
   // The check's connection must have been open since this time or longer. Not set: no evidence counts.
-  std::optional<Micros> connectedBefore;
+  std::optional<Micros> latestConnectedSince;
 };
 struct RequestArrived {
   Request request;
--- a/src/program/gateway.cpp
+++ b/src/program/gateway.cpp
@@ -90,8 +90,8 @@
           [this] {
             router_.endpointsChanged({EndpointsChanged::Scope::Failed, {}});
           },
-          [this](std::optional<Micros> connectedBefore) {
-            router_.listExpired({discovery::kNotificationTimeout, connectedBefore});
+          [this](std::optional<Micros> latestConnectedSince) {
+            router_.listExpired({discovery::kNotificationTimeout, latestConnectedSince});
           }),
       context_(config.settings.classNames) {
   if (earlier) snapshot_ = *earlier;
@@ -162,7 +162,7 @@
   known.complete = true;
   discovery::CachedListSettings settings;
   settings.maxPollInterval = config_.settings.policy.maxPollInterval;
-  settings.maxAge = installation_.snapshot.listFor * kMicrosPerSecond;
+  settings.maxAge = installation_.snapshot.maxListAgeSeconds * kMicrosPerSecond;
   settings.healthChecksAllowed = config_.settings.policy.healthChecksAllowed;
   const auto cached = snapshot::trustedList(snapshot_, loop_.now(), settings);
   // Revisions of different list services can't be compared.
--- a/src/program/serve.cpp
+++ b/src/program/serve.cpp
@@ -36,7 +36,7 @@
 std::optional<installation::Installation> readSettings(const std::string& file) {
   if (file.empty()) return installation::Installation{};
   files::Content text;
-  const int error = retryAtStartup("reading the settings", [&] {
+  const int error = retryStartupStep("reading the settings", [&] {
     text = files::read(file);
     return text.error;
   });
@@ -57,7 +57,7 @@
                                  const std::string& settingsFile) {
   std::optional<Config> config;
   std::string problem;
-  (void)retryAtStartup("reading the configuration", [&] {
+  (void)retryStartupStep("reading the configuration", [&] {
     try {
       config = loadConfig(installation.nodeFile);
       return 0;
@@ -83,7 +83,7 @@
 template <typename Make>
 auto createAtStartup(const std::string& step, const std::string& failure, Make make) -> decltype(make()) {
   decltype(make()) created;
-  const int error = retryAtStartup(step, [&] {
+  const int error = retryStartupStep(step, [&] {
     created = make();
     return 0;
   });
@@ -104,7 +104,7 @@
 // Opens all listeners. Returns false, and logs why, if one can't be opened.
 bool openListeners(Gateway& gateway) {
   std::optional<ListenError> error;
-  const int failed = retryAtStartup("opening the listeners", [&] {
+  const int failed = retryStartupStep("opening the listeners", [&] {
     error = gateway.listen();
     return error ? error->systemError : 0;
   });
@@ -130,7 +130,7 @@
   const auto signals = createAtStartup("setting up signal handling", "signal handling can't be set up",
                                        [&] { return std::make_unique<Signals>(loop, onSignal); });
   if (signals == nullptr) return kFailure;
-  const Micros countersInterval = installation.log.countersEvery * kMicrosPerSecond;
+  const Micros countersInterval = installation.log.countersIntervalSeconds * kMicrosPerSecond;
   transport::Timer countersTimer(loop, [&] {
     logCounters(log);
     countersTimer.arm(loop.now() + countersInterval);
--- a/src/program/snapshot_writer.cpp
+++ b/src/program/snapshot_writer.cpp
@@ -40,8 +40,8 @@
   ++earlyCrashes_;
   // No request is in flight yet, so waiting for the disk delays none.
   writePending_ = !write(files::Durable::Yes);
-  nextWrite_.arm(startedAt_ +
-                 std::min<Micros>(discovery::kEarlyCrashTime, settings_.every * kMicrosPerSecond));
+  nextWrite_.arm(startedAt_ + std::min<Micros>(discovery::kEarlyCrashTime,
+                                               settings_.writeIntervalSeconds * kMicrosPerSecond));
 }
 
 void SnapshotWriter::stop() {
@@ -57,7 +57,7 @@
   writePending_ = writePending_ || ranLongEnough;
   // Requests are in flight, and waiting for the disk would delay them.
   if (writePending_ || gateway_.listsApplied() != listsWritten_) writePending_ = !write(files::Durable::No);
-  nextWrite_.arm(loop_.now() + settings_.every * kMicrosPerSecond);
+  nextWrite_.arm(loop_.now() + settings_.writeIntervalSeconds * kMicrosPerSecond);
 }
 
 bool SnapshotWriter::write(files::Durable durable) {
--- a/src/program/startup_retry.cpp
+++ b/src/program/startup_retry.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-int retryAtStartup(const std::string& name, const std::function<int()>& step) {
+int retryStartupStep(const std::string& name, const std::function<int()>& step) {
   StartupBackoff retry;
   bool logged = false;
   for (;;) {
--- a/src/program/startup_retry.h
+++ b/src/program/startup_retry.h
@@ -11,6 +11,6 @@
 // @param name  the name of the step, for the log.
 // @param step  returns an errno value, 0 on success, or throws std::system_error.
 // @return the last errno value; 0 on success.
-int retryAtStartup(const std::string& name, const std::function<int()>& step);
+int retryStartupStep(const std::string& name, const std::function<int()>& step);
 
 }  // namespace heathflow::program
--- a/src/protocol/bolt_client.cpp
+++ b/src/protocol/bolt_client.cpp
@@ -137,11 +137,11 @@
       continue;
     }
     if (frame.kind != bolt::Frame::Kind::Complete) return false;
-    const std::string_view whole = message.substr(0, frame.size);
+    const std::string_view framedMessage = message.substr(0, frame.size);
     message.remove_prefix(frame.size);
-    const std::string_view payload = bolt::payloadOf(whole, frame, scratch_);
+    const std::string_view payload = bolt::payloadOf(framedMessage, frame, scratch_);
     const Tag tag = static_cast<Tag>(payload[1]);
-    if (first ? !writeFirstMessage(payload, tag, leftMs, out) : !out.append(whole)) return false;
+    if (first ? !writeFirstMessage(payload, tag, leftMs, out) : !out.append(framedMessage)) return false;
     const std::size_t end = requestBytes_ + (out.size() - before);
     if (first) {
       isTransaction_ = tag == Tag::Begin;
--- a/src/protocol/bolt_message.cpp
+++ b/src/protocol/bolt_message.cpp
@@ -97,10 +97,10 @@
   std::size_t size = 0;
   for (const std::string_view piece : pieces) size += piece.size();
   if (size > kMaxChunkSize) {
-    std::string whole;
-    whole.reserve(size);
-    for (const std::string_view piece : pieces) whole += piece;
-    return writeMessage(out, whole);
+    std::string joined;
+    joined.reserve(size);
+    for (const std::string_view piece : pieces) joined += piece;
+    return writeMessage(out, joined);
   }
   if (!out.reserve(out.size() + size + 4)) return false;
   out.append(chunkHeader(size));
--- a/src/protocol/bolt_server.cpp
+++ b/src/protocol/bolt_server.cpp
@@ -449,7 +449,7 @@
   resetScan_ = {};
 }
 
-void BoltServer::served(Buffer& out) {
+void BoltServer::finishAnswer(Buffer& out) {
   ignoreUnanswered(out);
   closeRequest();
   if (endpointFailed_) state_ = State::Failed;
@@ -470,16 +470,16 @@
   state_ = State::Failed;
 }
 
-void BoltServer::rejected(std::int64_t retryAfterMs, Buffer& out) {
+void BoltServer::writeRejection(std::int64_t retryAfterMs, Buffer& out) {
   endWithFailure(bolt::status::kNoThreads, "not now", retryAfterMs, out);
 }
 
-void BoltServer::failed(Buffer& out) {
+void BoltServer::writeFailure(Buffer& out) {
   endWithFailure(bolt::status::kUnknown, "no member could serve this in time; it may have had an effect", 0,
                  out);
 }
 
-void BoltServer::rejected(std::string_view message, Buffer& out) {
+void BoltServer::writeInvalidRequest(std::string_view message, Buffer& out) {
   endWithFailure(bolt::status::kInvalid, message, 0, out);
 }
 
--- a/src/protocol/pg_protocol.cpp
+++ b/src/protocol/pg_protocol.cpp
@@ -81,24 +81,24 @@
   for (const Slice& piece : answer.pieces) out.append(piece.of(bytes));
 }
 
-void PgClientSide::served(Buffer& out) { writeReady(out); }
+void PgClientSide::finishAnswer(Buffer& out) { writeReady(out); }
 
 void PgClientSide::error(std::string_view code, std::string_view message, Buffer& out,
                          std::string_view detail) {
   writeError(out, false, code, message, detail);
-  served(out);
+  finishAnswer(out);
 }
 
-void PgClientSide::rejected(std::int64_t retryAfterMs, Buffer& out) {
+void PgClientSide::writeRejection(std::int64_t retryAfterMs, Buffer& out) {
   const std::string advice = retryAfterMs > 0 ? std::to_string(retryAfterMs) : std::string();
   error(sqlstate::kTooManyConnections, "not now", out, advice);
 }
 
-void PgClientSide::failed(Buffer& out) {
+void PgClientSide::writeFailure(Buffer& out) {
   error(sqlstate::kSystemError, "no member could serve this in time", out);
 }
 
-void PgClientSide::rejected(std::string_view message, Buffer& out) {
+void PgClientSide::writeInvalidRequest(std::string_view message, Buffer& out) {
   error(sqlstate::kInvalidParameter, message, out);
 }
 
--- a/src/protocol/pg_protocol.h
+++ b/src/protocol/pg_protocol.h
@@ -15,10 +15,10 @@
   Step step(std::string_view bytes, std::size_t from, Buffer& out) override;
   std::optional<RequestMetadata> parseRequest(std::string_view request, std::string_view& problem) override;
   void writeAnswer(const Answer& answer, std::string_view bytes, std::int64_t nowMs, Buffer& out) override;
-  void served(Buffer& out) override;
-  void rejected(std::int64_t retryAfterMs, Buffer& out) override;
-  void failed(Buffer& out) override;
-  void rejected(std::string_view message, Buffer& out) override;
+  void finishAnswer(Buffer& out) override;
+  void writeRejection(std::int64_t retryAfterMs, Buffer& out) override;
+  void writeFailure(Buffer& out) override;
+  void writeInvalidRequest(std::string_view message, Buffer& out) override;
   void fatalError(Reason reason, std::string_view message, Buffer& out) override;
 
  private:
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -34,7 +34,7 @@
   std::optional<std::int64_t> afterMs;    // position of the commit that a read must see, Unix time
   bool isClientRetry = false;
   bool keyed = false;         // has an idempotency key
-  std::optional<bool> write;  // whether the request writes, if it tells; otherwise its class does
+  std::optional<bool> write;  // whether the request writes, if the client says; otherwise its class decides
   std::string_view session;   // empty: no session
 };
 
@@ -99,10 +99,10 @@
   // Each of these ends the request: after its complete answer, after a rejection (it had no effect), after a
   // failure (it may have had an effect), or as invalid. Each writes what the protocol then still owes the
   // client.
-  virtual void served(Buffer& out) = 0;
-  virtual void rejected(std::int64_t retryAfterMs, Buffer& out) = 0;
-  virtual void failed(Buffer& out) = 0;
-  virtual void rejected(std::string_view message, Buffer& out) = 0;
+  virtual void finishAnswer(Buffer& out) = 0;
+  virtual void writeRejection(std::int64_t retryAfterMs, Buffer& out) = 0;
+  virtual void writeFailure(Buffer& out) = 0;
+  virtual void writeInvalidRequest(std::string_view message, Buffer& out) = 0;
   // Writes an error that ends the connection; writes nothing if the protocol has no unsolicited message for
   // it.
   virtual void fatalError(Reason reason, std::string_view message, Buffer& out) = 0;
@@ -165,7 +165,7 @@
   virtual std::string_view name() const = 0;
   virtual std::unique_ptr<ClientSide> makeClientSide() const = 0;
   virtual std::unique_ptr<EndpointSide> makeEndpointSide() const = 0;
-  // Sets the address at which clients reach the listener, for protocols that tell it to clients.
+  // Sets the address at which clients reach the listener, for protocols that report it to clients.
   virtual void setListenAddress(const std::string&) {}
 };
 
--- a/src/routing/attempt_manager.cpp
+++ b/src/routing/attempt_manager.cpp
@@ -54,7 +54,7 @@
   switch (env_.pool.start(attempt.endpoint, attempt.request.protocol, attempt, attempt.connection)) {
     case StartResult::Started:
       return;
-    case StartResult::NoDescriptor:
+    case StartResult::LocalShortage:
       env_.observer.log(stats::Topic::Limits, "attempt " + std::to_string(attempt.index) + " at " +
                                                   env_.pool.addressText(attempt.endpoint) +
                                                   " was not sent: no socket can be opened for it");
@@ -187,8 +187,8 @@
     env_.requests.finish(request);
   }
   event.requestFinished = !dropped && (owner == nullptr || event.outcome == AttemptOutcome::Ok);
-  // The policy is told before the client, so that it knows this result when it decides on the client's next
-  // request.
+  // The policy is notified before the client, so that it knows this result when it decides on the client's
+  // next request.
   env_.policy.post(event);
   if (served) owner->onResponse(*exchangeEnd->answer, exchangeEnd->bytes);
   env_.requests.removeIfDone(id);
--- a/src/routing/health_check_manager.cpp
+++ b/src/routing/health_check_manager.cpp
@@ -50,7 +50,7 @@
   switch (env_.pool.start(check.endpoint, protocol, check, check.connection, selection)) {
     case StartResult::Started:
       return;
-    case StartResult::NoDescriptor: {
+    case StartResult::LocalShortage: {
       // That the gateway can't open a socket says nothing about the endpoint.
       HealthCheckEnded rejected;
       rejected.rejected = true;
--- a/src/stats/upstream_stats.cpp
+++ b/src/stats/upstream_stats.cpp
@@ -38,7 +38,7 @@
   std::string out = "unserved_by_reason:";
   for (std::size_t i = 0; i < kRejectReasons; ++i) {
     const auto reason = static_cast<RejectReason>(i);
-    appendValue(out, nameOf(reason), upstreamStats.unservedFor(reason));
+    appendValue(out, nameOf(reason), upstreamStats.unservedRequests(reason));
   }
   return out + '\n';
 }
--- a/src/stats/upstream_stats.h
+++ b/src/stats/upstream_stats.h
@@ -48,10 +48,12 @@
   void attemptStarted(EndpointId endpoint);
   void endpointRemoved(EndpointId endpoint) { endpoints_.erase(endpoint); }
 
-  // Counts a request that was rejected or failed.
+  // Counts an unserved request: one that was rejected or failed.
   // @param reason  what last kept it from being sent, or None.
   void requestUnserved(RejectReason reason) { ++unserved_[static_cast<std::size_t>(reason)]; }
-  std::uint64_t unservedFor(RejectReason reason) const { return unserved_[static_cast<std::size_t>(reason)]; }
+  std::uint64_t unservedRequests(RejectReason reason) const {
+    return unserved_[static_cast<std::size_t>(reason)];
+  }
 
   ConnectionUsage connectionOpened(TrafficType traffic);
   void connectionReused(ConnectionUsage& usage, TrafficType traffic);
--- a/src/tools/wire_bench.cpp
+++ b/src/tools/wire_bench.cpp
@@ -281,14 +281,14 @@
   Load(transport::EventLoop& loop, const transport::SocketAddress& to, Speaks speaks, std::size_t connections,
        bool unanswered = false)
       : loop_(loop), speaks_(speaks) {
-    const std::string whole = "SELECT blob FROM rows WHERE handle = '" +
-                              std::string(unanswered ? kUnansweredHandle : "key") +
-                              "' /* id=" + std::string(kIdPlaceholder) + ",c=any,d=50000,cluster=0 */";
+    const std::string statement = "SELECT blob FROM rows WHERE handle = '" +
+                                  std::string(unanswered ? kUnansweredHandle : "key") +
+                                  "' /* id=" + std::string(kIdPlaceholder) + ",c=any,d=50000,cluster=0 */";
     if (speaks == Speaks::Postgres) {
-      request_ = pg::query(whole);
+      request_ = pg::query(statement);
       opening_ = pg::startup();
     } else {
-      auto [query, extra] = boltRequest(whole);
+      auto [query, extra] = boltRequest(statement);
       request_ = bolt::run(unanswered ? "hold" : query, extra) + bolt::pull();
       opening_ = bolt::handshake() + bolt::hello() + bolt::logon();
     }
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -97,14 +97,14 @@
                                                                  Exchange& exchange,
                                                                  EndpointConnection*& connection,
                                                                  const transport::SocketAddress& address) {
-  if (!budget_.canOpenUpstream() && !evictLongestIdle()) return StartResult::NoDescriptor;
+  if (!budget_.canOpenUpstream() && !evictLongestIdle()) return StartResult::LocalShortage;
   auto opened =
       std::make_unique<EndpointConnection>(loop_, static_cast<EndpointConnectionOwner&>(*this), endpoint,
                                            protocol, protocols_[protocol]->makeEndpointSide());
   int error = 0;
   if (!opened->connect(address, timeouts_.connect, error)) {
     ++observer_.counters.connectionsFailed;
-    return transport::isLocalShortage(error) ? StartResult::NoDescriptor : StartResult::Unreachable;
+    return transport::isLocalShortage(error) ? StartResult::LocalShortage : StartResult::Unreachable;
   }
   ++observer_.counters.connectionsOpened;
   budget_.upstreamOpened();
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -38,7 +38,7 @@
   void setAddresses(EndpointId endpoint, std::vector<std::optional<transport::SocketAddress>> addresses);
   void remove(EndpointId endpoint);
 
-  enum class StartResult { Started, NoDescriptor, Unreachable };
+  enum class StartResult { Started, LocalShortage, Unreachable };
   enum class Selection { NewestIdle, OldestIdle, NewConnection };
   // Starts an exchange on an idle connection, or on a new one if no idle connection can be used.
   // @param connection  receives the connection, before the exchange is called for the first time.
--- a/src/upstream/endpoint_connection.cpp
+++ b/src/upstream/endpoint_connection.cpp
@@ -197,8 +197,8 @@
   // After a failed request the protocol may make the connection usable again, within the connect timeout.
   const bool recovering = inSync && !keep && ready_ && side_->recover(stream_.output());
   paused_ = false;
-  // The connection is closed before the exchange is told that it has ended, because that may start the next
-  // attempt, and attempts must not overlap.
+  // The connection is closed before the exchange is notified that it has ended, because that may start the
+  // next attempt, and attempts must not overlap.
   if (!keep && !recovering) {
     connectTimer_.disarm();
     stream_.close();
--- a/src/wallclock/launch_times.cpp
+++ b/src/wallclock/start_times.cpp
@@ -1,10 +1,10 @@
-#include "wallclock/launch_times.h"
+#include "wallclock/start_times.h"
 
 #include <algorithm>
 
 namespace heathflow::wallclock {
 
-void LaunchTimes::beginList(Micros now, bool confirmed) {
+void StartTimes::beginList(Micros now, bool confirmed) {
   now_ = now;
   confirmed_ = confirmed;
   previousConfirmedAt_ = confirmedAt_;
@@ -14,13 +14,13 @@
 // Limits a listed start: it can't be in the future, nor long before a time at which this incarnation was not
 // yet running.
 // @param notRunningAt when a list contained an earlier incarnation of the endpoint, or none; kNever: unknown.
-Micros LaunchTimes::bounded(Micros listed, Micros notRunningAt) const {
+Micros StartTimes::bounded(Micros listed, Micros notRunningAt) const {
   const Micros startedAt = std::min(listed, now_);
   const bool possible = notRunningAt == kNever || startedAt >= notRunningAt - kMaxListDelay;
   return possible ? startedAt : notRunningAt;
 }
 
-Micros LaunchTimes::launchedAt(const std::string& endpoint, Micros listed) {
+Micros StartTimes::startedAt(const std::string& endpoint, Micros listed) {
   const auto [entry, isNew] = records_.try_emplace(endpoint);
   Record& record = entry->second;
   if (isNew) {
--- a/src/wallclock/launch_times.h
+++ b/src/wallclock/start_times.h
@@ -17,14 +17,14 @@
 // after the list service recorded it.
 inline constexpr Micros kMaxListDelay = 6'000'000;
 
-class LaunchTimes {
+class StartTimes {
  public:
-  // Starts a new list; a call of launchedAt() for each of its endpoints follows.
+  // Starts a new list; a call of startedAt() for each of its endpoints follows.
   // @param confirmed whether the list service has just sent it; a cached list says nothing about the present.
   void beginList(Micros now, bool confirmed);
   // Returns when an endpoint of the current list started; 0: long ago.
   // @param listed the start according to the list, in Unix microseconds; 0: long ago.
-  Micros launchedAt(const std::string& endpoint, Micros listed);
+  Micros startedAt(const std::string& endpoint, Micros listed);
   void forget(const std::string& endpoint) { records_.erase(endpoint); }
   std::size_t size() const { return records_.size(); }
 
--- a/src/wirehost/host.cpp
+++ b/src/wirehost/host.cpp
@@ -199,7 +199,7 @@
 // that was not started is not.
 void Host::handleEvent(const Record& record) {
   if (!instanceSelected_) throw FrameError("an event precedes the first record that selects an instance");
-  if (const auto* init = std::get_if<StartInstanceRecord>(&record)) return startInstance(*init);
+  if (const auto* start = std::get_if<StartInstanceRecord>(&record)) return startInstance(*start);
   const auto found = instances_.find(currentInstance_);
   if (found == instances_.end()) {
     if (std::holds_alternative<StopInstanceRecord>(record)) return;
--- a/tests/bolt_states_test.cpp
+++ b/tests/bolt_states_test.cpp
@@ -262,7 +262,7 @@
       }
       if (step.kind == Step::Kind::NeedMore) {
         if (!open) return;
-        server->failed(out);
+        server->writeFailure(out);
         open = false;
         bytes.remove_prefix(from);
         from = 0;
@@ -271,7 +271,7 @@
       if (step.kind == Step::Kind::Request) {
         std::string_view problem;
         if (!server->parseRequest(bytes.substr(0, step.consumed), problem)) {
-          server->rejected(problem, out);
+          server->writeInvalidRequest(problem, out);
           bytes.remove_prefix(step.consumed);
         } else {
           open = true;
@@ -339,7 +339,7 @@
   }
   EXPECT_EQ(more, BoltServer::kMaxUnanswered);
   client.out.consume(client.out.size());
-  client.server->rejected(250, client.out);
+  client.server->writeRejection(250, client.out);
   std::string written(client.out.view());
   const auto messages = peer::cut(written);
   ASSERT_EQ(messages.size(), BoltServer::kMaxUnanswered) << "each has its reply";
--- a/tests/list_lease_test.cpp
+++ b/tests/list_lease_test.cpp
@@ -46,12 +46,12 @@
 // older than it by 2 s.
 TEST(ListLease, ConfirmsConnectionsThatAreOlderThanTheList) {
   ListLease lease(kS, false);
-  EXPECT_FALSE(lease.connectedBefore());
+  EXPECT_FALSE(lease.latestConnectedSince());
   lease.renew(10 * kS);
-  EXPECT_EQ(lease.connectedBefore(), 8 * kS);
+  EXPECT_EQ(lease.latestConnectedSince(), 8 * kS);
   lease.watchStarted(10 * kS, 60 * kS);
   lease.watchEnded(40 * kS);
-  EXPECT_EQ(lease.connectedBefore(), 8 * kS);
+  EXPECT_EQ(lease.latestConnectedSince(), 8 * kS);
 }
 
 TEST(ListLease, LastsUntilTwoSecondsAfterTheWaitOfAWatch) {
--- a/tests/launch_times_test.cpp
+++ b/tests/start_times_test.cpp
@@ -1,5 +1,5 @@
 // The start times of endpoints, limited by what this process has observed, and the lead of their clocks.
-#include "wallclock/launch_times.h"
+#include "wallclock/start_times.h"
 
 #include <gtest/gtest.h>
 
@@ -13,13 +13,13 @@
 constexpr Micros kStart = 1'000'000 * kSecond;
 
 // Applies a list that contains one endpoint, and returns its start.
-Micros startAfterList(LaunchTimes& times, Micros now, Micros listed, bool confirmed = true) {
+Micros startAfterList(StartTimes& times, Micros now, Micros listed, bool confirmed = true) {
   times.beginList(now, confirmed);
-  return times.launchedAt("m", listed);
+  return times.startedAt("m", listed);
 }
 
 TEST(LaunchTimes, AreAsListedWhereClocksAgree) {
-  LaunchTimes times;
+  StartTimes times;
   EXPECT_EQ(startAfterList(times, kStart, 0), 0);
   EXPECT_EQ(startAfterList(times, kStart + 20 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
   EXPECT_EQ(startAfterList(times, kStart + 30 * kSecond, kStart + 19 * kSecond), kStart + 19 * kSecond);
@@ -28,27 +28,27 @@
 // Guards against an endpoint that is treated as warm after a restart because its clock was set.
 TEST(LaunchTimes, OfARestartedEndpointAreBoundedByObservation) {
   for (const Micros step : {-kHour, -10 * kSecond, kSecond, 10 * kSecond, kHour}) {
-    LaunchTimes times;
+    StartTimes times;
     startAfterList(times, kStart, kStart - kHour);
     startAfterList(times, kStart + 50 * kSecond, kStart - kHour);
     const Micros restarted = kStart + 52 * kSecond;
     const Micros now = kStart + 53 * kSecond;
-    const Micros launched = startAfterList(times, now, restarted + step);
-    EXPECT_GE(launched, kStart + 50 * kSecond - kMaxListDelay) << step;
-    EXPECT_LE(launched, now) << step;
-    EXPECT_EQ(startAfterList(times, now + 5 * kSecond, restarted + step), launched) << "it stays the same";
+    const Micros started = startAfterList(times, now, restarted + step);
+    EXPECT_GE(started, kStart + 50 * kSecond - kMaxListDelay) << step;
+    EXPECT_LE(started, now) << step;
+    EXPECT_EQ(startAfterList(times, now + 5 * kSecond, restarted + step), started) << "it stays the same";
   }
 }
 
 TEST(LaunchTimes, OfANewEndpointAreNoOlderThanTheListWithoutIt) {
-  LaunchTimes times;
+  StartTimes times;
   times.beginList(kStart, true);
   const Micros now = kStart + 10 * kSecond;
   EXPECT_EQ(startAfterList(times, now, now - kHour), kStart);
-  LaunchTimes first;
+  StartTimes first;
   EXPECT_EQ(startAfterList(first, now, now - kHour), now - kHour)
       << "the first list contains endpoints that already serve";
-  LaunchTimes cached;
+  StartTimes cached;
   cached.beginList(kStart, false);
   EXPECT_EQ(startAfterList(cached, now, now - kHour), now - kHour)
       << "a cached list says nothing about the present";
@@ -56,22 +56,22 @@
 
 // An endpoint that was missing from a list for a while has not restarted.
 TEST(LaunchTimes, StayWithinAnIncarnation) {
-  LaunchTimes times;
-  const Micros launched = startAfterList(times, kStart, kStart - 20 * kSecond);
+  StartTimes times;
+  const Micros started = startAfterList(times, kStart, kStart - 20 * kSecond);
   times.beginList(kStart + kSecond, true);  // without it
-  EXPECT_EQ(startAfterList(times, kStart + 60 * kSecond, kStart - 20 * kSecond), launched);
-  EXPECT_EQ(startAfterList(times, kStart + 61 * kSecond, 0), launched)
+  EXPECT_EQ(startAfterList(times, kStart + 60 * kSecond, kStart - 20 * kSecond), started);
+  EXPECT_EQ(startAfterList(times, kStart + 61 * kSecond, 0), started)
       << "'long ago' is not a new incarnation";
 }
 
 TEST(LaunchTimes, OfANewIncarnationAreLater) {
-  LaunchTimes times;
+  StartTimes times;
   const Micros first = startAfterList(times, kStart, kStart - kSecond);
   EXPECT_GT(startAfterList(times, kStart + kSecond, kStart - 2 * kSecond), first);
 }
 
 TEST(LaunchTimes, AreForgottenWithTheirEndpoints) {
-  LaunchTimes times;
+  StartTimes times;
   startAfterList(times, kStart, kStart - kSecond);
   times.forget("m");
   EXPECT_EQ(times.size(), 0U);
