--- a/src/emulator/judge.cpp
+++ b/src/emulator/judge.cpp
@@ -128,7 +128,7 @@
 }
 
 // An endpoint in slow start may receive the requests that it can serve within the window, times the multiple,
-// plus three standard deviations for chance.
+// plus three standard deviations and three requests for chance.
 void Judge::checkSlowStart(const std::string& gateway, const std::string& endpoint, Micros sentAt) {
   const auto found = slowStarts_.find(endpoint);
   if (found == slowStarts_.end()) return;
--- a/src/emulator/judge.h
+++ b/src/emulator/judge.h
@@ -41,9 +41,9 @@
 
 struct JudgeLimits {
   Micros slack = 70'000;              // an answer may come this long after the client's deadline
-  Micros drainGrace = 300'000;        // attempts may be sent this long after the notification of a drain
+  Micros drainGrace = 300'000;        // attempts may be sent this long after the notice of a drain or removal
   Micros overloadWindow = 2'000'000;  // attempts to an endpoint in slow start are counted over this time
-  double overloadMultiple = 2.5;      // allowed multiple of the requests that it can serve in the window
+  double overloadMultiple = 2.5;      // allowed multiple of what such an endpoint can serve in that time
   Micros afterDisconnect = 150'000;   // an attempt may begin this long after its client has disconnected
   Micros timeoutSlack = 200'000;      // a forwarded timeout may exceed the client's remaining time by this
 };
@@ -67,7 +67,7 @@
     Micros patience = 0;          // how long the client waits from then on
     bool repeatable = true;       // it may have its effect more than once
     bool rejectable = true;       // it may be rejected even if it may have run
-    std::optional<Micros> bound;  // staleness bound of a read, at the time an attempt is sent
+    std::optional<Micros> bound;  // of a read: how old the data may be when an attempt is sent
   };
   void requestSent(const ClientRequest& request);
   void requestAnswered(const std::string& id, Micros at, RequestResult result);
@@ -75,7 +75,8 @@
   void clientDisconnected(const std::string& id, Micros at);
   // The emulator killed or paused a gateway: its open requests need no answer any more.
   void gatewayKilled(const std::string& gateway, Micros at);
-  // A gateway was killed no earlier than the platform may do so: its open requests are breaches.
+  // A gateway was still running after SIGTERM when the platform may kill it, and was killed: its open
+  // requests are breaches.
   void gatewayEndedWithOpenRequests(const std::string& gateway, Micros at);
 
   // ---- Observed by endpoints ----
@@ -101,8 +102,9 @@
     breach(rule, at, gateway, what);
   }
 
-  // Adds a breach for each request without an answer. Returns all breaches in the order in which they were
-  // found.
+  // Adds a breach for each request that is still owed an answer after its client's deadline plus the slack.
+  // Returns the breaches in the order in which they were found; only the first 1000 are kept, but count()
+  // counts all.
   const std::vector<Breach>& finish(Micros at);
   const std::vector<Breach>& breaches() const { return breaches_; }
   std::size_t count(Rule rule) const;
--- a/src/emulator/scale.h
+++ b/src/emulator/scale.h
@@ -1,5 +1,5 @@
-// Runs a scale plan: measures gateways, endpoints, changes and clients at rising sizes, then faults. Time and
-// memory are bounded; all processes that a run starts end with it.
+// Runs a scale plan: measures gateways, endpoints, changes, clients, gossip and subsets at rising sizes, then
+// faults. Time and memory are bounded; all processes that a run starts end with it.
 #pragma once
 
 #include <sys/types.h>
@@ -42,8 +42,8 @@
   };
 
   bool finished() const { return outcome_.ended || !outcome_.problems.empty(); }
-  // Runs the loop until the condition holds. Returns false if the run is finished before, also with a new
-  // problem because that takes too long or too much memory.
+  // Runs the loop until the condition holds. If that takes too long, or the run uses too much memory, adds a
+  // problem, which finishes the run. Returns false if the run is finished.
   bool awaitCondition(const std::string& what, const std::function<bool()>& condition);
   // Runs the loop for a time. Returns false if the run is finished.
   bool runFor(Micros span);
--- a/src/faultshim/shim.cpp
+++ b/src/faultshim/shim.cpp
@@ -149,8 +149,9 @@
 ssize_t recv(int fd, void* into, size_t size, int flags) {
   static const auto real = shim::realCall<ssize_t (*)(int, void*, size_t, int)>("recv");
   if (shim::transferFails(fd)) return -1;
-  // Callers may ask for far more than the socket holds, so a cut relative to 'size' would change nothing: at
-  // most 4096 bytes are read. With nothing to read, the call goes through unchanged.
+  // A shortened read asks for a random number of bytes up to 4096. Callers may ask for far more than the
+  // socket holds, so a random number up to 'size' would seldom shorten anything. If there is nothing to read,
+  // the call goes through unchanged.
   char byte = 0;
   const bool cut = size > 1 && shim::shouldFail(Fault::ShortRead);
   if (!cut || (flags & (MSG_PEEK | MSG_TRUNC)) != 0) return real(fd, into, size, flags);
@@ -320,7 +321,7 @@
     mode = va_arg(rest, mode_t);
     va_end(rest);
   }
-  // A folder is opened only for fsync; that has its own fault.
+  // A directory is opened only to be synced, and fsync has a fault of its own (FileSync).
   if ((flags & O_DIRECTORY) == 0 && shim::fileOpenFails("")) return -1;
   return real(path, flags, mode);
 }
--- a/src/fleet/simulation.h
+++ b/src/fleet/simulation.h
@@ -181,7 +181,8 @@
   void endAttempt(const std::shared_ptr<AttemptInFlight>& inFlight, EndpointId id, AttemptOutcome outcome,
                   LogPosition position = 0);
 
-  // Records how long a gateway's first successful write to a group's new primary waited for it.
+  // Records the failover delay of a gateway's first successful write to a group's new primary: the time until
+  // the write was sent, from the primary's election or, if that is later, from the write's arrival.
   void recordFailoverDelay(std::size_t index, GroupId group, Micros arrived, Micros sentAt);
 
   void startHealthCheck(std::size_t index, const StartHealthCheck& action);
--- a/src/policy/attempt_observer.cpp
+++ b/src/policy/attempt_observer.cpp
@@ -101,7 +101,8 @@
   const bool unusable =
       reset || event.outcome == AttemptOutcome::TimedOut || event.outcome == AttemptOutcome::Malformed;
   if (unusable) endpoint.outlier.observeUnusableResult(context_.now());
-  // With little traffic, counting several unusable results takes too long to detect that an endpoint is down.
+  // With little traffic it takes too long until several unusable results in a row show that an endpoint is
+  // down, so one silent timeout starts a health check.
   if (silent && context_.now() - endpoint.healthCheck.startedAt > kMinCheckInterval)
     healthChecks_.start(endpoint, HealthCheckReason::Unresponsive);
 }
--- a/src/policy/endpoint_registry.cpp
+++ b/src/policy/endpoint_registry.cpp
@@ -6,7 +6,8 @@
 namespace heathflow::policy {
 namespace {
 
-// An unused endpoint is forgotten this long after it was last listed or last responded.
+// An unused endpoint is forgotten this long after it was last listed or, if that is later, after its
+// OutlierDetection::silentSince().
 constexpr Micros kForgetAfter = 10 * kSecond;
 constexpr Micros kForgetAfterIfAdvisory = 3600 * kSecond;
 
@@ -92,8 +93,9 @@
   return endpoint;
 }
 
-// Resets what belongs to the previous process: failures, latency, and a claim to be the primary from before
-// the restart. Position and evidence stay, because they carry their own times.
+// Resets what belongs to the previous process: failures, latency, a rejected write, and a claim to be the
+// primary from before the restart. Lowers the concurrency limit to its initial value if it is above. Position
+// and evidence stay, because they carry their own times.
 void EndpointRegistry::observeRestart(EndpointState& endpoint, const Endpoint& listed) {
   if (endpoint.role.primaryAt < listed.startedAt) endpoint.role.primaryAt = kNever;
   endpoint.role.writeRejectedAt = kNever;
--- a/src/policy/health_check_scheduler.cpp
+++ b/src/policy/health_check_scheduler.cpp
@@ -9,12 +9,12 @@
 
 // A position is refreshed when it is older than this share of the smallest staleness bound.
 constexpr double kRefreshAgeShare = 0.5;
-// Reads within the smallest staleness bound for which one replica with a known position is enough.
+// One replica with a known position is enough for this many reads per span of the smallest staleness bound.
 constexpr double kReadsPerReplica = 8;
 
 // How long an endpoint that refused new work is not checked.
 constexpr Micros kPauseAfterRefusal = 250 * kMillisecond;
-// How often all endpoints of a group without a primary are checked.
+// Minimum time between the starts of two search rounds that check all endpoints of a group.
 constexpr Micros kSearchAllInterval = 4 * kPrimarySearchInterval;
 // How long a search waits for an answer before it checks the next endpoint.
 constexpr Micros kSearchAnswerTimeout = 30 * kMillisecond;
@@ -55,8 +55,8 @@
   start(*next, neverKnown ? HealthCheckReason::Initial : HealthCheckReason::PrimaryUnknown);
 }
 
-// Returns whether a check of this round was started just now, or the last primary is being checked, no matter
-// how long that takes.
+// Returns whether a check is in progress for which the search waits: one that was started in this round less
+// than kSearchAnswerTimeout ago, or one of the last primary, however long ago it was started.
 bool HealthCheckScheduler::searchAwaitsAnswer(const EndpointGroup& group) const {
   for (const EndpointId id : group.endpoints) {
     const EndpointState& endpoint = registry_.at(id);
--- a/src/policy/health_check_scheduler.h
+++ b/src/policy/health_check_scheduler.h
@@ -21,13 +21,13 @@
   bool start(EndpointState& endpoint, HealthCheckReason reason);
   // Records the end of a check, without the endpoint's load report.
   void observeEnd(EndpointState& endpoint, const HealthCheckEnded& event);
-  // Returns whether the endpoint has just rejected a check because it takes no new work. Without this pause
-  // each rejection would lead to the next check.
+  // Returns whether the endpoint has just rejected a check because it takes no new work. Such an
+  // endpoint is not checked for a short time; otherwise each rejection would lead to the next check.
   bool refusesNewWork(const EndpointState& endpoint) const;
 
   // Starts the next health check of the search for a group's primary. Endpoints are checked one after the
-  // other, the most advanced first, because it takes over when the primary is lost. While no endpoint is the
-  // primary, only some rounds check all endpoints.
+  // other, the most advanced first, because it takes over when the primary is lost. At most one round in four
+  // checks all endpoints; the others check only the first.
   void findPrimary(EndpointGroup& group);
   // Keeps the positions of as many replicas up to date as the recent rate of reads needs.
   void refreshPositions(EndpointGroup& group);
--- a/src/standins/standins.h
+++ b/src/standins/standins.h
@@ -268,7 +268,7 @@
     return "{\"revision\":" + std::to_string(revision) + ",\"complete\":" + (complete ? "true" : "false") +
            ",\"members\":" + entries + "}";
   }
-  // Increments the revision and answers the waiting watch with these entries; there must be one.
+  // Increments the revision and answers the waiting watch with these entries. A watch must be waiting.
   void tell(const std::string& entries) {
     ++revision;
     Line* line = std::exchange(waiting, nullptr);
@@ -340,7 +340,7 @@
     }
     return "";
   }
-  // Returns the value of a row by its position; empty if there is no such row.
+  // Returns the value of a row by its index, from 0; empty if there is no such row.
   std::string value(std::size_t number = 0) {
     for (const auto& message : messages()) {
       if (message.type == 'D' && number-- == 0) return message.body.substr(6);
@@ -387,7 +387,7 @@
   const std::vector<bolt::Message>& messages();
   // Returns a letter per message: S (success), F (failure), I (ignored), R (record), ? (any other).
   std::string tags();
-  // Returns a reply by its position, without records; throws std::runtime_error if it has not come.
+  // Returns a reply by its index, records not counted; throws std::runtime_error if it has not come.
   const bolt::Message& reply(std::size_t number);
   std::string code();  // of the first failure
   std::size_t records();
