--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -9,8 +9,8 @@
 inline constexpr Micros kMinEjection = 250 * kMillisecond;
 
 // Failures and responses of one endpoint. An ejection ends when its time is over, when a health check is
-// answered, or when the list reports a restart; an answer to a request does not end it. After an ejection
-// the endpoint gets one request at a time until it responds.
+// answered, or when the list reports a restart; an answer to a request does not end it. From the
+// ejection until it responds, the endpoint gets at most one request at a time.
 class OutlierDetection {
  public:
   // Returns whether it is ejected, or suspected because a connection failed.
