--- a/src/invariants/invariant_checker.h
+++ b/src/invariants/invariant_checker.h
@@ -25,7 +25,7 @@
   RepeatedEffect,       // a retry after an attempt that may have run, which the class forbids
   SecondAnswer,         // a second final answer to a request
   RejectedAfterEffect,  // a rejection, which promises that there was no effect, although an attempt may have
-                        // run or is in flight
+                        // run; detected only while another attempt of the request is in flight
   ClosedUnanswered,     // the gateway closed a connection with an unanswered request
   AcceptedAfterClose,   // a request was accepted on a closing connection
   StartedUnready        // clients were accepted before there was an endpoint list
